--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,11 +3,17 @@
 from __future__ import annotations
 
 import inspect
+import os
 
 import pytest
 
 from tests.harness.async_runner import run_async_test
 
+# GNU readline, which pytest loads, exports a terminal size (80 x 24 without a terminal) to the worker processes
+# that pytest-xdist starts. A rich console made at import would keep it, whatever a test sets COLUMNS to.
+for name in ("COLUMNS", "LINES"):
+    os.environ.pop(name, None)
+
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
