--- a/tests/golden/simulator_wire.py
+++ b/tests/golden/simulator_wire.py
@@ -104,19 +104,19 @@
         yield Action(name, instance, values)
 
 
-def simulator_command() -> list[str]:
-    """The command `sim` of deploy/balancer.toml, run by this interpreter."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+def simulator_command(root: Path = ROOT) -> list[str]:
+    """The command `sim` of a checkout's deploy/balancer.toml, run by this interpreter."""
+    deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
     words = shlex.split(deploy["sim"].removeprefix("exec "))
     return [sys.executable, *words[1:]]
 
 
 class DecisionProgram:
-    """The running program: a batch in, its actions out."""
+    """The running program of a checkout: a batch in, its actions out."""
 
-    def __init__(self) -> None:
+    def __init__(self, root: Path = ROOT) -> None:
         pipe = subprocess.PIPE
-        self._process = subprocess.Popen(simulator_command(), cwd=ROOT, stdin=pipe, stdout=pipe)
+        self._process = subprocess.Popen(simulator_command(root), cwd=root, stdin=pipe, stdout=pipe)
 
     def exchange(self, now: int, records: list[bytes]) -> list[Action]:
         """Send one batch and read its reply."""
