--- /dev/null
+++ b/anisespool/balancer/admission/retry_after.py
@@ -0,0 +1,77 @@
+"""When should a rejected client try again?
+
+Clients that were rejected together are spread over the time in which the excess is worked off.
+"""
+
+from random import Random
+from typing import NamedTuple
+
+from anisespool.balancer import interface as api
+from anisespool.balancer.estimates.decaying_value import DecayingValue
+
+MIN_RATE_REQUESTS = 1e-12  # per ns
+
+
+class RetryAfterLimits(NamedTuple):
+    """Constants of the schedule."""
+
+    jitter_share: float = 0.1
+    mild_rejection_share: float = 0.5
+    """Of recent requests rejected, up to which a client's next attempt probably succeeds."""
+    severe_rejection_share: float = 0.8
+    """From which on it probably does not."""
+    spread_objectives: float = 0.25
+    """Latency objectives over which clients that were rejected together return."""
+    min_delay_ns: int = 1_000_000
+
+
+LIMITS = RetryAfterLimits()
+
+
+class Backlog(NamedTuple):
+    """What has to be served before a rejected client's next attempt."""
+
+    excess_ns: float
+    """Time in which what exceeds the capacity is worked off."""
+    rate: float
+    """At which requests are served, per ns."""
+    all_ns: float = 0.0
+    """Time in which all open requests are worked off."""
+
+
+class RetryAfterSchedule:
+    """Gives each rejected client the next free instant."""
+
+    def __init__(self, settings: api.Settings, answer_rate: DecayingValue, random: Random) -> None:
+        self._max_delay_ns = settings.max_retry_after_ns if settings.may_retry_after else 0
+        self._objective_ns = min(c.target_ns for c in settings.classes)
+        self._answer_rate = answer_rate
+        self._rejection_rate = DecayingValue(self._objective_ns)
+        self._random = random
+        self._next_at = 0  # monotonic ns; no rejected client was given a later instant
+
+    def next_delay_ns(self, now: int, backlog: Backlog) -> int:
+        """Return a client's Retry-After: when the excess is worked off, one client after another; 0: none.
+
+        Where most requests were rejected recently, not before all that is open is worked off.
+        """
+        if not self._max_delay_ns:
+            return 0
+        self._rejection_rate.add(now)
+        earliest = now + backlog.excess_ns + self._severity() * backlog.all_ns
+        at = max(earliest, self._next_at)
+        self._next_at = int(at + 1 / max(backlog.rate, MIN_RATE_REQUESTS))
+        if self._next_at > earliest + LIMITS.spread_objectives * self._objective_ns:
+            self._next_at = int(earliest)
+        jitter = LIMITS.jitter_share
+        delay = min(at - now, self._max_delay_ns / (1 + jitter))
+        return max(int(delay * self._random.uniform(1 - jitter, 1 + jitter)), LIMITS.min_delay_ns)
+
+    def _severity(self) -> float:
+        """Return 0 where few recent requests were rejected, up to 1 where most were."""
+        rejected = self._rejection_rate.value
+        share = rejected / (rejected + self._answer_rate.value)  # both read just before
+        mild = LIMITS.mild_rejection_share
+        if share <= mild:
+            return 0.0
+        return min((share - mild) / (LIMITS.severe_rejection_share - mild), 1.0)
--- /dev/null
+++ b/anisespool/balancer/attempt.py
@@ -0,0 +1,23 @@
+"""One attempt to get a request answered. Instants (`*_at`) are monotonic ns."""
+
+from __future__ import annotations
+
+from anisespool.balancer.endpoint import Endpoint
+
+
+class Attempt:
+    """One attempt of a request at an endpoint.
+
+    Attributes:
+        expected_latency_ns: Typical latency of the request when the attempt was sent.
+        concurrency: Attempts of this sidecar at the endpoint then, this one included.
+        may_have_executed: True until an outcome proves that the endpoint did not execute it.
+    """
+
+    def __init__(self, endpoint: Endpoint, sent_at: int, expected_latency_ns: float) -> None:
+        self.endpoint = endpoint
+        self.sent_at = sent_at
+        self.expected_latency_ns = expected_latency_ns
+        self.concurrency = len(endpoint.in_flight) + 1
+        self.in_flight = True
+        self.may_have_executed = True
--- /dev/null
+++ b/anisespool/balancer/estimates/__init__.py
@@ -0,0 +1,1 @@
+"""What the balancer estimates from outcomes, load reports and gossip. Nothing here decides."""
--- /dev/null
+++ b/anisespool/balancer/estimates/decaying_value.py
@@ -0,0 +1,30 @@
+"""An amount, or the rate of events, with exponential decay."""
+
+from __future__ import annotations
+
+from math import exp2
+
+RATE_NORMALIZATION_FACTOR = 0.693  # ln 2: a steady rate reads as itself
+
+
+class DecayingValue:
+    """A value that halves each `half_life_ns`.
+
+    One class serves amounts and rates: a call site with several types costs more.
+    """
+
+    def __init__(self, half_life_ns: int) -> None:
+        self.half_life_ns = max(half_life_ns, 1)
+        self.value = 0.0
+        self.updated_at = 0
+
+    def read(self, now: int) -> float:
+        """Return the value as of `now` (monotonic ns)."""
+        if now != self.updated_at:
+            self.value *= exp2((self.updated_at - now) / self.half_life_ns)
+            self.updated_at = now
+        return self.value
+
+    def add(self, now: int, amount: float = 1.0) -> None:
+        """Count `amount` at `now`, where the value is a rate: amounts per ns."""
+        self.value = self.read(now) + amount * RATE_NORMALIZATION_FACTOR / self.half_life_ns
--- a/anisespool/balancer/gossip.py
+++ b/anisespool/balancer/gossip.py
@@ -1,4 +1,7 @@
-"""Gossip to other sidecars: one of many observes too little of any endpoint by itself."""
+"""When is gossip sent, to whom, and with what?
+
+One of many sidecars observes too little of any endpoint by itself.
+"""
 
 from __future__ import annotations
 
@@ -6,34 +9,37 @@
 from random import Random
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.admission import QueueingRatio
-from anisespool.balancer.state import Endpoint
+from anisespool.balancer.endpoint import Endpoint
 
-FANOUT = 4  # peers that get the queueing ratio at a time: one sidecar's is mostly chance
+GOSSIP_FANOUT_INSTANCES = 4  # sidecars that get the queueing ratio at a time
 
 
 class GossipSender:
-    """Sends the queueing ratio to a few random peers, and to the first of them observations of endpoints."""
+    """Sends the queueing ratio to a few random sidecars, to the first also observations of endpoints."""
 
     def __init__(self, settings: api.Settings, interval_ns: int, random: Random) -> None:
-        self.is_enabled = settings.may_gossip and settings.fleet_size > 1
-        self.settings = settings
-        self.interval_ns = interval_ns
-        self.random = random
-        self.sent_at = 0
-
-    def messages(self, ready: list[Endpoint], queueing: QueueingRatio, now: int) -> list[api.SendGossip]:
-        """The messages that are due at `now`: none within `interval_ns` of the last ones."""
-        if not self.is_enabled or now - self.sent_at < self.interval_ns:
-            return []
-        self.sent_at = now
-        own_index = self.settings.self_index
-        size = self.settings.fleet_size
-        peers = [(own_index + self.random.randrange(1, size)) % size for _ in range(FANOUT)]
-        recent = nlargest(api.MAX_OBSERVATIONS, ready, key=lambda e: e.slowdown_at)
+        self._is_enabled = settings.may_gossip and settings.fleet_size > 1
+        self._own_index = settings.self_index
+        self._fleet_size = settings.fleet_size
+        self._interval_ns = interval_ns
+        self._random = random
+        self._sent_at = 0
+
+    def is_due(self, now: int) -> bool:
+        """Return whether gossip is sent now: none within `interval_ns` of the last."""
+        return self._is_enabled and now - self._sent_at >= self._interval_ns
+
+    def messages(self, ready: list[Endpoint], queueing_ratio: float, now: int) -> list[api.SendGossip]:
+        """Return the messages to send now."""
+        self._sent_at = now
+        peers = [self._random_peer() for _ in range(GOSSIP_FANOUT_INSTANCES)]
+        recent = nlargest(api.MAX_OBSERVED_ENDPOINTS, ready, key=lambda e: e.slowdown_at)
         observations = tuple(_observation(e, now) for e in recent if e.slowdown_at)
-        ratio = queueing.ratio.read(now)
-        return [api.SendGossip(peers[0], ratio, observations), *(api.SendGossip(p, ratio) for p in peers[1:])]
+        first = api.SendGossip(peers[0], queueing_ratio, observations)
+        return [first, *(api.SendGossip(peer, queueing_ratio) for peer in peers[1:])]
+
+    def _random_peer(self) -> int:
+        return (self._own_index + self._random.randrange(1, self._fleet_size)) % self._fleet_size
 
 
 def _observation(endpoint: Endpoint, now: int) -> api.EndpointObservation:
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -1,41 +1,44 @@
-"""What the decision module believes, for people and tools. It decides nothing, and nothing in it draws."""
+"""A view of the decision module's state, for people and tools. It decides nothing and draws no number."""
 
 from enum import Enum
 from typing import Any, NamedTuple
 
 from anisespool.balancer.balancer import Balancer
+from anisespool.balancer.deadlines import Deadlines
+from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.interface import RequestArrived, Settings, Tenant
-from anisespool.balancer.state import Endpoint, PendingRequest
+from anisespool.balancer.request import PendingRequest
+from anisespool.balancer.settings_names import CONTROL_KEYS
 
 
 class EndpointView(NamedTuple):
     """One endpoint as the balancer sees it."""
 
     endpoint: int  # the driver's number
-    state: int  # as the module was told (interface.EndpointState)
-    weight: float  # share of the next draws of the first class, 0 to 1; 0: not drawn
-    slowdown: float  # recent response times over the usual
-    queue: float  # requests that wait there by its last report
-    in_flight: int  # attempts of this sidecar out now
+    state: int  # as listed (interface.EndpointState)
+    weight: float  # share of the next choices for the first class, 0 to 1; 0: never chosen
+    slowdown: float  # recent response times over the typical ones
+    queue: float  # requests queued there by its last load report
+    in_flight: int  # attempts of this sidecar
     warmup_remaining_ns: int  # until it counts as warm; 0: warm
 
 
 class BalancerView(NamedTuple):
     """The balancer's estimates, as of one instant."""
 
-    open_requests: int  # requests not yet answered
-    queueing_ratio: float  # share of their targets that attempts took of late, 0 to 1
+    open_requests: int  # not yet answered
+    queueing_ratio: float  # share of their latency objectives that attempts took recently, 0 to 1
     endpoints: tuple[EndpointView, ...]
 
 
 def inspect(balancer: Balancer, now: int, limit: int) -> BalancerView:
-    """The module as it stands at `now` (monotonic ns); of the endpoints at most `limit`."""
+    """Return the module's state as of `now` (monotonic ns); of the endpoints at most `limit`."""
     balancer.now = max(balancer.now, now)
     shares = _shares(balancer)
     views = []
     for number, endpoint in list(balancer.endpoints.by_id.items())[:limit]:
         warmup_ns = max(0, endpoint.warm_at - now)
-        slowdown = balancer.estimates.slowdown(endpoint, balancer.now)
+        slowdown = balancer.estimates.slowdowns.slowdown(endpoint, balancer.now)
         views.append(
             EndpointView(
                 number,
@@ -55,15 +58,17 @@
     if not candidates:
         return {}
     now = balancer.now
-    request = PendingRequest(RequestArrived(0, 0, 0), balancer.settings.classes[0], now, 0, 0)
-    expected_ns = balancer.estimates.class_latency_ns[0]
-    weights, nowhere = balancer.picker.weights(request, candidates, expected_ns, now)
-    total = sum(weights) + nowhere or 1.0
-    return {e.id: part / total for e, part in zip(candidates, weights, strict=True)}
+    event = RequestArrived(0, 0, 0)
+    request_class = balancer.settings.classes[0]
+    request = PendingRequest(event, request_class, Deadlines.of(event, request_class, 0, now), now, 0)
+    expected_ns = balancer.estimates.class_latencies.typical_latency_ns[0]
+    weights = balancer.selector.weights(request, candidates, expected_ns, now)
+    total = sum(weights.by_candidate) + weights.no_send or 1.0
+    return {e.id: weight / total for e, weight in zip(candidates, weights.by_candidate, strict=True)}
 
 
 def set_tenant_shares(balancer: Balancer, shares: dict[int, float]) -> Settings:
-    """Other shares for tenants, by their place, from the next event on. The others keep theirs."""
+    """Replace the shares of the tenants with these indexes, from the next event on; return the settings."""
     tenants = [
         Tenant(shares.get(n, tenant.share), tenant.quota_per_s)
         for n, tenant in enumerate(balancer.settings.tenants)
@@ -72,33 +77,8 @@
     return balancer.settings
 
 
-# Names in the control socket's JSON, which others read, where the fields are named otherwise.
-SETTINGS_KEYS = {
-    "max_attempts": "attempts_cap",
-    "warmup_ns": "cold_ns",
-    "initial_capacity": "start_capacity",
-    "overload_multiple": "fall_multiple",
-    "overload_window_ns": "fall_ns",
-    "ordering_settle_ns": "order_settle_ns",
-    "resubscribe_within_ns": "ask_within_ns",
-    "may_hedge": "may_duplicate",
-    "may_health_check": "may_probe",
-    "may_gossip": "may_message",
-    "discovery_mode": "discovery",
-    "load_report_mode": "report_how",
-    "load_report_columns": "report_columns",
-    "key_affinity": "warm_keys",
-    "cross_zone_cost": "price_cross_zone",
-    "handshake_cost": "price_handshake",
-    "idempotency": "effect",
-    "priority_weight": "worth",
-    "late_priority_weight": "late_worth",
-    "objective_stretch": "aim_stretch",
-}
-
-
 def describe_settings(settings: Settings) -> dict[str, Any]:
-    """The settings as JSON can carry them, under the names that the control socket has for them."""
+    """Return the settings as JSON can carry them, under the names that the control socket has for them."""
     described: dict[str, Any] = _plain(settings)
     return described
 
@@ -107,5 +87,5 @@
     if isinstance(value, Enum):
         return value.value
     if hasattr(value, "_asdict"):
-        return {SETTINGS_KEYS.get(key, key): _plain(item) for key, item in value._asdict().items()}
+        return {CONTROL_KEYS.get(key, key): _plain(item) for key, item in value._asdict().items()}
     return [_plain(item) for item in value] if isinstance(value, list | tuple) else value
--- a/anisespool/balancer/interface.py
+++ b/anisespool/balancer/interface.py
@@ -9,15 +9,18 @@
 from enum import IntEnum
 from typing import NamedTuple, Union
 
-from anisespool.balancer.settings import Idempotency as Idempotency
-from anisespool.balancer.settings import RequestClass as RequestClass
 from anisespool.balancer.settings import Settings as Settings
 from anisespool.balancer.settings import SettingsError as SettingsError
-from anisespool.balancer.settings import Tenant as Tenant
+from anisespool.balancer.settings_types import DedupScope as DedupScope
+from anisespool.balancer.settings_types import DiscoveryMode as DiscoveryMode
+from anisespool.balancer.settings_types import Idempotency as Idempotency
+from anisespool.balancer.settings_types import LoadReportMode as LoadReportMode
+from anisespool.balancer.settings_types import RequestClass as RequestClass
+from anisespool.balancer.settings_types import Tenant as Tenant
 
 
 class AttemptStatus(IntEnum):
-    """How an attempt ended; MOOT: it was not needed any more, and never sent."""
+    """How an attempt ended."""
 
     ERROR = 0
     OK = 1
@@ -27,9 +30,10 @@
     RESET = 5
     CANCELLED = 6
     MOOT = 7
+    """It was not needed any more, and never sent."""
 
 
-MAX_OBSERVATIONS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
+MAX_OBSERVED_ENDPOINTS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
 NOT_EXECUTED = frozenset((AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT))
 
 
@@ -78,7 +82,7 @@
 
     request: int
     class_index: int
-    remaining_ns: int  # until the client gives this try up
+    remaining_ns: int  # until the client gives this attempt of its own up
     work_hint_ns: int | None = None  # anticipated work, on a standard core
     key: int = 0
     tenant: int = 0
@@ -129,7 +133,7 @@
 
 
 class EndpointObservation(NamedTuple):
-    """What one sidecar last learned of an endpoint, for another."""
+    """An endpoint's estimates at one sidecar, for another."""
 
     endpoint: int
     slowdown: float  # response times over what their requests usually take
@@ -141,7 +145,7 @@
     """A message of another sidecar's balancer."""
 
     sender: int
-    queueing_ratio: float = 0.0  # waits of late: 0 as in an idle fleet, 1 all targets missed
+    queueing_ratio: float = 0.0  # of recent attempts: 0 as in an idle fleet, 1 all objectives missed
     observations: tuple[EndpointObservation, ...] = ()
 
 
@@ -169,14 +173,14 @@
 
 
 class Reject(NamedTuple):
-    """Final: not served, and trying again is harmless."""
+    """Final: not served, and a retry is harmless."""
 
     request: int
     retry_after_ns: int = 0
 
 
 class Fail(NamedTuple):
-    """Final: not served, nothing promised."""
+    """Final: not served; a retry may have a second effect."""
 
     request: int
 
@@ -208,7 +212,7 @@
 
 
 class FetchEndpointList(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Fetch the whole endpoint list from discovery once."""
 
 
 class WatchEndpointList(NamedTuple):
@@ -228,7 +232,7 @@
 
     peer: int  # -1: every peer
     queueing_ratio: float = 0.0
-    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_OBSERVATIONS: what a message holds
+    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_OBSERVED_ENDPOINTS: what a message holds
 
 
 class SendHealthCheck(NamedTuple):
--- /dev/null
+++ b/anisespool/balancer/outcomes.py
@@ -0,0 +1,94 @@
+"""What the outcome of an attempt teaches: estimates of its endpoint, admission, slow start."""
+
+from __future__ import annotations
+
+from anisespool.balancer.admission.controller import AdmissionController
+from anisespool.balancer.admission.queueing_ratio import QUEUEING_SMOOTHING_FACTOR
+from anisespool.balancer.admission.service_rate import QueueingSample
+from anisespool.balancer.attempt import Attempt
+from anisespool.balancer.estimates.estimates import Estimates
+from anisespool.balancer.interface import AttemptOutcome, AttemptStatus
+from anisespool.balancer.request import PendingRequest
+from anisespool.balancer.selection.slow_start import SlowStart
+
+CONNECTION_REUSABLE = frozenset((AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.FULL))
+CONNECTION_BROKEN = frozenset((AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED))
+
+
+def is_failure(status: AttemptStatus) -> bool:
+    """Return whether a status counts against the endpoint."""
+    return status not in (AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT)
+
+
+def record_connection(attempt: Attempt, status: AttemptStatus) -> None:
+    """Update the estimate of idle connections to the attempt's endpoint."""
+    if status in CONNECTION_REUSABLE:
+        attempt.endpoint.idle_connections += 1
+    elif status in CONNECTION_BROKEN:  # the others may be broken too
+        attempt.endpoint.idle_connections = 0
+
+
+class OutcomeRecorder:
+    """Hands outcomes to the rules that learn from them."""
+
+    def __init__(self, estimates: Estimates, admission: AdmissionController, slow_start: SlowStart) -> None:
+        self._estimates = estimates
+        self._admission = admission
+        self._slow_start = slow_start
+
+    def record_answer(
+        self,
+        request: PendingRequest,
+        attempt: Attempt,
+        event: AttemptOutcome,
+        open_requests: int,
+        now: int,
+    ) -> None:
+        """Learn from an attempt that succeeded, with `open_requests` of this sidecar open now."""
+        latency_ns = event.latency_ns
+        in_time = now <= request.deadlines.objective_at and not request.answered
+        self._estimates.record_answer(attempt, request.event, latency_ns)
+        self._admission.record_answer(
+            now, request.event.class_index, latency_ns, in_time, open_requests, request.open_before
+        )
+        self._slow_start.record_completed(attempt.endpoint, attempt.expected_latency_ns, now)
+
+    def record_latency(
+        self, request: PendingRequest, attempt: Attempt, event: AttemptOutcome, slowdown: float, now: int
+    ) -> bool:
+        """Learn from an attempt's latency, and return whether it was a sample of its endpoint.
+
+        An attempt that was cancelled early is none, unless it was slow already.
+
+        Args:
+            request: Whose attempt it is.
+            attempt: The attempt.
+            event: Its outcome.
+            slowdown: Of its endpoint, as estimated before.
+            now: Monotonic ns.
+        """
+        latency_ns = float(event.latency_ns)
+        if is_failure(event.status):  # not a fast answer
+            latency_ns = max(latency_ns, float(request.request_class.deadline_ns))
+        if event.status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
+            self._record_queueing(request, attempt, event, slowdown, now)
+        slowdowns = self._estimates.slowdowns
+        sample = slowdowns.sample(latency_ns, attempt.expected_latency_ns)
+        if event.status is AttemptStatus.CANCELLED and sample <= slowdown:
+            return False
+        succeeded = event.status is AttemptStatus.OK
+        class_index = request.event.class_index
+        slowdowns.record_sample(attempt.endpoint, class_index, sample, slowdown, succeeded, now)
+        return True
+
+    def _record_queueing(
+        self, request: PendingRequest, attempt: Attempt, event: AttemptOutcome, slowdown: float, now: int
+    ) -> None:
+        """Let admission learn from a latency; one bad endpoint among others is no overload."""
+        typical = self._estimates.slowdowns.typical_slowdown(attempt.endpoint)
+        smoothing_factor = QUEUEING_SMOOTHING_FACTOR * min(1.0, typical / slowdown)
+        target_ns = request.request_class.target_ns
+        is_missed = event.status is AttemptStatus.TIMEOUT and now >= request.deadlines.objective_at
+        objective_share = 1.0 if is_missed else min(event.latency_ns / target_ns, 1.0)
+        sample = QueueingSample(objective_share, smoothing_factor, target_ns, request.open_before)
+        self._admission.record_latency(now, sample)
--- /dev/null
+++ b/anisespool/balancer/selection/eligibility.py
@@ -0,0 +1,52 @@
+"""To which endpoints may this attempt go?"""
+
+from __future__ import annotations
+
+from anisespool.balancer.endpoint import Endpoint
+from anisespool.balancer.interface import DedupScope, Idempotency, Settings
+from anisespool.balancer.request import PendingRequest
+
+TRANSIT_RESOLUTION_MULTIPLE = 4  # clock steps that a repeat may need to arrive, besides connecting
+
+
+class Eligibility:
+    """Eligible endpoints of an attempt: within its deduplication scope and window, untried ones first.
+
+    Attributes:
+        max_transit_ns: From the decision to send a repeat until the endpoint has it.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        clock_ns = TRANSIT_RESOLUTION_MULTIPLE * settings.resolution_ns
+        self.max_transit_ns = settings.connect_timeout_ns + clock_ns + settings.answer_slack_ns
+
+    def eligible(self, request: PendingRequest, subset: list[Endpoint], now: int) -> list[Endpoint]:
+        """Return those of the subset that the request may go to next; empty: none.
+
+        Args:
+            request: With its earlier attempts.
+            subset: The ready endpoints that this sidecar uses.
+            now: Monotonic ns.
+        """
+        may_have_executed = request.possibly_executed()
+        if may_have_executed and request.request_class.idempotency is Idempotency.WITH_KEY:
+            # Outside of its deduplication scope and window a repeat is a second effect.
+            first = may_have_executed[0]
+            window_end_at = first.sent_at + request.request_class.dedup_window_ns
+            if now + self.max_transit_ns >= window_end_at:
+                return []
+            subset = _in_scope(subset, first.endpoint, request.request_class.dedup_scope)
+        if not request.attempts:
+            return subset
+        tried = {attempt.endpoint.id for attempt in request.attempts}
+        return [e for e in subset if e.id not in tried] or subset
+
+
+def _in_scope(endpoints: list[Endpoint], executed_by: Endpoint, scope: DedupScope) -> list[Endpoint]:
+    """Return the endpoints that deduplicate what `executed_by` may have executed."""
+    listing = executed_by.listing
+    if scope is DedupScope.ALL:
+        return endpoints
+    if scope is DedupScope.ZONE:
+        return [e for e in endpoints if e.zone == listing.zone]
+    return [e for e in endpoints if e.listing.cell == listing.cell]
--- /dev/null
+++ b/anisespool/balancer/selection/slow_start.py
@@ -0,0 +1,81 @@
+"""How much may endpoints that are warming up get? Caps on their weights.
+
+An endpoint that is sent too much while it warms up falls over. Its share of what is answered (not of what is
+sent: that has no bound) is capped at a multiple of its part by configured weight; so is the share of all that
+are warming up together.
+"""
+
+from __future__ import annotations
+
+from anisespool.balancer import interface as api
+from anisespool.balancer.endpoint import Endpoint
+from anisespool.balancer.estimates.decaying_value import DecayingValue
+from anisespool.balancer.selection.warmup_limiter import PLANNED_ALLOWANCE_SHARE, WINDOW_HALF_LIVES
+
+
+class SlowStart:
+    """Slow start of all endpoints of one sidecar; work is counted in expected latencies."""
+
+    def __init__(self, settings: api.Settings) -> None:
+        self._settings = settings
+        half_life_ns = settings.overload_window_ns // WINDOW_HALF_LIVES
+        self._offered_work = DecayingValue(half_life_ns)
+        self._completed_work = DecayingValue(half_life_ns)
+
+    def record_sent(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
+        """Count the work of a new attempt."""
+        if endpoint.warmup_limiter:
+            endpoint.warmup_limiter.sent.add(now, expected_latency_ns)
+        self._offered_work.add(now, expected_latency_ns)
+
+    def record_completed(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
+        """Count the work of an attempt that succeeded."""
+        self._completed_work.add(now, expected_latency_ns)
+        if endpoint.warmup_limiter:
+            endpoint.warmup_limiter.answered.add(now, expected_latency_ns)
+
+    def update_factor(self, endpoint: Endpoint, now: int) -> float:
+        """Set and return the share of its capacity that an endpoint is guaranteed to have reached."""
+        initial = self._settings.initial_capacity
+        age_ns = max(0, now - endpoint.listing.started_ns)
+        endpoint.slow_start_factor = initial + (1 - initial) * age_ns / self._settings.warmup_ns
+        return endpoint.slow_start_factor
+
+    def cap_weights(
+        self, candidates: list[Endpoint], weights: list[float], now: int, expected_latency_ns: float = 1.0
+    ) -> float:
+        """Cap the weights of the candidates that are warming up, in place; warm ones get the excess.
+
+        Returns:
+            The weight of sending to none, where all are warming up.
+        """
+        planned = sum(weights) * PLANNED_ALLOWANCE_SHARE * self._settings.overload_multiple
+        total_weight = sum(e.weight for e in candidates) or 1.0
+        completed = min(1.0, self._completed_work.read(now) / (self._offered_work.read(now) or 1.0))
+        cap_per_weight = planned * completed / total_weight
+        caps = [_cap(endpoint, cap_per_weight, now, expected_latency_ns) for endpoint in candidates]
+        return _apply_caps(weights, caps)
+
+
+def _cap(endpoint: Endpoint, cap_per_weight: float, now: int, expected_latency_ns: float) -> float | None:
+    """Return the cap on an endpoint's weight; None: it is warm."""
+    limiter = endpoint.warmup_limiter
+    if now >= endpoint.warm_at or not limiter:
+        return None
+    if not limiter.allows(now, expected_latency_ns):
+        return 0.0
+    return cap_per_weight * endpoint.weight * endpoint.slow_start_factor
+
+
+def _apply_caps(weights: list[float], caps: list[float | None]) -> float:
+    """Cut each weight to its cap (None: it is warm), in place; return the excess that no warm one takes."""
+    excess = 0.0
+    warm = [index for index, cap in enumerate(caps) if cap is None]
+    for index, cap in enumerate(caps):
+        if cap is not None and (over := weights[index] - cap) > 0:
+            excess += over
+            weights[index] -= over
+    scale = 1 + excess / (sum(weights[index] for index in warm) or 1.0)
+    for index in warm:
+        weights[index] *= scale
+    return 0.0 if warm else excess
--- /dev/null
+++ b/anisespool/balancer/selection/weights.py
@@ -0,0 +1,86 @@
+"""Which eligible endpoint gets the attempt? A random choice, weighted by load, slowdown and cost.
+
+w_i = (L_i + 1) * x_i for each eligible endpoint i, with L_i its effective load (estimates/load.py) and x_i
+its slowdown (estimates/slowdown.py); its weight is 1 / w_i (docs/design.md).
+"""
+
+from random import Random
+from typing import NamedTuple
+
+from anisespool.balancer import interface as api
+from anisespool.balancer.endpoint import Endpoint
+from anisespool.balancer.estimates.estimates import Estimates
+from anisespool.balancer.request import PendingRequest
+from anisespool.balancer.selection.key_affinity import affine_endpoint, affinity_factor
+from anisespool.balancer.selection.slow_start import SlowStart
+
+CROSS_ZONE_COST_OBJECTIVES = 20.0  # a cost of one request's value counts like so long a wait
+HANDSHAKE_COST_OBJECTIVES = 100.0  # more: endpoints with open connections have answered well before
+MIN_DIVISOR_LATENCIES = 1e-9
+
+
+class Weights(NamedTuple):
+    """Weights of a random choice."""
+
+    by_candidate: list[float]
+    no_send: float
+    """Of sending to none of the candidates now."""
+
+
+class EndpointSelector:
+    """Chooses the endpoint of an attempt."""
+
+    def __init__(self, settings: api.Settings, estimates: Estimates, random: Random) -> None:
+        self._settings = settings
+        self._estimates = estimates
+        self._random = random
+        self.slow_start = SlowStart(settings)
+
+    def choose(
+        self, request: PendingRequest, candidates: list[Endpoint], expected_latency_ns: float, now: int
+    ) -> Endpoint | None:
+        """Return one of the candidates, at random by their weights; None: none may be sent to now.
+
+        Args:
+            request: To be sent.
+            candidates: Eligible endpoints, at least one.
+            expected_latency_ns: Typical latency of the request.
+            now: Monotonic ns.
+        """
+        weights = self.weights(request, candidates, expected_latency_ns, now)
+        return self._random.choices([*candidates, None], [*weights.by_candidate, weights.no_send])[0]
+
+    def weights(
+        self, request: PendingRequest, candidates: list[Endpoint], expected_latency_ns: float, now: int
+    ) -> Weights:
+        """Return the candidates' weights, lowered by the costs that the settings name."""
+        settings = self._settings
+        loads = self._estimates.loads
+        slowdowns = self._estimates.slowdowns
+        class_index = request.event.class_index
+        # Costs are given in the value of a request; in latencies they weigh less where latencies are longer.
+        target_ns = request.request_class.target_ns
+        recent_ns = expected_latency_ns * slowdowns.fleet_slowdown()
+        cross_zone = 1 + settings.cross_zone_cost * CROSS_ZONE_COST_OBJECTIVES * target_ns / recent_ns
+        handshake = 1 + settings.handshake_cost * HANDSHAKE_COST_OBJECTIVES * target_ns / recent_ns
+        affine = affine_endpoint(settings, request.event.key, candidates)
+        affinity = affinity_factor(len(candidates))
+        weights = []
+        some_warming_up = False
+        for endpoint in candidates:
+            slowdown = slowdowns.slowdown(endpoint, now, class_index)
+            divisor = (loads.effective_load(endpoint, now) + 1) * slowdown
+            if now < endpoint.warm_at:
+                divisor /= self.slow_start.update_factor(endpoint, now)
+                some_warming_up = True
+            elif not endpoint.idle_connections:
+                # Not for one that just started: it has no connection, and would never get one.
+                divisor *= handshake
+            if endpoint.zone != settings.zone:
+                divisor *= cross_zone
+            weights.append(
+                1 / max(divisor / affinity if endpoint is affine else divisor, MIN_DIVISOR_LATENCIES)
+            )
+        if not some_warming_up:
+            return Weights(weights, 0.0)
+        return Weights(weights, self.slow_start.cap_weights(candidates, weights, now, expected_latency_ns))
--- /dev/null
+++ b/anisespool/balancer/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' simulator: its wire, and a process that hosts decision modules on it."""
--- a/anisespool/balancer/simulator_host.py
+++ b/anisespool/balancer/simulator/host.py
@@ -7,8 +7,8 @@
 from typing import BinaryIO
 
 from anisespool.balancer import interface as api
-from anisespool.balancer import simulator_protocol
 from anisespool.balancer.balancer import Balancer
+from anisespool.balancer.simulator import protocol
 
 
 class Host:
@@ -25,45 +25,43 @@
             ProtocolError: the bytes are not a legal frame.
         """
         reply: list[tuple[int, api.Action]] = []
-        for instance, event in simulator_protocol.decode_batch(count, body):
-            if isinstance(event, simulator_protocol.EndpointListSheet):
+        for instance, event in protocol.decode_batch(count, body):
+            if isinstance(event, protocol.EndpointListSheet):
                 self._sheets[event.number] = event.entries
                 continue
             try:
                 reply.extend((instance, action) for action in self._handle_event(now_ns, instance, event))
-            except simulator_protocol.ProtocolError:
+            except protocol.ProtocolError:
                 raise
             except Exception as error:  # the wire has an action for a decision module that fails
                 self._balancers.pop(instance, None)
                 reply.append((instance, api.Fault(f"{type(error).__name__}: {error}")))
         return reply
 
-    def _handle_event(
-        self, now_ns: int, instance: int, event: simulator_protocol.WireEvent
-    ) -> list[api.Action]:
-        if isinstance(event, simulator_protocol.Boot):
+    def _handle_event(self, now_ns: int, instance: int, event: protocol.WireEvent) -> list[api.Action]:
+        if isinstance(event, protocol.Boot):
             self._balancers.pop(instance, None)
             settings = api.Settings.from_dict(_parse(event.params))
             self._balancers[instance] = Balancer(settings, event.seed)
             return []
-        if isinstance(event, simulator_protocol.Stop):
+        if isinstance(event, protocol.Stop):
             self._balancers.pop(instance, None)
             return []
         balancer = self._balancers.get(instance)
-        if balancer is None or isinstance(event, simulator_protocol.EndpointListSheet):
+        if balancer is None or isinstance(event, protocol.EndpointListSheet):
             return []
-        if isinstance(event, simulator_protocol.EndpointListReference):
+        if isinstance(event, protocol.EndpointListReference):
             event = self._resolve(event)
         elif isinstance(event, api.RequestArrived) and event.class_index >= len(balancer.settings.classes):
             raise api.SettingsError(f"request class {event.class_index} is not in the settings")
         return balancer.handle(now_ns, event)
 
-    def _resolve(self, ref: simulator_protocol.EndpointListReference) -> api.EndpointListUpdate:
+    def _resolve(self, ref: protocol.EndpointListReference) -> api.EndpointListUpdate:
         form = api.EndpointListKind(ref.form)
         if form is api.EndpointListKind.FAILED:
             return api.EndpointListUpdate(ref.version, form)
         if ref.sheet not in self._sheets:
-            raise simulator_protocol.ProtocolError(f"list {ref.sheet} was never sent")
+            raise protocol.ProtocolError(f"list {ref.sheet} was never sent")
         return api.EndpointListUpdate(ref.version, form, self._sheets[ref.sheet])
 
 
@@ -80,7 +78,7 @@
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) < size:
-        raise simulator_protocol.ProtocolError(f"input ended inside a frame ({len(data)} of {size} bytes)")
+        raise protocol.ProtocolError(f"input ended inside a frame ({len(data)} of {size} bytes)")
     return data
 
 
@@ -88,12 +86,12 @@
     """Answer batches until the input ends between two of them."""
     host = Host()
     while first := source.read(1):
-        header = first + _read_exactly(source, simulator_protocol.BATCH_HEADER.size - 1)
-        count, size, now_ns = simulator_protocol.BATCH_HEADER.unpack(header)
-        if size < simulator_protocol.CLOCK_BYTES:
-            raise simulator_protocol.ProtocolError(f"batch length {size} leaves no room for the clock")
-        body = _read_exactly(source, size - simulator_protocol.CLOCK_BYTES)
-        sink.write(simulator_protocol.encode_reply(host.handle_batch(now_ns, count, body)))
+        header = first + _read_exactly(source, protocol.BATCH_HEADER.size - 1)
+        count, size, now_ns = protocol.BATCH_HEADER.unpack(header)
+        if size < protocol.CLOCK_BYTES:
+            raise protocol.ProtocolError(f"batch length {size} leaves no room for the clock")
+        body = _read_exactly(source, size - protocol.CLOCK_BYTES)
+        sink.write(protocol.encode_reply(host.handle_batch(now_ns, count, body)))
         sink.flush()
 
 
@@ -101,8 +99,8 @@
     """Serve until the input ends; the exit status, 2 after a broken frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except simulator_protocol.ProtocolError as error:
-        print(f"anisespool.balancer.simulator_host: {error}", file=sys.stderr)
+    except protocol.ProtocolError as error:
+        print(f"anisespool.balancer.simulator.host: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/anisespool/balancer/simulator_protocol.py
+++ b/anisespool/balancer/simulator/protocol.py
@@ -220,7 +220,7 @@
             _byte(_STEPS * log2(s.queue + 1)),
             _byte(s.age_ns / _AGE_NS),
         )
-        for s in observations[: api.MAX_OBSERVATIONS]
+        for s in observations[: api.MAX_OBSERVED_ENDPOINTS]
     ]
     return bytes((_byte(255 * queueing_ratio),)) + b"".join(rows)
 
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -9,6 +9,7 @@
 from typing import Any, NamedTuple
 
 from anisespool.balancer import Settings
+from anisespool.balancer.interface import DiscoveryMode
 from anisespool.codec import http1
 from anisespool.codec.json_stream import JsonStreamError, JsonStreamParser
 from anisespool.config.platform import Address, EndpointList, NameIndex
@@ -53,7 +54,7 @@
     With `push` an agent on this machine answers at once and at no cost, and what it holds counts as delivered
     whether or not a watch is open, so an agent that was away is found again within the drain grace.
     """
-    if settings.discovery_mode != "push":
+    if settings.discovery_mode is DiscoveryMode.POLL:
         return POLL_TIMING
     retry_s = max(MIN_TIMEOUT_S, DRAIN_GRACE_FRACTION * settings.drain_grace_ns / 1e9)
     return WatchTiming(retry_s, PUSH_RESPONSE_TIMEOUT_S, retry_s)
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -1,6 +1,7 @@
 """Checks a decision module by the four rules and by the order of requests with a key.
 
-It shares no logic with the module: it follows events and actions, and judges from these alone.
+It shares no logic with the module: it follows events and actions, and judges from these alone. What it says
+of idempotency is its own copy of the rule on purpose (the module's: balancer/retry/idempotency.py).
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.interface import AttemptStatus, EndpointState, Idempotency, Settings
+from anisespool.balancer.interface import AttemptStatus, DedupScope, EndpointState, Idempotency, Settings
 
 # Written out here, not taken from the module that is checked.
 NOT_EXECUTED = {AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT}
@@ -207,9 +208,9 @@
         must(now <= risky[0].sent + ledger.cls.dedup_window_ns, "rule 2: past the dedup window")
         here = self._last_listings[endpoint]
         first = self._last_listings[risky[0].endpoint]
-        if ledger.cls.dedup_scope == "zone":
+        if ledger.cls.dedup_scope is DedupScope.ZONE:
             must(here.zone == first.zone, "rule 2: outside the zone that drops repeats")
-        elif ledger.cls.dedup_scope == "cell":
+        elif ledger.cls.dedup_scope is DedupScope.CELL:
             must(here.cell == first.cell, "rule 2: outside the cell that drops repeats")
 
     def _check_order(self, now: int, request: int, ledger: Ledger) -> None:
@@ -225,7 +226,8 @@
         not_executed = all(copy.unrun for copy in ledger.copies)
         if not_executed or ledger.cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        by_key_all = ledger.cls.idempotency is Idempotency.WITH_KEY and ledger.cls.dedup_scope == "all"
+        is_keyed = ledger.cls.idempotency is Idempotency.WITH_KEY
+        by_key_all = is_keyed and ledger.cls.dedup_scope is DedupScope.ALL
         must(by_key_all, "rule 2: a refusal of what may have run")
 
     def _final(self, now: int, request: int) -> Ledger:
--- a/anisespool/proxy/exchange.py
+++ b/anisespool/proxy/exchange.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from anisespool.balancer.interface import Idempotency, RequestClass
+from anisespool.balancer.interface import RequestClass
+from anisespool.balancer.retry.idempotency import may_client_retry
 from anisespool.proxy.call import Call, FinalResponse
 from anisespool.upstream.attempt import Attempt
 
@@ -65,9 +66,7 @@
         503 allows the client a retry, so it is sent only where a retry is sure to be harmless (the balancer's
         rule as well); 504 promises nothing.
         """
-        idempotent = request_class.idempotency is Idempotency.IDEMPOTENT or (
-            request_class.idempotency is Idempotency.WITH_KEY and request_class.dedup_scope == "all"
-        )
-        if idempotent or not any(attempt.may_have_executed for attempt in self.attempts):
+        may_have_executed = any(attempt.may_have_executed for attempt in self.attempts)
+        if may_client_retry(request_class, may_have_executed):
             return FinalResponse(503, b"no decision in time\n")
         return FinalResponse(504, b"no answer in time\n")
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -8,7 +8,7 @@
 from contextlib import contextmanager, suppress
 from typing import TYPE_CHECKING
 
-from anisespool.balancer.interface import EndpointListKind
+from anisespool.balancer.interface import DiscoveryMode, EndpointListKind
 from anisespool.config.platform import Address, ConfigError, PlatformConfig, PlatformConfigError
 from anisespool.config.platform_loader import read_discovery_address
 from anisespool.discovery.watch import EndpointWatch, watch_timing
@@ -139,7 +139,7 @@
     list may be older than that. The wait ends with the drain's grace period: without an agent the initial
     list has to serve.
     """
-    if config.settings.discovery_mode == "push":
+    if config.settings.discovery_mode is DiscoveryMode.PUSH:
         with suppress(TimeoutError):
             await asyncio.wait_for(watch.first_attempt_done.wait(), config.settings.drain_grace_ns / 1e9)
 
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -1,22 +1,31 @@
-"""Admission alone: answers, latencies and looks are passed in by hand."""
+"""Admission alone: answers, latencies and snapshots are passed in by hand."""
 
 from __future__ import annotations
 
 from random import Random
 
-from anisespool.balancer.admission import Admission, Verdict
-from anisespool.balancer.capacity import FleetCapacity, Look, OpenRequests, summarize_open_requests
+from anisespool.balancer.admission.controller import AdmissionController, AdmissionRequest, Verdict
+from anisespool.balancer.admission.fleet_capacity import FleetCapacity
+from anisespool.balancer.admission.load_snapshot import (
+    LoadSnapshot,
+    OpenRequests,
+    RequestTimes,
+    summarize_open_requests,
+)
+from anisespool.balancer.admission.service_rate import QueueingSample
 from tests.support import MS, SECOND, settings
 
 OBJECTIVE = 700 * MS  # of all classes in tests/support.py
 NOTHING_OPEN = OpenRequests(0, 0.0, 0)
 
 
-def new_admission(fleet_size: int = 1, **changes: object) -> Admission:
-    return Admission(settings(fleet_size=fleet_size, **changes), Random(7))
+def new_admission(fleet_size: int = 1, **changes: object) -> AdmissionController:
+    return AdmissionController(settings(fleet_size=fleet_size, **changes), Random(7))
 
 
-def answers(admission: Admission, now: int, count: int, gap: int, took: int, open_requests: int = 0) -> int:
+def answers(
+    admission: AdmissionController, now: int, count: int, gap: int, took: int, open_requests: int = 0
+) -> int:
     """Record `count` answers, one every `gap`, of latency `took`; returns the time after the last."""
     for _ in range(count):
         now += gap
@@ -28,7 +37,7 @@
 
 
 def capacity(
-    admission: Admission,
+    admission: AdmissionController,
     now: int,
     fleet: FleetCapacity,
     mine: OpenRequests = NOTHING_OPEN,
@@ -37,14 +46,15 @@
 ) -> int:
     """How many may be open at most."""
     for count in range(1, 5000):
-        admission.looked_at = -OBJECTIVE  # due for another look
-        verdict = admission.decide(now, 60 * SECOND, left_ns, excess, count, lambda: Look(fleet, mine))
-        if verdict.reject:
+        admission.snapshots.taken_at = -OBJECTIVE  # due for another snapshot
+        request = AdmissionRequest(60 * SECOND, left_ns, excess, count)
+        verdict = admission.decide(now, request, lambda: LoadSnapshot(fleet, mine))
+        if verdict.is_shed:
             return count - 1
     return 5000
 
 
-IDLE = FleetCapacity(concurrency=10.0, queued=0.0)
+IDLE = FleetCapacity(concurrency=10.0, queued_by_others=0.0)
 
 
 def test_an_idle_fleet_gives_capacity_though_little_was_offered() -> None:
@@ -142,22 +152,25 @@
         now = answers(admission, SECOND, 50, 100 * MS, 20 * MS)
         capacity(admission, now, IDLE)
         for step in range(60):
-            admission.record_wait(now + step * MS, 0.45, 0.3, OBJECTIVE, open_before)  # 315 ms
+            sample = QueueingSample(0.45, 0.3, OBJECTIVE, open_before)
+            admission.record_latency(now + step * MS, sample)  # 315 ms
         assert capacity(admission, now + 60 * MS, IDLE) > 150 if admission is own else True
-    assert own.unexplained < 0.2 < others.unexplained
+    assert own.service_rate.external_queueing_ratio < 0.2 < others.service_rate.external_queueing_ratio
     assert capacity(others, now + 60 * MS, IDLE) < capacity(own, now + 60 * MS, IDLE)
 
 
-def test_the_pace_follows_a_fleet_that_slows_down_and_recovers() -> None:
+def test_the_service_rate_follows_a_fleet_that_slows_down_and_recovers() -> None:
     admission = new_admission()
     now = answers(admission, SECOND, 50, 100 * MS, 20 * MS)
     capacity(admission, now, IDLE)
     for step in range(60):
-        admission.record_wait(now + step * MS, 1.0, 0.3, OBJECTIVE, 100)  # 700 ms in place of 220
-    assert admission.pace < 0.5
+        admission.record_latency(
+            now + step * MS, QueueingSample(1.0, 0.3, OBJECTIVE, 100)
+        )  # 700 ms in place of 220
+    assert admission.service_rate.service_rate_ratio < 0.5
     for step in range(60):
-        admission.record_wait(now + step * 10 * MS, 0.05, 0.3, OBJECTIVE, 1)
-    assert admission.pace > 0.9
+        admission.record_latency(now + step * 10 * MS, QueueingSample(0.05, 0.3, OBJECTIVE, 1))
+    assert admission.service_rate.service_rate_ratio > 0.9
 
 
 def test_late_answers_are_no_capacity() -> None:
@@ -165,18 +178,20 @@
     now = SECOND
     for _ in range(500):
         now += 2 * MS
-        admission.record_answer(now, 0, 900 * MS, False)
+        admission.record_answer(now, 0, 900 * MS, False, open_now=0, open_before=0)
     assert not admission.peak.rate.value
-    assert not admission.answer_rate.read(now)
+    assert not admission.offered.answer_rate.read(now)
 
 
-def rejected(admission: Admission, now: int, count: int = 400) -> list[Verdict]:
+def rejected(admission: AdmissionController, now: int, count: int = 400) -> list[Verdict]:
     full = OpenRequests(0, 0.0, now + SECOND)
     verdicts = [
-        admission.decide(now, 60 * SECOND, OBJECTIVE, False, 3000, lambda: Look(IDLE, full))
+        admission.decide(
+            now, AdmissionRequest(60 * SECOND, OBJECTIVE, False, 3000), lambda: LoadSnapshot(IDLE, full)
+        )
         for _ in range(count)
     ]
-    return [v for v in verdicts if v.reject]
+    return [v for v in verdicts if v.is_shed]
 
 
 def test_retry_after_is_spread_and_bounded() -> None:
@@ -196,19 +211,21 @@
 
 def test_open_requests_are_walked_seldom() -> None:
     """A walk over the open requests for each request of a burst is quadratic."""
-    admission, looks = new_admission(), 0
+    admission, snapshots = new_admission(), 0
     now = answers(admission, SECOND, 50, 100 * MS, 20 * MS)
 
-    def look() -> Look:
-        nonlocal looks
-        looks += 1
-        return Look(IDLE, OpenRequests(0, 0.0, now))  # one always just misses its objective
+    def take_snapshot() -> LoadSnapshot:
+        nonlocal snapshots
+        snapshots += 1
+        return LoadSnapshot(IDLE, OpenRequests(0, 0.0, now))  # one always just misses its objective
 
     for count in range(10_000):  # within one objective
-        admission.decide(now + count * 70_000, 60 * SECOND, OBJECTIVE, False, 100 + count, look)
-    assert looks <= 1024
+        request = AdmissionRequest(60 * SECOND, OBJECTIVE, False, 100 + count)
+        admission.decide(now + count * 70_000, request, take_snapshot)
+    assert snapshots <= 1024
 
 
 def test_open_requests_are_summarized() -> None:
     assert summarize_open_requests(100, []) == OpenRequests(0, 0.0, 100)
-    assert summarize_open_requests(100, [(0, 50), (80, 200), (60, 300)]) == OpenRequests(1, 30.0, 200)
+    times = [RequestTimes(0, 50), RequestTimes(80, 200), RequestTimes(60, 300)]
+    assert summarize_open_requests(100, times) == OpenRequests(1, 30.0, 200)
--- a/tests/balancer/test_estimates.py
+++ b/tests/balancer/test_estimates.py
@@ -105,11 +105,11 @@
     sidecar = Sidecar([listed(1)])
     sidecar.serve(30)
     sidecar.request(cls=2)
-    usual = sidecar.balancer.estimates.class_latency_ns[2]
+    usual = sidecar.balancer.estimates.class_latencies.typical_latency_ns[2]
     sidecar.balancer.now += int(8 * usual)
-    assert sidecar.balancer.estimates.slowdown(sidecar.endpoint(1), sidecar.balancer.now) == pytest.approx(
-        8, rel=0.01
-    )
+    assert sidecar.balancer.estimates.slowdowns.slowdown(
+        sidecar.endpoint(1), sidecar.balancer.now
+    ) == pytest.approx(8, rel=0.01)
 
 
 def test_an_endpoint_without_samples_takes_its_machine_groups_mean() -> None:
@@ -124,5 +124,5 @@
             sidecar.outcome(send, latency_ns=took)
     sidecar.update_endpoints([listed(98, machine_type=0), listed(99, machine_type=1)])
     fresh_fast, fresh_slow = sidecar.endpoint(98), sidecar.endpoint(99)
-    slowdown = sidecar.balancer.estimates.slowdown
+    slowdown = sidecar.balancer.estimates.slowdowns.slowdown
     assert slowdown(fresh_slow, sidecar.now) > 1.5 * slowdown(fresh_fast, sidecar.now)
--- a/tests/balancer/test_fleet.py
+++ b/tests/balancer/test_fleet.py
@@ -4,7 +4,7 @@
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import EndpointState
-from anisespool.balancer.subsetting import MIN_SUBSET_SIZE
+from anisespool.balancer.selection.subsetting import MIN_SUBSET_ENDPOINTS
 from tests.support import (
     MS,
     SECOND,
@@ -31,9 +31,10 @@
         priced = Sidecar(listings, seed=seed, zone=2, prices__cross_zone=0.12).balancer
         subset = priced.endpoints.subset(priced.request_rate.read(priced.now))
         first = [
-            e.zone for e in priced.retries.eligible(pending_request(Sidecar(listings)), subset, priced.now)
+            e.zone
+            for e in priced.eligibility.eligible(pending_request(Sidecar(listings)), subset, priced.now)
         ]
-        assert len(first) == MIN_SUBSET_SIZE, (seed, first)
+        assert len(first) == MIN_SUBSET_ENDPOINTS, (seed, first)
         assert 5 <= first.count(2) <= 6, (seed, first)
         assert sorted(e.id for e in priced.endpoints.ready) == list(range(200))  # all others behind them
         assert [e.rank for e in Sidecar(listings, seed=seed).balancer.endpoints.ready] == sorted(
--- a/tests/balancer/test_hostile_events.py
+++ b/tests/balancer/test_hostile_events.py
@@ -72,9 +72,9 @@
         endpoint.reported_at = sidecar.now
         endpoint.slowdown = 1.0
         endpoint.slowdown_at = sidecar.now
-    sidecar.balancer.estimates.mean_queue = 20.0
+    sidecar.balancer.estimates.loads.mean_queue = 20.0
     idle, busy = sidecar.balancer.endpoints.by_id.values()
-    load = sidecar.balancer.estimates.effective_load
+    load = sidecar.balancer.estimates.loads.effective_load
     assert load(busy, sidecar.now) > 39 > 1 > load(idle, sidecar.now)
     later = sidecar.now + 20 * SECOND
     assert load(busy, later) / load(idle, later) < 1.2
--- a/tests/balancer/test_simulator_protocol.py
+++ b/tests/balancer/test_simulator_protocol.py
@@ -12,8 +12,8 @@
 import pytest
 
 from anisespool.balancer import interface as api
-from anisespool.balancer import simulator_protocol
-from anisespool.balancer.simulator_host import Host
+from anisespool.balancer.simulator import protocol
+from anisespool.balancer.simulator.host import Host
 from tests.support import MS, SECOND, listed, raw_settings
 
 ROOT = Path(__file__).parent.parent.parent
@@ -56,9 +56,9 @@
         struct.pack("<HI", 1090, 4),
         boot(4, {}, seed=9),
     ]
-    assert simulator_protocol.decode_batch(len(records), b"".join(records)) == [
-        (-1, simulator_protocol.EndpointListSheet(2, (api.EndpointListing(11, 1.5, 3, 1, 2, 1, 77),))),
-        (4, simulator_protocol.EndpointListReference(3, 1, 2)),
+    assert protocol.decode_batch(len(records), b"".join(records)) == [
+        (-1, protocol.EndpointListSheet(2, (api.EndpointListing(11, 1.5, 3, 1, 2, 1, 77),))),
+        (4, protocol.EndpointListReference(3, 1, 2)),
         (4, api.RequestArrived(1 << 51, 0, SECOND, 30 * MS, 99, 1, False, True)),
         (4, api.FirstByteReceived(8, 11, 60, 1)),
         (4, api.AttemptOutcome(8, 11, 1, 60, api.AttemptStatus.TIMEOUT, False, (0.5, 8.0))),
@@ -66,8 +66,8 @@
         (4, api.TimerExpired(21)),
         (4, api.HealthCheckResult(11, api.AttemptStatus.OK, 60, (2.0,))),
         (4, api.GossipReceived(2)),  # a payload of no known form holds nothing
-        (4, simulator_protocol.Stop()),
-        (4, simulator_protocol.Boot(9, b"{}")),
+        (4, protocol.Stop()),
+        (4, protocol.Boot(9, b"{}")),
     ]
 
 
@@ -93,8 +93,8 @@
     ],
 )
 def test_encodes_every_action(action: api.Action, expected: bytes) -> None:
-    assert simulator_protocol.encode_action(4, action) == expected
-    assert simulator_protocol.encode_reply([(4, action)]) == struct.pack("<II", 1, len(expected)) + expected
+    assert protocol.encode_action(4, action) == expected
+    assert protocol.encode_reply([(4, action)]) == struct.pack("<II", 1, len(expected)) + expected
 
 
 @pytest.mark.parametrize(
@@ -110,8 +110,8 @@
     ],
 )
 def test_malformed_frames_are_named(count: int, body: bytes, text: str) -> None:
-    with pytest.raises(simulator_protocol.ProtocolError, match=text):
-        simulator_protocol.decode_batch(count, body)
+    with pytest.raises(protocol.ProtocolError, match=text):
+        protocol.decode_batch(count, body)
 
 
 def test_a_list_number_means_the_latest_list_so_far() -> None:
@@ -225,13 +225,13 @@
     observations = tuple(
         api.EndpointObservation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50)
     )
-    record = simulator_protocol.encode_action(4, api.SendGossip(7, 0.4, observations))
+    record = protocol.encode_action(4, api.SendGossip(7, 0.4, observations))
     data = record[struct.calcsize("<HIIH") :]
     assert len(data) <= 256
     body = struct.pack("<HIHH", 1080, 4, 9, len(data)) + data
-    [(instance, message)] = simulator_protocol.decode_batch(1, body)
+    [(instance, message)] = protocol.decode_batch(1, body)
     assert isinstance(message, api.GossipReceived)
-    assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVATIONS)
+    assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVED_ENDPOINTS)
     assert message.queueing_ratio == pytest.approx(0.4, abs=0.003)
     for was, now in zip(observations, message.observations, strict=False):
         assert now.endpoint == was.endpoint
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.slow_start import WarmupLimiter
+from anisespool.balancer.selection.warmup_limiter import WarmupLimiter
 from tests.support import (
     MS,
     SECOND,
@@ -76,7 +76,7 @@
         sidecar.endpoint(4).slow_start_factor = 0.25
         weights = [1.0, 1.0, 1.0, 9.0]
         endpoints = list(sidecar.balancer.endpoints.by_id.values())
-        sidecar.balancer.picker.cap_warming(endpoints, weights, sidecar.balancer.now)
+        sidecar.balancer.selector.slow_start.cap_weights(endpoints, weights, sidecar.balancer.now)
         assert sum(weights) == pytest.approx(12.0)
         shares.append(weights[3] / 12)
     assert shares[1] < 0.75 * shares[0]
@@ -91,7 +91,7 @@
     for endpoint in endpoints:
         endpoint.slow_start_factor = 0.25
     weights = [1.0, 1.0, 1.0, 1.0]
-    nowhere = sidecar.balancer.picker.cap_warming(endpoints, weights, sidecar.balancer.now)
+    nowhere = sidecar.balancer.selector.slow_start.cap_weights(endpoints, weights, sidecar.balancer.now)
     assert nowhere + sum(weights) == pytest.approx(4.0)
     assert nowhere >= 0
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,8 +9,9 @@
 
 from tests.harness.async_runner import run_async_test
 
-# GNU readline, which pytest loads, exports a terminal size (80 x 24 without a terminal) to the worker processes
-# that pytest-xdist starts. A rich console made at import would keep it, whatever a test sets COLUMNS to.
+# GNU readline, which pytest loads, exports a terminal size (80 x 24 without a terminal) to the worker
+# processes that pytest-xdist starts. A rich console made at import would keep it, whatever a test sets
+# COLUMNS to.
 for name in ("COLUMNS", "LINES"):
     os.environ.pop(name, None)
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -7,8 +7,10 @@
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.balancer import Balancer
+from anisespool.balancer.deadlines import Deadlines
+from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.interface import Settings
-from anisespool.balancer.state import Endpoint, PendingRequest
+from anisespool.balancer.request import PendingRequest
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -160,7 +162,9 @@
 def pending_request(sidecar: Sidecar) -> PendingRequest:
     """A request of the first class that has arrived at `sidecar` now."""
     event = api.RequestArrived(10**6, 0, 2 * SECOND)
-    return PendingRequest(event, sidecar.balancer.settings.classes[0], sidecar.now, 0, 0)
+    request_class = sidecar.balancer.settings.classes[0]
+    deadlines = Deadlines.of(event, request_class, 0, sidecar.now)
+    return PendingRequest(event, request_class, deadlines, sidecar.now, 0)
 
 
 def share(chosen: list[int], endpoint: int) -> float:
