--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -21,7 +21,7 @@
 
 
 class AdmissionRequest(NamedTuple):
-    """What admission has to know of a new request."""
+    """A new request, as admission weighs it."""
 
     since_first_list_ns: int
     """Time since this sidecar had its first endpoint list: what it could observe."""
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -1,7 +1,8 @@
 """Event handlers of the decision module. Its events and actions: anisespool/balancer/interface.py.
 
-A request is admitted or shed, waits for its turn where its key is ordered, and is sent to an endpoint chosen
-by weight; it has one attempt at a time. Each rule has a module of its own; docs/decisions.md lists them.
+A request is admitted or shed, waits for its turn where its key is ordered, and is sent to an endpoint by a
+weighted random choice; it has one attempt at a time. Each rule has a module of its own; docs/decisions.md
+lists them.
 """
 
 from __future__ import annotations
--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -30,7 +30,7 @@
 
         Args:
             event: Its arrival, with the time that its client leaves and its work hint.
-            request_class: Objective, stretch of the objective by the hint, value of late answers.
+            request_class: Objective, stretch of the objective by the hint, value of an answer past it.
             waited_ns: Time that the client spent on earlier attempts (retry/client_retries.py).
             now: Monotonic ns.
         """
--- a/anisespool/balancer/endpoint.py
+++ b/anisespool/balancer/endpoint.py
@@ -25,7 +25,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt in flight, as its endpoint knows it."""
+    """An attempt in flight, as its endpoint's state has it."""
 
     sent_at: int
     expected_latency_ns: float
--- a/anisespool/balancer/estimates/slowdown.py
+++ b/anisespool/balancer/estimates/slowdown.py
@@ -7,8 +7,8 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.endpoint import ClassSlowdown, Endpoint, MachineGroup
 
-SUCCESS_SMOOTHING_FACTOR = 0.3  # the paper finds one sample enough, so a short memory
-FAILURE_SMOOTHING_FACTOR = 0.6  # failures are rarer than answers
+SUCCESS_SMOOTHING_FACTOR = 0.3
+FAILURE_SMOOTHING_FACTOR = 0.6  # of one class; failures are rarer than answers
 GROUP_SMOOTHING_FACTOR = 0.1  # a machine group's mean moves over some 10 answers
 CLASS_HALF_LIFE_DEADLINES = 8  # longer than over all classes: answers of one class are rarer
 MAX_SLOWDOWN_RATIO = 50.0  # of one sample: a single stall must not starve an endpoint
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -16,7 +16,7 @@
 
     endpoint: int  # the driver's number
     state: int  # as listed (interface.EndpointState)
-    weight: float  # share of the next choices for the first class, 0 to 1; 0: never chosen
+    weight: float  # share of the next requests of the first class, 0 to 1
     slowdown: float  # recent response times over the typical ones
     queue: float  # requests queued there by its last load report
     in_flight: int  # attempts of this sidecar
--- a/anisespool/balancer/retry/client_retries.py
+++ b/anisespool/balancer/retry/client_retries.py
@@ -1,8 +1,8 @@
 """Is a request a client's retry, and how long has the client waited already?
 
-Clients don't tell. But a client gives each first attempt of a class the same time (the class's usual one),
-and a retry what is left of the deadline. In an overload most work would otherwise go to retries that can't be
-answered in time.
+A request does not carry it. But a client gives each first attempt of a class the same time (the class's usual
+one), and a retry what is left of the deadline. In an overload most work would otherwise go to retries that
+can't be answered in time.
 """
 
 from typing import NamedTuple
--- a/anisespool/balancer/retry/idempotency.py
+++ b/anisespool/balancer/retry/idempotency.py
@@ -20,7 +20,7 @@
 
 
 def may_client_retry(request_class: RequestClass, may_have_executed: bool) -> bool:
-    """Return whether the client may be told to send the request again (a rejection, 503).
+    """Return whether a retry by the client is harmless: its request may be rejected (503).
 
     An idempotency key counts only where every endpoint deduplicates it: the client's next attempt may reach
     any.
--- a/anisespool/balancer/selection/slow_start.py
+++ b/anisespool/balancer/selection/slow_start.py
@@ -10,7 +10,7 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.estimates.decaying_value import DecayingValue
-from anisespool.balancer.selection.warmup_limiter import PLANNED_ALLOWANCE_SHARE, WINDOW_HALF_LIVES
+from anisespool.balancer.selection.warmup_limiter import HALF_LIFE_WINDOW_PERCENT, PLANNED_ALLOWANCE_SHARE
 
 
 class SlowStart:
@@ -18,7 +18,7 @@
 
     def __init__(self, settings: api.Settings) -> None:
         self._settings = settings
-        half_life_ns = settings.overload_window_ns // WINDOW_HALF_LIVES
+        half_life_ns = settings.overload_window_ns * HALF_LIFE_WINDOW_PERCENT // 100
         self._offered_work = DecayingValue(half_life_ns)
         self._completed_work = DecayingValue(half_life_ns)
 
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -13,7 +13,7 @@
 
 PLANNED_ALLOWANCE_SHARE = 0.6  # of the allowance: traffic is uneven, estimates are rough
 INITIAL_WARMUP_REQUESTS = 1.5  # in flight to an endpoint that has answered nothing yet
-WINDOW_HALF_LIVES = 4  # half-lives in the overload window: what counts is recent
+HALF_LIFE_WINDOW_PERCENT = 25  # of the overload window
 
 
 class WarmupLimiter:
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, settings: api.Settings) -> None:
-        half_life_ns = settings.overload_window_ns // WINDOW_HALF_LIVES
+        half_life_ns = settings.overload_window_ns * HALF_LIFE_WINDOW_PERCENT // 100
         self.sent = DecayingValue(half_life_ns)
         self.answered = DecayingValue(half_life_ns)
         self.allowance = PLANNED_ALLOWANCE_SHARE * settings.overload_multiple
--- a/anisespool/balancer/selection/weights.py
+++ b/anisespool/balancer/selection/weights.py
@@ -27,6 +27,15 @@
     """Of sending to none of the candidates now."""
 
 
+class CostFactors(NamedTuple):
+    """By which w_i is multiplied."""
+
+    cross_zone: float
+    """At an endpoint of another zone."""
+    handshake: float
+    """At an endpoint without an idle connection."""
+
+
 class EndpointSelector:
     """Chooses the endpoint of an attempt."""
 
@@ -58,16 +67,13 @@
         loads = self._estimates.loads
         slowdowns = self._estimates.slowdowns
         class_index = request.event.class_index
-        # Costs are given in the value of a request; in latencies they weigh less where latencies are longer.
-        target_ns = request.request_class.target_ns
-        recent_ns = expected_latency_ns * slowdowns.fleet_slowdown()
-        cross_zone = 1 + settings.cross_zone_cost * CROSS_ZONE_COST_OBJECTIVES * target_ns / recent_ns
-        handshake = 1 + settings.handshake_cost * HANDSHAKE_COST_OBJECTIVES * target_ns / recent_ns
+        recent_latency_ns = expected_latency_ns * slowdowns.fleet_slowdown()
+        costs = self._cost_factors(request.request_class.target_ns, recent_latency_ns)
         affine = affine_endpoint(settings, request.event.key, candidates)
         affinity = affinity_factor(len(candidates))
         weights = []
         some_warming_up = False
-        for endpoint in candidates:
+        for endpoint in candidates:  # inline: this runs for each candidate of each attempt
             slowdown = slowdowns.slowdown(endpoint, now, class_index)
             divisor = (loads.effective_load(endpoint, now) + 1) * slowdown
             if now < endpoint.warm_at:
@@ -75,12 +81,19 @@
                 some_warming_up = True
             elif not endpoint.idle_connections:
                 # Not for one that just started: it has no connection, and would never get one.
-                divisor *= handshake
+                divisor *= costs.handshake
             if endpoint.zone != settings.zone:
-                divisor *= cross_zone
-            weights.append(
-                1 / max(divisor / affinity if endpoint is affine else divisor, MIN_DIVISOR_LATENCIES)
-            )
+                divisor *= costs.cross_zone
+            if endpoint is affine:
+                divisor /= affinity
+            weights.append(1 / max(divisor, MIN_DIVISOR_LATENCIES))
         if not some_warming_up:
             return Weights(weights, 0.0)
         return Weights(weights, self.slow_start.cap_weights(candidates, weights, now, expected_latency_ns))
+
+    def _cost_factors(self, target_ns: int, recent_latency_ns: float) -> CostFactors:
+        """Return the factors of the settings' costs: the longer the latencies, the less they count."""
+        settings = self._settings
+        cross_zone = settings.cross_zone_cost * CROSS_ZONE_COST_OBJECTIVES * target_ns / recent_latency_ns
+        handshake = settings.handshake_cost * HANDSHAKE_COST_OBJECTIVES * target_ns / recent_latency_ns
+        return CostFactors(1 + cross_zone, 1 + handshake)
--- a/anisespool/balancer/simulator/protocol.py
+++ b/anisespool/balancer/simulator/protocol.py
@@ -2,6 +2,7 @@
 
 import struct
 from collections.abc import Callable
+from enum import IntEnum
 from math import log2
 from typing import NamedTuple, Union
 
@@ -26,14 +27,52 @@
 _GOSSIP_RECEIVED = struct.Struct("<IHH")
 
 _OBSERVATION = struct.Struct("<IBBB")
-_STEPS = 16  # of a gossiped figure, to a doubling
+_DOUBLING_LEVEL = 16  # a gossiped figure of so many more is twice as much
 _AGE_NS = 50_000_000  # unit of a gossiped age
 
-_HINT_VALID = 1
-_IS_RETRY = 2
-_IS_WRITE = 4
-_ALL_PEERS = 0xFFFFFFFF
-_MAX_TEXT = 1000
+_ALL_INSTANCES = 0xFFFFFFFF
+_MAX_TEXT_BYTES = 1000
+
+
+class RequestFlag(IntEnum):
+    """Bits of a request's flags."""
+
+    HINT_VALID = 1
+    IS_RETRY = 2
+    IS_WRITE = 4
+
+
+class EventCode(IntEnum):
+    """The first field of an event's record."""
+
+    BOOT = 1000
+    ENDPOINT_LIST = 1010
+    REQUEST = 1020
+    FIRST_BYTE = 1030
+    OUTCOME = 1040
+    CLIENT_DISCONNECTED = 1050
+    TIMER_EXPIRED = 1060
+    HEALTH_CHECKED = 1070
+    GOSSIP_RECEIVED = 1080
+    STOP = 1090
+    SHEET = 1100
+
+
+class ActionCode(IntEnum):
+    """The first field of an action's record."""
+
+    FAIL = 1000
+    SET_TIMER = 1010
+    FAULT = 1020
+    CANCEL = 1030
+    FETCH_ENDPOINT_LIST = 1040
+    LOG = 1050
+    CLOSE_IDLE_CONNECTIONS = 1060
+    WATCH_ENDPOINT_LIST = 1070
+    REJECT = 1080
+    SEND = 1090
+    SEND_GOSSIP = 1100
+    SEND_HEALTH_CHECK = 1110
 
 
 class ProtocolError(ValueError):
@@ -146,11 +185,11 @@
         request,
         class_index,
         remaining,
-        hint if flags & _HINT_VALID else None,
+        hint if flags & RequestFlag.HINT_VALID else None,
         key,
         tenant,
-        bool(flags & _IS_RETRY),
-        bool(flags & _IS_WRITE),
+        bool(flags & RequestFlag.IS_RETRY),
+        bool(flags & RequestFlag.IS_WRITE),
     )
     return instance, event, at + _REQUEST.size
 
@@ -190,8 +229,8 @@
     return instance, _decode_gossip(sender, data), end
 
 
-_SLOWDOWNS = tuple(2.0 ** (n / _STEPS - 4) for n in range(256))  # a byte's value: 1/16 to 3800
-_QUEUES = tuple(2.0 ** (n / _STEPS) - 1 for n in range(256))
+_SLOWDOWNS = tuple(2.0 ** (n / _DOUBLING_LEVEL - 4) for n in range(256))  # a byte's value: 1/16 to 3800
+_QUEUES = tuple(2.0 ** (n / _DOUBLING_LEVEL) - 1 for n in range(256))
 
 
 def _decode_gossip(sender: int, data: bytes) -> api.GossipReceived:
@@ -216,8 +255,8 @@
     rows = [
         _OBSERVATION.pack(
             s.endpoint,
-            _byte(_STEPS * (log2(max(s.slowdown, 1e-9)) + 4)),
-            _byte(_STEPS * log2(s.queue + 1)),
+            _byte(_DOUBLING_LEVEL * (log2(max(s.slowdown, 1e-9)) + 4)),
+            _byte(_DOUBLING_LEVEL * log2(s.queue + 1)),
             _byte(s.age_ns / _AGE_NS),
         )
         for s in observations[: api.MAX_OBSERVED_ENDPOINTS]
@@ -226,17 +265,17 @@
 
 
 _READERS: dict[int, Callable[[bytes, int], _Record]] = {
-    1000: _read_boot,
-    1010: _read_endpoint_list,
-    1020: _read_request,
-    1030: _read_first_byte,
-    1040: _read_outcome,
-    1050: _read_client_disconnected,
-    1060: _read_timer_expired,
-    1070: _read_health_checked,
-    1080: _read_gossip,
-    1090: _read_stop,
-    1100: _read_sheet,
+    EventCode.BOOT: _read_boot,
+    EventCode.ENDPOINT_LIST: _read_endpoint_list,
+    EventCode.REQUEST: _read_request,
+    EventCode.FIRST_BYTE: _read_first_byte,
+    EventCode.OUTCOME: _read_outcome,
+    EventCode.CLIENT_DISCONNECTED: _read_client_disconnected,
+    EventCode.TIMER_EXPIRED: _read_timer_expired,
+    EventCode.HEALTH_CHECKED: _read_health_checked,
+    EventCode.GOSSIP_RECEIVED: _read_gossip,
+    EventCode.STOP: _read_stop,
+    EventCode.SHEET: _read_sheet,
 }
 
 _FAIL = struct.Struct("<HIQ")
@@ -252,7 +291,7 @@
 
 
 def _text(code: int, instance: int, text: str) -> bytes:
-    raw = text.encode()[:_MAX_TEXT].decode(errors="ignore").encode()
+    raw = text.encode()[:_MAX_TEXT_BYTES].decode(errors="ignore").encode()
     return _TEXT.pack(code, instance, len(raw)) + raw
 
 
@@ -260,31 +299,31 @@
     """One action as a reply record."""
     match action:
         case api.Send(request, endpoint, timeout):
-            return _SEND.pack(1090, instance, request, endpoint, timeout)
+            return _SEND.pack(ActionCode.SEND, instance, request, endpoint, timeout)
         case api.SetTimer(delay, token):
-            return _SET_TIMER.pack(1010, instance, delay, token)
+            return _SET_TIMER.pack(ActionCode.SET_TIMER, instance, delay, token)
         case api.Reject(request, retry_after):
-            return _REJECT.pack(1080, instance, request, retry_after)
+            return _REJECT.pack(ActionCode.REJECT, instance, request, retry_after)
         case api.Fail(request):
-            return _FAIL.pack(1000, instance, request)
+            return _FAIL.pack(ActionCode.FAIL, instance, request)
         case api.Cancel(request, attempt):
-            return _CANCEL.pack(1030, instance, request, attempt)
+            return _CANCEL.pack(ActionCode.CANCEL, instance, request, attempt)
         case api.Fault(text):
-            return _text(1020, instance, text)
+            return _text(ActionCode.FAULT, instance, text)
         case api.Log(text):
-            return _text(1050, instance, text)
+            return _text(ActionCode.LOG, instance, text)
         case api.FetchEndpointList():
-            return _FETCH.pack(1040, instance)
+            return _FETCH.pack(ActionCode.FETCH_ENDPOINT_LIST, instance)
         case api.CloseIdleConnections(endpoint):
-            return _ENDPOINT.pack(1060, instance, endpoint)
+            return _ENDPOINT.pack(ActionCode.CLOSE_IDLE_CONNECTIONS, instance, endpoint)
         case api.WatchEndpointList(active):
-            return _WATCH.pack(1070, instance, active)
+            return _WATCH.pack(ActionCode.WATCH_ENDPOINT_LIST, instance, active)
         case api.SendGossip(peer, queueing_ratio, observations):
             data = _encode_gossip(queueing_ratio, observations)
-            target = _ALL_PEERS if peer < 0 else peer
-            return _GOSSIP.pack(1100, instance, target, len(data)) + data
+            target = _ALL_INSTANCES if peer < 0 else peer
+            return _GOSSIP.pack(ActionCode.SEND_GOSSIP, instance, target, len(data)) + data
         case api.SendHealthCheck(endpoint):
-            return _ENDPOINT.pack(1110, instance, endpoint)
+            return _ENDPOINT.pack(ActionCode.SEND_HEALTH_CHECK, instance, endpoint)
 
 
 def encode_reply(actions: list[tuple[int, api.Action]]) -> bytes:
