--- a/tests/balancer/test_estimates.py
+++ b/tests/balancer/test_estimates.py
@@ -126,3 +126,20 @@
     fresh_fast, fresh_slow = sidecar.endpoint(98), sidecar.endpoint(99)
     slowdown = sidecar.balancer.estimates.slowdowns.slowdown
     assert slowdown(fresh_slow, sidecar.now) > 1.5 * slowdown(fresh_fast, sidecar.now)
+
+
+@pytest.mark.parametrize(("latency_ns", "expected"), [(90 * MS, 4.5), (300 * MS, 1.0)])
+def test_an_answer_that_did_not_queue_shows_the_concurrency(latency_ns: int, expected: float) -> None:
+    """One of eight in flight that took no longer than twice an uncontended answer was served beside them."""
+    sidecar = Sidecar([listed(1)])
+    sidecar.serve(30, latency_ns=50 * MS)
+    estimator = sidecar.balancer.estimates.concurrency
+    estimator.record_answer(sidecar.endpoint(1), 0, latency_ns, in_flight=8)
+    assert sidecar.endpoint(1).observed_concurrency == expected
+
+
+def test_a_load_report_of_a_busy_endpoint_shows_the_concurrency() -> None:
+    sidecar = Sidecar([listed(1)], report={"columns": ["queue", "inflight"], "how": "piggyback"})
+    [send] = sends(sidecar.request())
+    sidecar.outcome(send, load=(4.0, 10.0))
+    assert sidecar.endpoint(1).reported_concurrency == 6.0
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -4,6 +4,7 @@
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus, EndpointListKind, EndpointState
+from anisespool.balancer.retry.budget import MAX_RETRY_TOKENS, RetryBudget
 from tests.support import (
     MS,
     SECOND,
@@ -131,3 +132,17 @@
     for timer in timers(actions):
         sidecar.now += timer.delay_ns
         assert sidecar.handle(api.TimerExpired(timer.token)) == []
+
+
+def test_the_retry_budget_is_a_fifth_of_the_requests() -> None:
+    budget = RetryBudget()
+    retries = 0
+    for _ in range(1000):
+        budget.record_request()
+        while budget.has_token():
+            budget.consume()
+            retries += 1
+    assert 200 <= retries <= 210  # and the ten tokens that it began with
+    for _ in range(1000):
+        budget.record_request()
+    assert budget.tokens == MAX_RETRY_TOKENS
--- /dev/null
+++ b/tests/test_decisions_page.py
@@ -0,0 +1,98 @@
+"""docs/decisions.md names what exists, and has every constant of the decision module."""
+
+from __future__ import annotations
+
+import ast
+import re
+from collections.abc import Iterator
+from pathlib import Path
+from typing import NamedTuple
+
+import pytest
+
+from tests.balancer.test_module_limits import DECISION_MODULES
+from tests.test_log_lines import events_in_code
+
+ROOT = Path(__file__).parent.parent
+PAGE = (ROOT / "docs/decisions.md").read_text()
+COLUMNS = ("question", "inputs", "rule", "constants", "function", "log event", "test")
+
+
+class Rule(NamedTuple):
+    """A row of the page."""
+
+    question: str
+    inputs: str
+    rule: str
+    constants: str
+    function: str
+    log_event: str
+    test: str
+
+
+def rules() -> Iterator[Rule]:
+    """The rows of all tables."""
+    for line in PAGE.splitlines():
+        cells = [cell.strip() for cell in line.strip("|").split("|")]
+        if line.startswith("| ") and len(cells) == len(COLUMNS) and cells[0] not in ("---", COLUMNS[0]):
+            yield Rule(*cells)
+
+
+RULES = list(rules())
+
+
+def names(cell: str) -> list[str]:
+    """What a cell has in code quotes."""
+    return re.findall(r"`([^`]+)`", cell)
+
+
+def definitions(path: Path) -> set[str]:
+    """Functions, methods (`Class.method`) and classes of a module."""
+    found = set()
+    for node in ast.parse(path.read_text()).body:
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
+            found.add(node.name)
+        if isinstance(node, ast.ClassDef):
+            methods = [item for item in node.body if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef)]
+            found |= {f"{node.name}.{method.name}" for method in methods}
+    return found
+
+
+def constants(path: Path) -> set[str]:
+    """Numeric constants of a module, and fields of its `...Limits` types."""
+    found = set()
+    for node in ast.parse(path.read_text()).body:
+        if isinstance(node, ast.Assign) and isinstance(node.targets[0], ast.Name):
+            name = node.targets[0].id
+            is_text = isinstance(node.value, ast.Constant) and isinstance(node.value.value, str)
+            is_number = isinstance(node.value, ast.Constant | ast.BinOp) and not is_text
+            if is_number and name.isupper() and not name.startswith("_"):
+                found.add(name)
+        elif isinstance(node, ast.ClassDef) and node.name.endswith("Limits"):
+            fields = [item.target for item in node.body if isinstance(item, ast.AnnAssign)]
+            found |= {f"{node.name}.{field.id}" for field in fields if isinstance(field, ast.Name)}
+    return found
+
+
+def test_the_page_has_a_table_of_rules() -> None:
+    assert len(RULES) > 30
+    assert sum(line.startswith("| ---") for line in PAGE.splitlines()) == PAGE.count("| question |")
+
+
+@pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.question.partition(":")[0].strip("*"))
+def test_a_rule_names_what_exists(rule: Rule) -> None:
+    assert rule.inputs
+    assert rule.rule
+    module, function = names(rule.function)
+    assert function in definitions(ROOT / "anisespool" / module)
+    file, _, test = names(rule.test)[0].partition("::")
+    assert test in definitions(ROOT / file)
+    for event in names(rule.log_event)[:1]:
+        assert event in events_in_code()
+
+
+def test_each_constant_of_the_decision_module_has_its_rule() -> None:
+    in_code = set().union(*(constants(ROOT / f"anisespool/balancer/{name}.py") for name in DECISION_MODULES))
+    on_page = {name for rule in RULES for name in names(rule.constants)}
+    assert len(in_code) > 50
+    assert on_page == in_code
