--- a/anisespool/balancer/admission/burst_capacity.py
+++ b/anisespool/balancer/admission/burst_capacity.py
@@ -26,21 +26,17 @@
 LIMITS = BurstLimits()
 
 
-class CapacityEstimate(NamedTuple):
-    """How many requests may be open, and the figures behind it."""
+def total_capacity(offered: float, service: float, headroom: float) -> float:
+    """Return how many requests may be open.
 
-    offered: float
-    """By the rate of answers in time (offered_capacity.py)."""
-    service: float
-    """By what the fleet could serve until the objective."""
-    headroom: float
-    """Share of what service exceeds the offered capacity by that may be used: at most 1, 0 or less: none."""
-
-    def requests(self) -> float:
-        """Return the capacity."""
-        if self.headroom > 0 and self.service > self.offered:
-            return self.offered + (self.service - self.offered) * self.headroom
-        return self.offered
+    Args:
+        offered: By the rate of answers in time (offered_capacity.py).
+        service: By what the fleet could serve until the objective.
+        headroom: Share of what service exceeds the offered capacity by that may be used; 0 or less: none.
+    """
+    if headroom > 0 and service > offered:
+        return offered + (service - offered) * headroom
+    return offered
 
 
 class BurstCapacity:
@@ -89,16 +85,9 @@
         recent = self._queueing.recent_max(now)
         external = uncontended + self._service_rate.external_queueing_ratio
         queueing = max(min(recent, external), recent - LIMITS.max_own_queueing_ratio)
-        stalled = self._stall_ratio(open_requests.mean_age_ns, in_time, rate)
-        margin = LIMITS.headroom_factor * (limit - max(queueing, stalled))
+        # Where nothing answers, no answer shows it. But of requests that are served in turn the mean has
+        # waited half of the time that all of them take; beyond that they stall.
+        explained_ns = in_time / rate / 2 if rate else 0.0
+        stall_ratio = (open_requests.mean_age_ns - explained_ns) / self._objective_ns if rate else 1.0
+        margin = LIMITS.headroom_factor * (limit - max(queueing, stall_ratio))
         return min(1.0, margin / max(limit - uncontended, MIN_RATIO_RANGE))
-
-    def _stall_ratio(self, mean_age_ns: float, in_time: int, rate: float) -> float:
-        """Return the share of an objective that open requests wait beyond what their number explains.
-
-        Where nothing answers, no answer shows it. But of requests that are served in turn the mean has waited
-        half of the time that all of them take.
-        """
-        if not rate:
-            return 1.0
-        return (mean_age_ns - in_time / rate / 2) / self._objective_ns
--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -9,30 +9,17 @@
 from typing import NamedTuple
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.admission.burst_capacity import BurstCapacity, CapacityEstimate
+from anisespool.balancer.admission.burst_capacity import BurstCapacity, total_capacity
 from anisespool.balancer.admission.latency_limit import LatencyLimit
 from anisespool.balancer.admission.load_snapshot import SnapshotCache, SnapshotSource
 from anisespool.balancer.admission.offered_capacity import OfferedCapacity
 from anisespool.balancer.admission.peak_rate import PeakRate
 from anisespool.balancer.admission.queueing_ratio import QueueingRatio
-from anisespool.balancer.admission.retry_after import MIN_RATE_REQUESTS, Backlog, RetryAfterSchedule
+from anisespool.balancer.admission.retry_after import MIN_RATE_REQUESTS, RetryAfterSchedule
 from anisespool.balancer.admission.service_rate import QueueingSample, ServiceRate
 from anisespool.balancer.admission.tenant_quota import OVER_QUOTA_CAPACITY_SHARE
 
 
-class AdmissionRequest(NamedTuple):
-    """A new request, as admission weighs it."""
-
-    since_first_list_ns: int
-    """Time since this sidecar had its first endpoint list: what it could observe."""
-    time_left_ns: int
-    """To the request's latency objective."""
-    exceeds_quota: bool
-    """It is beyond its tenant's share."""
-    open_requests: int
-    """Of this sidecar, this one included."""
-
-
 class Verdict(NamedTuple):
     """The decision on one request, and the figures behind it."""
 
@@ -94,51 +81,57 @@
         queueing_ratio = self.queueing.update(now, sample.objective_share, sample.smoothing_factor)
         self.service_rate.record(now, sample, queueing_ratio, self.snapshots.snapshot.fleet.concurrency)
 
-    def decide(self, now: int, request: AdmissionRequest, source: SnapshotSource) -> Verdict:
+    def decide(
+        self,
+        now: int,
+        observed_ns: int,
+        time_left_ns: int,
+        exceeds_quota: bool,
+        open_requests: int,
+        source: SnapshotSource,
+    ) -> Verdict:
         """Return whether a request is shed: past the capacity all queues would grow until all is late.
 
         Args:
             now: Monotonic ns.
-            request: The new request.
+            observed_ns: Time since this sidecar had its first endpoint list.
+            time_left_ns: To the request's latency objective.
+            exceeds_quota: It is beyond its tenant's share.
+            open_requests: Of this sidecar, this one included.
             source: Takes a snapshot of the fleet and of the open requests, where the cached one is too old.
         """
-        quota_factor = OVER_QUOTA_CAPACITY_SHARE if request.exceeds_quota else 1.0
-        verdict = self._shed_by_latency(now, request, quota_factor)
-        if verdict:
-            return verdict
-        rate = self.offered.rate(now, request.since_first_list_ns)
-        offered = self.offered.capacity(rate, self.latency.limit) * quota_factor
-        if request.open_requests <= offered:
+        quota_factor = OVER_QUOTA_CAPACITY_SHARE if exceeds_quota else 1.0
+        ratio = self.queueing.ratio.read(now)
+        limit = self.latency.limit
+        may_shed_by_latency = ratio > limit and observed_ns > self.objective_ns
+        if may_shed_by_latency and self.latency.should_shed(ratio, quota_factor, self._random):
+            return self._shed_by_latency(now, ratio - limit, open_requests)
+        rate = self.offered.rate(now, observed_ns)
+        offered = self.offered.capacity(rate, limit) * quota_factor
+        if open_requests <= offered:
             return ADMITTED
         snapshot = self.snapshots.get(now, source)
         # Requests that are stuck at a stalled endpoint take no capacity.
-        in_time = request.open_requests - snapshot.open_requests.late
+        in_time = open_requests - snapshot.open_requests.late
         if in_time <= offered:
             return ADMITTED
         service_rate = self.service_rate.rate(now, snapshot.fleet.concurrency)
-        time_left_ns = min(self.objective_ns, request.time_left_ns)
-        estimate = CapacityEstimate(
-            offered,
-            self.burst.service_capacity(service_rate, time_left_ns, snapshot.fleet, quota_factor),
-            self.burst.headroom(now, snapshot.open_requests, in_time, service_rate),
-        )
-        return self._verdict(now, in_time, estimate.requests(), max(rate, service_rate))
-
-    def _shed_by_latency(self, now: int, request: AdmissionRequest, quota_factor: float) -> Verdict | None:
-        ratio = self.queueing.ratio.read(now)
-        limit = self.latency.limit
-        if ratio <= limit or request.since_first_list_ns <= self.objective_ns:
-            return None
-        if not self.latency.should_shed(ratio, quota_factor, self._random):
-            return None
-        excess_ns = (ratio - limit) * self.objective_ns
-        backlog = Backlog(excess_ns, self.offered.answer_rate.read(now))
-        return Verdict(True, self.retry_after.next_delay_ns(now, backlog), request.open_requests)
-
-    def _verdict(self, now: int, in_time: int, capacity: float, rate: float) -> Verdict:
-        """Shed what exceeds the capacity until the excess is worked off, at `rate` or as seen recently."""
+        time_left_ns = min(self.objective_ns, time_left_ns)
+        service = self.burst.service_capacity(service_rate, time_left_ns, snapshot.fleet, quota_factor)
+        headroom = self.burst.headroom(now, snapshot.open_requests, in_time, service_rate)
+        capacity = total_capacity(offered, service, headroom)
         if in_time <= capacity:
             return ADMITTED
+        return self._shed_by_capacity(now, in_time, capacity, max(rate, service_rate))
+
+    def _shed_by_latency(self, now: int, excess_ratio: float, open_requests: int) -> Verdict:
+        excess_ns = excess_ratio * self.objective_ns
+        rate = self.offered.answer_rate.read(now)
+        return Verdict(True, self.retry_after.next_delay_ns(now, excess_ns, rate), open_requests)
+
+    def _shed_by_capacity(self, now: int, in_time: int, capacity: float, rate: float) -> Verdict:
+        """Shed until the excess is worked off, at `rate` or as seen recently."""
         drain_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
-        backlog = Backlog((in_time - capacity) / drain_rate, drain_rate, in_time / drain_rate)
-        return Verdict(True, self.retry_after.next_delay_ns(now, backlog), in_time, capacity)
+        excess_ns = (in_time - capacity) / drain_rate
+        retry_after_ns = self.retry_after.next_delay_ns(now, excess_ns, drain_rate, in_time / drain_rate)
+        return Verdict(True, retry_after_ns, in_time, capacity)
--- a/anisespool/balancer/admission/retry_after.py
+++ b/anisespool/balancer/admission/retry_after.py
@@ -28,40 +28,36 @@
 LIMITS = RetryAfterLimits()
 
 
-class Backlog(NamedTuple):
-    """What has to be served before a rejected client's next attempt."""
-
-    excess_ns: float
-    """Time in which what exceeds the capacity is worked off."""
-    rate: float
-    """At which requests are served, per ns."""
-    all_ns: float = 0.0
-    """Time in which all open requests are worked off."""
-
-
 class RetryAfterSchedule:
     """Gives each rejected client the next free instant."""
 
     def __init__(self, settings: api.Settings, answer_rate: DecayingValue, random: Random) -> None:
         self._max_delay_ns = settings.max_retry_after_ns if settings.may_retry_after else 0
-        self._objective_ns = min(c.target_ns for c in settings.classes)
+        objective_ns = min(c.target_ns for c in settings.classes)
+        self._spread_ns = LIMITS.spread_objectives * objective_ns
         self._answer_rate = answer_rate
-        self._rejection_rate = DecayingValue(self._objective_ns)
+        self._rejection_rate = DecayingValue(objective_ns)
         self._random = random
         self._next_at = 0  # monotonic ns; no rejected client was given a later instant
 
-    def next_delay_ns(self, now: int, backlog: Backlog) -> int:
+    def next_delay_ns(self, now: int, excess_ns: float, rate: float, all_ns: float = 0.0) -> int:
         """Return a client's Retry-After: when the excess is worked off, one client after another; 0: none.
 
         Where most requests were rejected recently, not before all that is open is worked off.
+
+        Args:
+            now: Monotonic ns.
+            excess_ns: Time in which what exceeds the capacity is worked off.
+            rate: At which requests are served, per ns.
+            all_ns: Time in which all open requests are worked off.
         """
         if not self._max_delay_ns:
             return 0
         self._rejection_rate.add(now)
-        earliest = now + backlog.excess_ns + self._severity() * backlog.all_ns
+        earliest = now + excess_ns + self._severity() * all_ns
         at = max(earliest, self._next_at)
-        self._next_at = int(at + 1 / max(backlog.rate, MIN_RATE_REQUESTS))
-        if self._next_at > earliest + LIMITS.spread_objectives * self._objective_ns:
+        self._next_at = int(at + 1 / max(rate, MIN_RATE_REQUESTS))
+        if self._next_at > earliest + self._spread_ns:
             self._next_at = int(earliest)
         jitter = LIMITS.jitter_share
         delay = min(at - now, self._max_delay_ns / (1 + jitter))
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.admission.controller import AdmissionController, AdmissionRequest
+from anisespool.balancer.admission.controller import AdmissionController
 from anisespool.balancer.admission.fleet_capacity import fleet_capacity
 from anisespool.balancer.admission.load_snapshot import LoadSnapshot, RequestTimes, summarize_open_requests
 from anisespool.balancer.admission.tenant_quota import TenantQuota
 from anisespool.balancer.attempt import Attempt
 from anisespool.balancer.deadlines import Deadlines, recheck_delay_ns
-from anisespool.balancer.endpoint import AttemptKey, Endpoint, SentAttempt
+from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.endpoint_table import EndpointTable
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 from anisespool.balancer.estimates.estimates import Estimates
@@ -26,7 +26,7 @@
 from anisespool.balancer.gossip import GossipSender
 from anisespool.balancer.health_checks import HealthChecks
 from anisespool.balancer.interface import NOT_EXECUTED, AttemptStatus, DiscoveryMode, EndpointListKind
-from anisespool.balancer.key_ordering import KeyOrdering
+from anisespool.balancer.key_ordering import KeyOrdering, Turn
 from anisespool.balancer.outcomes import OutcomeRecorder, is_failure, record_connection
 from anisespool.balancer.request import PendingRequest
 from anisespool.balancer.resubscribe import resubscribe_delay_ns
@@ -136,14 +136,14 @@
     def _on_request(self, event: api.RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
         waited_ns = self._client_retries.waited_ns(event)
-        deadlines = Deadlines.of(event, request_class, waited_ns, self.now)
+        deadlines = Deadlines(event, request_class, waited_ns, self.now)
         request = PendingRequest(event, request_class, deadlines, self.now, self.open_requests)
         self.pending[event.request] = request
         self.open_requests += 1
         self.request_rate.add(self.now)
         if self.settings.tenants:
             self._quota.record_request(event.tenant, self.now)
-        self.retries.on_request()
+        self.retries.budget.record_request()
         if request.ordering_key:
             self.ordering.enqueue(request)
         self._dispatch(request)
@@ -156,16 +156,18 @@
     def _dispatch(self, request: PendingRequest) -> None:
         """Send the request, hold it until its turn or until an endpoint is eligible, or answer it."""
         now = self.now
-        expected_ns = self.estimates.class_latencies.expected_latency_ns(request.event)
-        position = self.ordering.position(request) if request.ordering_key else 0
-        pause_ns = self.ordering.pause_ns(request, now) if request.ordering_key else 0
-        useful_ns = request.deadlines.useful_time_ns(now, position, expected_ns, pause_ns)
+        wait_ns = 0
+        if request.ordering_key:
+            useful_ns, wait_ns = self._turn(request)
+        else:
+            useful_ns = request.deadlines.useful_until - now
         if useful_ns <= 0 or not request.attempts and self._should_shed(request):
             self._answer_unserved(request)
             return
-        if position or pause_ns:
-            self._wait(request, useful_ns if position else pause_ns)
+        if wait_ns:
+            self._wait(request, wait_ns)
             return
+        expected_ns = self.estimates.class_latencies.expected_latency_ns(request.event)
         subset = self.endpoints.subset(self.request_rate.read(now))
         candidates = self.eligibility.eligible(request, subset, now)
         endpoint = self.selector.choose(request, candidates, expected_ns, now) if candidates else None
@@ -174,6 +176,15 @@
         else:
             self._schedule_recheck(request)
 
+    def _turn(self, request: PendingRequest) -> Turn:
+        """Return whether an ordered request can be sent now, or waits for those of its key before it."""
+        expected_ns = self.estimates.class_latencies.expected_latency_ns(request.event)
+        queued_before = self.ordering.position(request)
+        pause_ns = self.ordering.pause_ns(request, self.now)
+        deadlines = request.deadlines
+        useful_ns = deadlines.useful_time_in_queue_ns(self.now, queued_before, expected_ns, pause_ns)
+        return Turn(useful_ns, useful_ns if queued_before else pause_ns)
+
     def _schedule_recheck(self, request: PendingRequest) -> None:
         """Look for an eligible endpoint again in a while."""
         self._actions += self._log.no_eligible_endpoint(self.now, len(self.endpoints.ready))
@@ -186,16 +197,17 @@
     def _should_shed(self, request: PendingRequest) -> bool:
         now = self.now
         tenants = self.settings.tenants
-        admission_request = AdmissionRequest(
-            since_first_list_ns=now - self._first_list_at,
-            time_left_ns=request.deadlines.objective_at - now,
-            exceeds_quota=bool(tenants) and self._quota.exceeds_quota(request.event.tenant, tenants, now),
-            open_requests=self.open_requests,
+        verdict = self.admission.decide(
+            now,
+            now - self._first_list_at,
+            request.deadlines.objective_at - now,
+            bool(tenants) and self._quota.exceeds_quota(request.event.tenant, tenants, now),
+            self.open_requests,
+            self._take_load_snapshot,
         )
-        verdict = self.admission.decide(now, admission_request, self._take_load_snapshot)
         if verdict.is_shed:
             request.retry_after_ns = verdict.retry_after_ns
-            self._actions += self._log.load_shed(now, verdict, self.admission.queueing.ratio.read(now))
+            self._actions += self._log.load_shed(now, verdict, self.admission.queueing.ratio.value)
         return verdict.is_shed
 
     def _take_load_snapshot(self) -> LoadSnapshot:
@@ -217,7 +229,7 @@
         timeout_ns = end_at - now if end_at < deadlines.deadline_at else 0
         self._actions.append(api.Send(request.id, endpoint.id, timeout_ns))
         attempt = Attempt(endpoint, now, expected_ns)
-        endpoint.in_flight[AttemptKey(request.id, len(request.attempts))] = SentAttempt(now, expected_ns)
+        endpoint.in_flight[request.id, len(request.attempts)] = attempt
         request.attempts.append(attempt)
         endpoint.sent_since_report += 1
         endpoint.idle_connections = max(0, endpoint.idle_connections - 1)
@@ -225,8 +237,7 @@
 
     def _answer_unserved(self, request: PendingRequest) -> None:
         """Give the one final answer: a rejection where a retry is sure to be harmless, else a failure."""
-        may_have_executed = bool(request.possibly_executed())
-        if may_client_retry(request.request_class, may_have_executed):
+        if may_client_retry(request.request_class, request.may_have_executed()):
             self._actions.append(api.Reject(request.id, request.retry_after_ns))
         else:
             self._actions.append(api.Fail(request.id))
@@ -275,7 +286,7 @@
         endpoint = attempt.endpoint
         attempt.in_flight = False
         attempt.may_have_executed = event.status not in NOT_EXECUTED
-        endpoint.in_flight.pop(AttemptKey(request.id, event.attempt), None)
+        endpoint.in_flight.pop((request.id, event.attempt), None)
         record_connection(attempt, event.status)
         if request.ordering_key:
             self.ordering.on_attempt_end(request.ordering_key, event.status, self.now)
--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -7,26 +7,31 @@
 graceful shutdown has its own end (sidecar/shutdown.py).
 """
 
-from typing import NamedTuple, Self
+from __future__ import annotations
 
 from anisespool.balancer import interface as api
 
 RECHECK_INTERVAL_OBJECTIVE_PERCENT = 5  # of the latency objective, between two looks for an eligible endpoint
 
 
-class Deadlines(NamedTuple):
-    """The instants of one request, monotonic ns."""
+class Deadlines:
+    """The instants of one request, monotonic ns. They don't change.
 
-    objective_at: int
-    """A later answer misses the latency objective."""
-    useful_until: int
-    """A later answer has no value: the objective, or the deadline where the class values late answers."""
-    deadline_at: int
-    """The client gives this attempt of its own up."""
+    A plain class with slots: each request makes one, and a named tuple costs twice as much.
 
-    @classmethod
-    def of(cls, event: api.RequestArrived, request_class: api.RequestClass, waited_ns: int, now: int) -> Self:
-        """Return the instants of a request that arrives `now`.
+    Attributes:
+        objective_at: A later answer misses the latency objective.
+        useful_until: A later answer has no value: the objective, or the deadline where the class values late
+            answers.
+        deadline_at: The client gives this attempt of its own up.
+    """
+
+    __slots__ = ("deadline_at", "objective_at", "useful_until")
+
+    def __init__(
+        self, event: api.RequestArrived, request_class: api.RequestClass, waited_ns: int, now: int
+    ) -> None:
+        """Set the instants of a request that arrives `now`.
 
         Args:
             event: Its arrival, with the time that its client leaves and its work hint.
@@ -38,11 +43,14 @@
         target_ns = request_class.target_ns + stretch_ns
         deadline_at = now + event.remaining_ns
         objective_at = now + min(target_ns - waited_ns, event.remaining_ns)
-        useful_until = deadline_at if request_class.late_priority_weight else objective_at
-        return cls(objective_at, useful_until, deadline_at)
+        self.objective_at = objective_at
+        self.useful_until = deadline_at if request_class.late_priority_weight else objective_at
+        self.deadline_at = deadline_at
 
-    def useful_time_ns(self, now: int, queued_before: int, expected_latency_ns: float, pause_ns: int) -> int:
-        """Return how long the request may still wait; 0 or less: it gives up now.
+    def useful_time_in_queue_ns(
+        self, now: int, queued_before: int, expected_latency_ns: float, pause_ns: int
+    ) -> int:
+        """Return how long an ordered request may still wait for its turn; 0 or less: it gives up now.
 
         Args:
             now: Monotonic ns.
--- a/anisespool/balancer/endpoint.py
+++ b/anisespool/balancer/endpoint.py
@@ -2,7 +2,7 @@
 
 # Plain classes here, in attempt.py and in request.py: dataclasses with slots make the program's start longer.
 
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.selection.warmup_limiter import WarmupLimiter
@@ -17,25 +17,25 @@
     zone: int
 
 
-class AttemptKey(NamedTuple):
-    """One attempt of one request."""
+# Request id and number of the attempt; a plain tuple, as it is built twice for each attempt.
+AttemptKey = tuple[int, int]
 
-    request: int
-    attempt: int
 
-
-class SentAttempt(NamedTuple):
-    """An attempt in flight, as its endpoint's state has it."""
+class AttemptInFlight(Protocol):
+    """What the estimates need of an attempt (attempt.py)."""
 
     sent_at: int
     expected_latency_ns: float
 
 
-class ClassSlowdown(NamedTuple):
-    """An endpoint's slowdown in one request class."""
+class ClassSlowdown:
+    """An endpoint's slowdown in one request class, updated in place."""
+
+    __slots__ = ("sampled_at", "slowdown")
 
-    slowdown: float
-    sampled_at: int
+    def __init__(self, slowdown: float, sampled_at: int) -> None:
+        self.slowdown = slowdown
+        self.sampled_at = sampled_at
 
 
 class Endpoint:
@@ -59,7 +59,7 @@
 
     def __init__(self, listing: api.EndpointListing, rank: int, settings: api.Settings) -> None:
         self.rank = rank
-        self.in_flight: dict[AttemptKey, SentAttempt] = {}
+        self.in_flight: dict[AttemptKey, AttemptInFlight] = {}
         self.idle_connections = 0
 
         self.slowdown = 1.0
--- a/anisespool/balancer/estimates/slowdown.py
+++ b/anisespool/balancer/estimates/slowdown.py
@@ -23,7 +23,8 @@
     """
 
     def __init__(self, half_life_ns: int) -> None:
-        self.half_life_ns = half_life_ns
+        self._half_life_ns = half_life_ns
+        self._class_half_life_ns = CLASS_HALF_LIFE_DEADLINES * half_life_ns
         self.mean_weight = 1.0  # configured, of the ready endpoints
         self.group_slowdown: dict[MachineGroup, float] = {}
 
@@ -36,12 +37,12 @@
         # As `typical_slowdown`, without a call: this runs for every candidate of every choice.
         slowdown = self.group_slowdown.get(endpoint.machine_group) or self.mean_weight / endpoint.weight
         if endpoint.slowdown_at:
-            fade = exp2((endpoint.slowdown_at - now) / self.half_life_ns)
+            fade = exp2((endpoint.slowdown_at - now) / self._half_life_ns)
             slowdown += (endpoint.slowdown - slowdown) * fade
         if class_index in endpoint.slowdown_by_class:
-            class_slowdown, sampled_at = endpoint.slowdown_by_class[class_index]
-            fade = exp2((sampled_at - now) / (CLASS_HALF_LIFE_DEADLINES * self.half_life_ns))
-            slowdown += (class_slowdown - slowdown) * fade
+            in_class = endpoint.slowdown_by_class[class_index]
+            fade = exp2((in_class.sampled_at - now) / self._class_half_life_ns)
+            slowdown += (in_class.slowdown - slowdown) * fade
         if endpoint.in_flight:
             oldest = next(iter(endpoint.in_flight.values()))
             age_ratio = (now - oldest.sent_at) / oldest.expected_latency_ns
@@ -68,7 +69,9 @@
         """Move an endpoint's slowdown, `before` over all classes, toward the sample of one attempt."""
         in_class = self.slowdown(endpoint, now, class_index)
         alpha = SUCCESS_SMOOTHING_FACTOR if succeeded else FAILURE_SMOOTHING_FACTOR
-        endpoint.slowdown_by_class[class_index] = ClassSlowdown(in_class + alpha * (sample - in_class), now)
+        known = endpoint.slowdown_by_class.setdefault(class_index, ClassSlowdown(in_class, now))
+        known.slowdown = in_class + alpha * (sample - in_class)
+        known.sampled_at = now
         self._set(endpoint, before + SUCCESS_SMOOTHING_FACTOR * (sample - before), now)
 
     def record_observation(self, endpoint: Endpoint, observation: api.EndpointObservation, at: int) -> None:
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -60,7 +60,7 @@
     now = balancer.now
     event = RequestArrived(0, 0, 0)
     request_class = balancer.settings.classes[0]
-    request = PendingRequest(event, request_class, Deadlines.of(event, request_class, 0, now), now, 0)
+    request = PendingRequest(event, request_class, Deadlines(event, request_class, 0, now), now, 0)
     expected_ns = balancer.estimates.class_latencies.typical_latency_ns[0]
     weights = balancer.selector.weights(request, candidates, expected_ns, now)
     total = sum(weights.by_candidate) + weights.no_send or 1.0
--- a/anisespool/balancer/key_ordering.py
+++ b/anisespool/balancer/key_ordering.py
@@ -1,6 +1,6 @@
 """Whose turn is it among requests of one key? They run one at a time, in the order of their arrival."""
 
-from __future__ import annotations
+from typing import NamedTuple
 
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.balancer.request import PendingRequest
@@ -8,6 +8,15 @@
 MAY_STILL_EXECUTE = frozenset((AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED))
 
 
+class Turn(NamedTuple):
+    """When an ordered request is sent."""
+
+    useful_ns: int
+    """How long it may still wait; 0 or less: it gives up now."""
+    wait_ns: int
+    """0: it is its turn."""
+
+
 class KeyOrdering:
     """The queue of each ordering key, and the pauses after attempts that may still be executing.
 
--- a/anisespool/balancer/request.py
+++ b/anisespool/balancer/request.py
@@ -37,6 +37,10 @@
         self.answered = False
         self.streaming = False
 
+    def may_have_executed(self) -> bool:
+        """Return whether an attempt may have had an effect."""
+        return bool(self.attempts) and bool(self.possibly_executed())
+
     def possibly_executed(self) -> list[Attempt]:
         """Return the attempts that may have had an effect, the oldest first."""
         return [a for a in self.attempts if a.may_have_executed]
--- a/anisespool/balancer/retry/policy.py
+++ b/anisespool/balancer/retry/policy.py
@@ -20,18 +20,13 @@
         self._max_attempts = settings.max_attempts
         self.budget = RetryBudget()
 
-    def on_request(self) -> None:
-        """Count a new request: it fills the budget."""
-        self.budget.record_request()
-
     def try_consume_retry(self, request: PendingRequest) -> bool:
         """Return whether a request whose last attempt has ended gets another; if so, take its token.
 
         It does not where a repeat could have a second effect, where its response is being forwarded already,
         where it had all attempts that the settings allow, or where the budget is empty.
         """
-        may_have_executed = bool(request.possibly_executed())
-        if request.streaming or not may_retry(request.request_class, may_have_executed):
+        if request.streaming or not may_retry(request.request_class, request.may_have_executed()):
             return False
         if len(request.attempts) >= self._max_attempts or not self.budget.has_token():
             return False
--- a/anisespool/balancer/selection/weights.py
+++ b/anisespool/balancer/selection/weights.py
@@ -36,6 +36,9 @@
     """At an endpoint without an idle connection."""
 
 
+NO_COSTS = CostFactors(1.0, 1.0)
+
+
 class EndpointSelector:
     """Chooses the endpoint of an attempt."""
 
@@ -43,6 +46,7 @@
         self._settings = settings
         self._estimates = estimates
         self._random = random
+        self._has_costs = bool(settings.cross_zone_cost or settings.handshake_cost)
         self.slow_start = SlowStart(settings)
 
     def choose(
@@ -67,8 +71,9 @@
         loads = self._estimates.loads
         slowdowns = self._estimates.slowdowns
         class_index = request.event.class_index
-        recent_latency_ns = expected_latency_ns * slowdowns.fleet_slowdown()
-        costs = self._cost_factors(request.request_class.target_ns, recent_latency_ns)
+        costs = NO_COSTS
+        if self._has_costs:
+            costs = self._cost_factors(request.request_class.target_ns, expected_latency_ns)
         affine = affine_endpoint(settings, request.event.key, candidates)
         affinity = affinity_factor(len(candidates))
         weights = []
@@ -91,9 +96,10 @@
             return Weights(weights, 0.0)
         return Weights(weights, self.slow_start.cap_weights(candidates, weights, now, expected_latency_ns))
 
-    def _cost_factors(self, target_ns: int, recent_latency_ns: float) -> CostFactors:
+    def _cost_factors(self, target_ns: int, expected_latency_ns: float) -> CostFactors:
         """Return the factors of the settings' costs: the longer the latencies, the less they count."""
         settings = self._settings
+        recent_latency_ns = expected_latency_ns * self._estimates.slowdowns.fleet_slowdown()
         cross_zone = settings.cross_zone_cost * CROSS_ZONE_COST_OBJECTIVES * target_ns / recent_latency_ns
         handshake = settings.handshake_cost * HANDSHAKE_COST_OBJECTIVES * target_ns / recent_latency_ns
         return CostFactors(1 + cross_zone, 1 + handshake)
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from functools import partial
 from random import Random
 
-from anisespool.balancer.admission.controller import AdmissionController, AdmissionRequest, Verdict
+from anisespool.balancer.admission.controller import AdmissionController, Verdict
 from anisespool.balancer.admission.fleet_capacity import FleetCapacity
 from anisespool.balancer.admission.load_snapshot import (
     LoadSnapshot,
@@ -47,8 +48,8 @@
     """How many may be open at most."""
     for count in range(1, 5000):
         admission.snapshots.taken_at = -OBJECTIVE  # due for another snapshot
-        request = AdmissionRequest(60 * SECOND, left_ns, excess, count)
-        verdict = admission.decide(now, request, lambda: LoadSnapshot(fleet, mine))
+        source = partial(LoadSnapshot, fleet, mine)
+        verdict = admission.decide(now, 60 * SECOND, left_ns, excess, count, source)
         if verdict.is_shed:
             return count - 1
     return 5000
@@ -186,9 +187,7 @@
 def rejected(admission: AdmissionController, now: int, count: int = 400) -> list[Verdict]:
     full = OpenRequests(0, 0.0, now + SECOND)
     verdicts = [
-        admission.decide(
-            now, AdmissionRequest(60 * SECOND, OBJECTIVE, False, 3000), lambda: LoadSnapshot(IDLE, full)
-        )
+        admission.decide(now, 60 * SECOND, OBJECTIVE, False, 3000, lambda: LoadSnapshot(IDLE, full))
         for _ in range(count)
     ]
     return [v for v in verdicts if v.is_shed]
@@ -220,8 +219,8 @@
         return LoadSnapshot(IDLE, OpenRequests(0, 0.0, now))  # one always just misses its objective
 
     for count in range(10_000):  # within one objective
-        request = AdmissionRequest(60 * SECOND, OBJECTIVE, False, 100 + count)
-        admission.decide(now + count * 70_000, request, take_snapshot)
+        at = now + count * 70_000
+        admission.decide(at, 60 * SECOND, OBJECTIVE, False, 100 + count, take_snapshot)
     assert snapshots <= 1024
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -163,7 +163,7 @@
     """A request of the first class that has arrived at `sidecar` now."""
     event = api.RequestArrived(10**6, 0, 2 * SECOND)
     request_class = sidecar.balancer.settings.classes[0]
-    deadlines = Deadlines.of(event, request_class, 0, sidecar.now)
+    deadlines = Deadlines(event, request_class, 0, sidecar.now)
     return PendingRequest(event, request_class, deadlines, sidecar.now, 0)
 
 
