--- a/anisespool/lab/live/fault_stage.py
+++ b/anisespool/lab/live/fault_stage.py
@@ -2,29 +2,52 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
 from anisespool.balancer.interface import EndpointState
+from anisespool.lab.live.arrival_log import ArrivalLog
 from anisespool.lab.live.connection_proxy import ListenerState
+from anisespool.lab.live.endpoint_list_feeds import EndpointListFeeds
+from anisespool.lab.live.proxy_table import ProxyTable
 from anisespool.lab.live.wall_clock import WallClock
 from anisespool.lab.model.endpoint import Endpoint
 from anisespool.lab.model.faults import ProcessFault
 from anisespool.lab.model.random_streams import RandomStream
 from anisespool.lab.model.watch_delay import WatchDelay
-from anisespool.lab.scenario import SECOND, Link, Scenario
-
-if TYPE_CHECKING:
-    from anisespool.lab.live.live_backend import LiveBackend
+from anisespool.lab.scenario import SECOND, Endpoints, Link, Scenario
 
 MIN_CUT_S = 0.001
 
 
+class FaultTarget(Protocol):
+    """What the faults act on (live_backend.py)."""
+
+    scenario: Scenario
+    begin: int
+    endpoints: list[Endpoint]
+    watch_delay: WatchDelay
+    clock: WallClock
+    zones: list[int]
+    arrival_log: ArrivalLog
+    proxies: ProxyTable
+    feeds: EndpointListFeeds
+
+    def machine(self, number: int, kind: int, spec: Endpoints, draws: RandomStream) -> Endpoint:
+        """Return a new machine of a group."""
+
+    def add_link(self, link: Link) -> None:
+        """Add a fault between nodes, from now on."""
+
+    def apply_links(self) -> None:
+        """Let the connections follow the faults that are in effect."""
+
+
 class FaultStage:
     """The run as the model's schedule of faults sees it (`lab/model/faults.py`, `Stage`)."""
 
-    def __init__(self, backend: LiveBackend, machine_draws: RandomStream) -> None:
+    def __init__(self, backend: FaultTarget, machine_draws: RandomStream) -> None:
         self.scenario: Scenario = backend.scenario
         self.begin: int = backend.begin
         self.endpoints: list[Endpoint] = backend.endpoints
