--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -2,21 +2,19 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.lab.model.backend import RESETS, hop_ns, node_of
 from anisespool.lab.model.checker import must
-from anisespool.lab.model.clients import RequestKey
+from anisespool.lab.model.clients import Clients, RequestKey
 from anisespool.lab.model.endpoint import Endpoint, Job
 from anisespool.lab.model.random_streams import RandomStreams
 from anisespool.lab.model.sidecar import Sidecar
+from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.scenario import MS
 
-if TYPE_CHECKING:
-    from anisespool.lab.model.world import World
-
 MESSAGE_BYTES = 600  # size of a request or response on a link of bounded rate
 
 
@@ -31,13 +29,13 @@
 class Attempts:
     """All attempts under way, and the connections that carry them."""
 
-    def __init__(self, world: World, streams: RandomStreams) -> None:
-        self._world = world
-        self._scenario = world.scenario
-        self._clock = world.clock
-        self._metrics = world.metrics
-        self._links = world.links
-        self._clients = world.clients
+    def __init__(self, run: SimulatedRun, clients: Clients, streams: RandomStreams) -> None:
+        self._run = run
+        self._scenario = run.scenario
+        self._clock = run.clock
+        self._metrics = run.metrics
+        self._links = run.links
+        self._clients = clients
         self._network_draws = streams.named("network")
         self._loss_draws = streams.named("lost")
         self._isolated_zones: set[int] = set()
@@ -87,7 +85,7 @@
         must(request is not None, "rule 1: a send for a request that has ended")
         assert request
         client_request = request.client_request
-        endpoint = self._world.endpoints[action.endpoint - 1]
+        endpoint = self._run.endpoints[action.endpoint - 1]
         job = Job(
             sidecar=sidecar.number,
             request=action.request,
@@ -100,9 +98,9 @@
         )
         self._jobs[_key(job)] = job
         self._metrics.attempts += 1
-        if endpoint.spec.zone != sidecar.zone and now >= self._world.begin:
+        if endpoint.spec.zone != sidecar.zone and now >= self._run.begin:
             self._metrics.crossings += 1
-        self._world.log("send", client_request.number, action.endpoint)
+        self._run.log("send", client_request.number, action.endpoint)
         timeout_at = now + action.timeout_ns
         until = min(timeout_at, request.deadline) if action.timeout_ns else request.deadline
         self._clock.at(until, self._give_up, job, AttemptStatus.TIMEOUT)
@@ -132,7 +130,7 @@
 
     def _open_connection(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
         endpoint.connections += 1
-        if self._clock.now >= self._world.begin:
+        if self._clock.now >= self._run.begin:
             self._metrics.handshakes += 1
         job.work_ns += int(self._scenario.network.handshake_work_ms * MS)
         trips = 2 * self._scenario.network.handshake_trips * hop
@@ -156,13 +154,13 @@
             self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
             return
         job.held_until = self._clock.now + late if late else 0
-        self._clock.after(hop + late, self._world.arrive, job)
+        self._clock.after(hop + late, self._run.arrive, job)
 
     # From the endpoint to the sidecar -------------------------------------------------------------
 
     def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
         """Sends an endpoint's response back, unless the network or the endpoint loses it."""
-        sidecar = self._world.sidecars[job.sidecar]
+        sidecar = self._run.sidecars[job.sidecar]
         loss = endpoint.ails.loses
         hop = self._hop(sidecar, endpoint)
         if self._is_isolated(sidecar, endpoint):
@@ -179,18 +177,18 @@
 
     def _answered(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
         if not job.over and endpoint.life == job.life:
-            self._world.sidecars[job.sidecar].add_idle_connection(endpoint.id)
+            self._run.sidecars[job.sidecar].add_idle_connection(endpoint.id)
         self._finish(job, status, load)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
         """Resets an endpoint's connections: what was sent on them may have been executed."""
         for job in [job for job in self._jobs.values() if job.endpoint == endpoint.id]:
             if job.connected:
-                hop = self._hop(self._world.sidecars[job.sidecar], endpoint)
+                hop = self._hop(self._run.sidecars[job.sidecar], endpoint)
                 self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
             else:  # at once: a moment later it would be up, and execute what is reported as not executed
                 self._finish(job, AttemptStatus.CONNECT_FAILED)
-        for sidecar in self._world.sidecars:
+        for sidecar in self._run.sidecars:
             sidecar.idle_connections.pop(endpoint.id, None)
 
     # The end of an attempt ------------------------------------------------------------------------
@@ -205,14 +203,14 @@
         """The sidecar stops waiting. What never had a connection cannot have been executed."""
         if job.over:
             return
-        sidecar = self._world.sidecars[job.sidecar]
+        sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._give_up, job, status)
             return
         if job.connected:  # the connection's end can't overtake a request that a link holds
-            hop = self._hop(sidecar, self._world.endpoints[job.endpoint - 1])
+            hop = self._hop(sidecar, self._run.endpoints[job.endpoint - 1])
             link_delay = max(0, job.held_until - self._clock.now)
-            self._clock.after(hop + link_delay, self._world.stop, job)
+            self._clock.after(hop + link_delay, self._run.stop, job)
         elif status is AttemptStatus.TIMEOUT:
             status = AttemptStatus.CONNECT_FAILED
         self._finish(job, status)
@@ -221,19 +219,19 @@
         """Ends an attempt, once, and reports its outcome to the module."""
         if job.over:
             return
-        sidecar = self._world.sidecars[job.sidecar]
+        sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._finish, job, status, load)
             return
         job.over = True
         del self._jobs[_key(job)]
-        self._world.log("end", job.client_request.number, job.endpoint, status.value)
+        self._run.log("end", job.client_request.number, job.endpoint, status.value)
         key = RequestKey(job.sidecar, job.request)
         if status is AttemptStatus.OK:
             self._clients.succeed(key)
         finished = key not in self._clients.open
         latency = self._clock.now - job.sent_at
-        self._world.handle(
+        self._run.handle(
             sidecar,
             api.AttemptOutcome(job.request, job.endpoint, job.number, latency, status, finished, load),
         )
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from anisespool.balancer import interface as api
 from anisespool.lab.model.checker import must
 from anisespool.lab.model.metrics import ClientRequest
 from anisespool.lab.model.sidecar import Sidecar
+from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.scenario import MS
 
-if TYPE_CHECKING:
-    from anisespool.lab.model.world import World
-
 RESPONSE_SLACK_NS = 20 * MS  # a final response may be this late after its deadline
 
 
@@ -38,24 +36,24 @@
         open: Requests that have no final response yet.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._scenario = world.scenario
-        self._clock = world.clock
-        self._metrics = world.metrics
+    def __init__(self, run: SimulatedRun) -> None:
+        self._run = run
+        self._scenario = run.scenario
+        self._clock = run.clock
+        self._metrics = run.metrics
         self._requests = 0
         self.open: dict[RequestKey, OpenRequest] = {}
 
     def start(self, client_request: ClientRequest) -> None:
         """Sends a client request for the first time, unless its application is stopped with its sidecar."""
-        if self._world.serving(client_request.sidecar).down:
+        if self._run.serving(client_request.sidecar).down:
             return
         self._metrics.wished(client_request)
         self._send(client_request)
 
     def _send(self, client_request: ClientRequest) -> None:
         now = self._clock.now
-        sidecar = self._world.serving(client_request.sidecar)
+        sidecar = self._run.serving(client_request.sidecar)
         if sidecar.down:  # stopped, with its application, before the retry
             self._metrics.end(client_request, now, "gone")
             return
@@ -71,7 +69,7 @@
         self._arrive(sidecar, _arrival(key.request, client_request, remaining))
 
     def _log_request(self, client_request: ClientRequest) -> None:
-        self._world.log(
+        self._run.log(
             "ask",
             client_request.number,
             client_request.sidecar,
@@ -83,19 +81,19 @@
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._read, sidecar, sidecar.incarnation, event)
         else:
-            self._world.handle(sidecar, event)
+            self._run.handle(sidecar, event)
 
     def _read(self, sidecar: Sidecar, incarnation: int, event: api.RequestArrived) -> None:
         """Reads a request after a pause; one whose client has hung up is not read any more."""
         if sidecar.incarnation == incarnation and (sidecar.number, event.request) in self.open:
-            self._world.handle(sidecar, event)
+            self._run.handle(sidecar, event)
 
     def _check_answered(self, key: RequestKey) -> None:
         """Rule 1, unless the sidecar was frozen and could not respond."""
         request = self.open.get(key)
         if request is None:
             return
-        sidecar = self._world.sidecars[key.sidecar]
+        sidecar = self._run.sidecars[key.sidecar]
         must(
             sidecar.frozen_until > request.opened_at,
             f"rule 1: request {key.request} of sidecar {key.sidecar} was not answered in time",
@@ -126,10 +124,10 @@
         must(key in self.open, "rule 1: a final answer to what is over")
         client_request = self.close(key)
         if isinstance(action, api.Reject):
-            self._world.log("refuse", client_request.number)
+            self._run.log("refuse", client_request.number)
             self._reject(client_request, action.retry_after_ns)
         else:
-            self._world.log("fail", client_request.number)
+            self._run.log("fail", client_request.number)
             self.fail(client_request)
 
     def succeed(self, key: RequestKey) -> None:
--- a/anisespool/lab/model/endpoint_list.py
+++ b/anisespool/lab/model/endpoint_list.py
@@ -2,30 +2,26 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import EndpointListKind, EndpointState
 from anisespool.lab.model.endpoint import Endpoint
 from anisespool.lab.model.link_selector import DISCOVERY
 from anisespool.lab.model.sidecar import Sidecar
+from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.model.watch_delay import ListChange, listed
 
-if TYPE_CHECKING:
-    from anisespool.lab.model.world import World
-
 UPDATE_BYTES = 200  # size of an update on a link of bounded rate
 
 
 class EndpointListPublisher:
     """The registry, and a watch of it for each sidecar."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._scenario = world.scenario
-        self._clock = world.clock
-        self._watch_delay = world.watch_delay
-        self._last_arrival = [0] * world.scenario.sidecars  # of each watch, where links delay it
+    def __init__(self, run: SimulatedRun) -> None:
+        self._run = run
+        self._scenario = run.scenario
+        self._clock = run.clock
+        self._watch_delay = run.watch_delay
+        self._last_arrival = [0] * run.scenario.sidecars  # of each watch, where links delay it
 
     def _listing(self, endpoint: Endpoint) -> api.EndpointListing:
         nominal = self._scenario.membership.weights == "nominal"
@@ -35,7 +31,7 @@
         )
 
     def _listings(self) -> tuple[api.EndpointListing, ...]:
-        return tuple(map(self._listing, listed(self._world.endpoints)))
+        return tuple(map(self._listing, listed(self._run.endpoints)))
 
     def initial(self, sidecar: Sidecar) -> api.EndpointListUpdate:
         """The complete list that a new process starts from."""
@@ -48,13 +44,13 @@
         listing = self._listing(endpoint)
         for change in self._watch_delay.change(self._clock.now):
             event = api.EndpointListUpdate(change.revision, EndpointListKind.DELTA, (listing,))
-            sidecar = self._world.serving(change.sidecar)
-            arrives_at = self._arrives_at(change, sidecar) if self._world.links else change.at
+            sidecar = self._run.serving(change.sidecar)
+            arrives_at = self._arrives_at(change, sidecar) if self._run.links else change.at
             self._clock.at(arrives_at, self._receive, sidecar, sidecar.incarnation, event)
 
     def _arrives_at(self, change: ListChange, sidecar: Sidecar) -> int:
         """Adds what links do to a watch, on which no change overtakes the one before."""
-        links = self._world.links
+        links = self._run.links
         late = links.stream(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
         cut_until = links.between(change.at, DISCOVERY, sidecar.node, "lists").until
         arrives_at = change.at + late if isinstance(late, int) else cut_until
@@ -67,14 +63,14 @@
         listings = self._listings() if rows else ()
         event = api.EndpointListUpdate(self._watch_delay.whole(), EndpointListKind.FULL, listings)
         for slot in range(self._scenario.sidecars):
-            self._world.handle(self._world.serving(slot), event)
+            self._run.handle(self._run.serving(slot), event)
 
     def _receive(self, sidecar: Sidecar, incarnation: int, event: api.EndpointListUpdate) -> None:
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._receive, sidecar, incarnation, event)
         elif sidecar.incarnation == incarnation and self._watch_delay.takes(sidecar.slot, event.version):
             _drop_stale_connections(sidecar, event)
-            self._world.handle(sidecar, event)
+            self._run.handle(sidecar, event)
 
 
 def _drop_stale_connections(sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
--- a/anisespool/lab/model/gossip.py
+++ b/anisespool/lab/model/gossip.py
@@ -2,14 +2,10 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from anisespool.balancer import interface as api
 from anisespool.lab.model.backend import hop_ns
 from anisespool.lab.model.sidecar import Sidecar
-
-if TYPE_CHECKING:
-    from anisespool.lab.model.world import World
+from anisespool.lab.model.simulated_run import SimulatedRun
 
 HEADER_BYTES = 1  # size of a message without observations, as the codec encodes it
 OBSERVATION_BYTES = 12  # size of each observation
@@ -18,23 +14,23 @@
 class Gossip:
     """Carries the modules' messages. A datagram takes a hop of the network, without its spread."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
-        self._clock = world.clock
+    def __init__(self, run: SimulatedRun) -> None:
+        self._run = run
+        self._clock = run.clock
 
     def send(self, sender: Sidecar, action: api.SendGossip) -> None:
         """Sends a message to one peer, or (a negative peer) to all."""
-        slots = range(self._world.scenario.sidecars) if action.peer < 0 else (action.peer,)
+        slots = range(self._run.scenario.sidecars) if action.peer < 0 else (action.peer,)
         data = b"\0" * (HEADER_BYTES + OBSERVATION_BYTES * len(action.observations))
         message = api.GossipReceived(sender.slot, action.queueing_ratio, action.observations)
         for slot in slots:
-            receiver = self._world.serving(slot)
+            receiver = self._run.serving(slot)
             if slot != sender.slot and not receiver.down:
                 self._transmit(sender, receiver, data, message)
 
     def _transmit(self, sender: Sidecar, receiver: Sidecar, data: bytes, message: api.GossipReceived) -> None:
-        hop = hop_ns(self._world.scenario, sender.zone == receiver.zone, 1.0, 1.0)
-        for copy in self._world.links.datagram(self._clock.now, sender.node, receiver.node, data):
+        hop = hop_ns(self._run.scenario, sender.zone == receiver.zone, 1.0, 1.0)
+        for copy in self._run.links.datagram(self._clock.now, sender.node, receiver.node, data):
             if copy.data == data:  # the checksum drops a corrupted one
                 self._clock.at(copy.at + hop, self._receive, receiver, receiver.incarnation, message)
 
@@ -42,4 +38,4 @@
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._receive, sidecar, incarnation, message)
         elif sidecar.incarnation == incarnation:
-            self._world.handle(sidecar, message)
+            self._run.handle(sidecar, message)
--- a/anisespool/lab/model/sidecar_processes.py
+++ b/anisespool/lab/model/sidecar_processes.py
@@ -3,16 +3,17 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from anisespool.balancer import interface as api
+from anisespool.lab.model.attempts import Attempts
+from anisespool.lab.model.clients import Clients
+from anisespool.lab.model.endpoint_list import EndpointListPublisher
 from anisespool.lab.model.faults import ProcessFault
 from anisespool.lab.model.sidecar import Sidecar
+from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.scenario import settings
 
-if TYPE_CHECKING:
-    from anisespool.lab.model.world import World
-
 
 class SidecarProcesses:
     """All sidecars of a run, and which of them serves each slot.
@@ -21,11 +22,21 @@
         sidecars: By number; those of earlier processes of a slot stay in it.
     """
 
-    def __init__(self, world: World, make_module: Callable[[Sidecar], Any]) -> None:
-        self._world = world
-        self._clock = world.clock
+    def __init__(
+        self,
+        run: SimulatedRun,
+        clients: Clients,
+        attempts: Attempts,
+        endpoint_list: EndpointListPublisher,
+        make_module: Callable[[Sidecar], Any],
+    ) -> None:
+        self._run = run
+        self._clock = run.clock
+        self._clients = clients
+        self._attempts = attempts
+        self._endpoint_list = endpoint_list
         self._make_module = make_module
-        scenario = world.scenario
+        scenario = run.scenario
         self.sidecars = [
             Sidecar(number, zone, settings(scenario, number, zone), slot=number)
             for number, zone in enumerate(scenario.places())
@@ -43,7 +54,7 @@
 
     def _start(self, sidecar: Sidecar) -> None:
         sidecar.restart(self._make_module(sidecar))
-        self._world.handle(sidecar, self._world.endpoint_list.initial(sidecar))
+        self._run.handle(sidecar, self._endpoint_list.initial(sidecar))
 
     def apply(self, process_fault: ProcessFault) -> None:
         """What happens to a process. Faults of CPU, memory, descriptors and clock need real processes."""
@@ -51,7 +62,7 @@
         sidecar = self._serving[slot]
         if sidecar.down or sidecar.frozen_until > self._clock.now:
             return  # hit before, and not back yet
-        until = self._world.begin + process_fault.over
+        until = self._run.begin + process_fault.over
         if process_fault.kind == "roll":
             self._roll(slot)
         elif process_fault.kind == "freeze":
@@ -80,7 +91,7 @@
         sidecar.disconnected = []
         if sidecar.incarnation == incarnation:
             for request in disconnected:
-                self._world.handle(sidecar, api.ClientDisconnected(request))
+                self._run.handle(sidecar, api.ClientDisconnected(request))
 
     def _stop(self, sidecar: Sidecar, until: int) -> None:
         self._kill(sidecar)
@@ -94,5 +105,5 @@
 
     def _kill(self, sidecar: Sidecar) -> None:
         """Clients have to retry what the process had accepted."""
-        self._world.attempts.drop_all(sidecar)
-        self._world.clients.close_all(sidecar)
+        self._attempts.drop_all(sidecar)
+        self._clients.close_all(sidecar)
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -70,10 +70,12 @@
         self.watch_delay = WatchDelay(scenario, self._streams.named("membership"))
         self.links = Links(scenario.links, self._streams.named("links"), self.begin)
         self.clients = Clients(self)
-        self.attempts = Attempts(self, self._streams)
+        self.attempts = Attempts(self, self.clients, self._streams)
         self.endpoint_list = EndpointListPublisher(self)
         self.gossip = Gossip(self)
-        self.processes = SidecarProcesses(self, self._make_module)
+        self.processes = SidecarProcesses(
+            self, self.clients, self.attempts, self.endpoint_list, self._make_module
+        )
         self.sidecars = self.processes.sidecars
         span = (BEGIN, self.begin, self.end)
         self.arrivals = Arrivals(scenario, self._streams.named("arrivals"), self.clock, span, self._wished)
