--- a/anisespool/cli/lab/report_command.py
+++ b/anisespool/cli/lab/report_command.py
@@ -27,7 +27,7 @@
 from anisespool.cli.tables import Column, build_table
 from anisespool.lab import experiments
 from anisespool.lab.experiments import Case
-from anisespool.lab.model.timeline import Seen, rows
+from anisespool.lab.model.timeline import ScenarioRun, rows
 from anisespool.lab.scenario import Scenario
 
 REALITY = "reality"  # in place of a second policy: real processes
@@ -61,32 +61,34 @@
         raise CommandError(ExitStatus.FAILED, f"{broken[0].name}: {broken[0].broken}")
 
 
-def _run_all(name: str, options: ReportOptions) -> list[Seen]:
+def _run_all(name: str, options: ReportOptions) -> list[ScenarioRun]:
     """Make the first run, and the second where there is one."""
     title, scenario = load_scenario(name, options.overrides)
     policy = options.policy
     seed = options.seed
-    runs = [experiments.seen(Case(check_policy(policy), scenario, policy, seed))]
+    runs = [experiments.run_with_timeline(Case(check_policy(policy), scenario, policy, seed))]
     if options.second_run == REALITY:
         runs.append(_run_live(title, scenario, seed, options.as_json))
     elif options.second_run:
         second_policy = check_policy(options.second_run)
-        runs.append(experiments.seen(Case(second_policy, scenario, second_policy, seed)))
+        runs.append(experiments.run_with_timeline(Case(second_policy, scenario, second_policy, seed)))
     elif options.second_overrides:
         overrides = [*options.overrides, *options.second_overrides]
         second_title, second_scenario = load_scenario(name, overrides)
-        runs.append(experiments.seen(Case(second_title, second_scenario, policy, seed)))
+        runs.append(experiments.run_with_timeline(Case(second_title, second_scenario, policy, seed)))
     return runs
 
 
-def _run_live(title: str, scenario: Scenario, seed: int, quiet: bool) -> Seen:
+def _run_live(title: str, scenario: Scenario, seed: int, quiet: bool) -> ScenarioRun:
     from anisespool.cli.lab.live_run_progress import run_with_progress
 
     run = run_with_progress(title, scenario, seed, quiet)
-    return Seen(REALITY, scenario, run.metrics, run.backend.timeline, run.backend.utilization, run.broken)
+    return ScenarioRun(
+        REALITY, scenario, run.metrics, run.backend.timeline, run.backend.utilization, run.broken
+    )
 
 
-def _print_run(name: str, run: Seen, as_json: bool) -> None:
+def _print_run(name: str, run: ScenarioRun, as_json: bool) -> None:
     """Print a run's time line: a row for each second, as JSON lines or a table."""
     from anisespool.lab import report
 
--- a/anisespool/lab/live/clients.py
+++ b/anisespool/lab/live/clients.py
@@ -79,7 +79,7 @@
             if not self._sidecars[client_request.sidecar].up:
                 self._result.skipped += 1
                 continue
-            self._metrics.wished(client_request)
+            self._metrics.record_client_request(client_request)
             self._tasks.spawn(self._send_with_retries(client_request))
 
     async def _send_with_retries(self, client_request: ClientRequest) -> None:
@@ -147,7 +147,7 @@
             text = f"rule 1: wish {client_request.number} was answered with another's body"
             self._result.add_violation(text)
         if _had_retry_after(client_request):
-            self._metrics.honest[True] += 1
+            self._metrics.retry_after_outcomes[True] += 1
         self._metrics.end(client_request, now, "served")
 
     def _note_rejection(
@@ -155,7 +155,7 @@
     ) -> None:
         self._result.rejections.record_value(_histogram_us(now - started))
         if _had_retry_after(client_request):
-            self._metrics.honest[False] += 1
+            self._metrics.retry_after_outcomes[False] += 1
         client_request.last_rejection = (now, int(response.retry_after_s * SECOND))
 
     def _may_retry(self, client_request: ClientRequest, spec: Class, is_rejected: bool) -> bool:
--- a/anisespool/lab/live/fault_stage.py
+++ b/anisespool/lab/live/fault_stage.py
@@ -106,11 +106,11 @@
         self._backend.proxies.add(new)
         return new
 
-    def hush(self, endpoint: Endpoint) -> None:
+    def silence(self, endpoint: Endpoint) -> None:
         """Let new connections to the endpoint hang."""
         self._backend.proxies.shut(endpoint, ListenerState.SILENT)
 
-    def lose(self, endpoint: Endpoint) -> None:
+    def reset_connections(self, endpoint: Endpoint) -> None:
         """Reset the endpoint's connections; one that is dead refuses new ones."""
         self._backend.proxies.drop_connections(endpoint)
 
--- a/anisespool/lab/live/live_backend.py
+++ b/anisespool/lab/live/live_backend.py
@@ -124,7 +124,7 @@
             internal_error=self.clock.internal_error,
             executions=executions,
             utilization=utilization(self),
-            timeline=self.observer.looks if self.observer else [],
+            timeline=self.observer.samples if self.observer else [],
             links=self.links.counts,
             datagrams=self.datagrams.counts,
             heard=list(self.datagrams.heard),
@@ -175,7 +175,7 @@
         width = self.scenario.network.spread
         spread = self._hop_draws.uniform(1 - width, 1 + width) if width else 1.0
         is_same_zone = self.zones[job.sidecar] == endpoint.spec.zone
-        delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.ails.delay)
+        delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.faults.delay)
         if delay < LOOPBACK_NS:
             self.clock.call(callback, arguments)  # so that a broken rule is noted, however short the way
         else:
@@ -219,7 +219,7 @@
             sent_at=now,
             work_ns=target.work_ns,
             client_request=self._client_request(target, now),
-            life=endpoint.life,
+            incarnation=endpoint.incarnation,
             connection=connection,
             trace=trace,
             delivered_at=now + link_delay,
@@ -280,7 +280,7 @@
         else:
             self.stop(attempt)
 
-    def told_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Return whether the job's sidecar was notified of the endpoint's last start."""
         return self.feeds.knows_start(job.sidecar, endpoint)
 
@@ -288,7 +288,7 @@
         """Send an answer through the network; an endpoint may lose it."""
         assert isinstance(job, InFlightAttempt)
         assert job.connection
-        loss = endpoint.ails.loses
+        loss = endpoint.faults.loses
         if loss and self._loss_draws.uniform() < loss:
             self._lose_answer(job, job.connection)
             return
--- a/anisespool/lab/live/proxy_table.py
+++ b/anisespool/lab/live/proxy_table.py
@@ -74,13 +74,13 @@
         """Reset the connections of an endpoint; one that is dead refuses new ones."""
         for proxy in self.of(endpoint):
             proxy.drop_connections()
-            if endpoint.ails.dead:
+            if endpoint.faults.dead:
                 proxy.shut(ListenerState.REFUSED)
 
     def apply_links(self, now: int) -> None:
         """Bring all listeners into the state that the links demand now; endpoints that are down stay so."""
         for proxy in self.all():
-            if not (proxy.endpoint.ails.dead or proxy.endpoint.ails.vanished):
+            if not (proxy.endpoint.faults.dead or proxy.endpoint.faults.vanished):
                 self._apply_cut(proxy, self._cut_of(proxy, now))
 
     def _apply_cut(self, proxy: ConnectionProxy, cut: str) -> None:
--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -60,7 +60,7 @@
         """Draws the time of one way between the two, ns."""
         width = self._scenario.network.spread
         spread = self._network_draws.uniform(1 - width, 1 + width) if width else 1.0
-        return hop_ns(self._scenario, sidecar.zone == endpoint.spec.zone, spread, endpoint.ails.delay)
+        return hop_ns(self._scenario, sidecar.zone == endpoint.spec.zone, spread, endpoint.faults.delay)
 
     def _request_delay(self, sidecar: Sidecar, endpoint: Endpoint) -> int | None:
         """How much links delay a request on an open connection, ns; None if they reset it."""
@@ -94,7 +94,7 @@
             sent_at=now,
             work_ns=client_request.work_ns,
             client_request=client_request,
-            life=endpoint.life,
+            incarnation=endpoint.incarnation,
         )
         self._jobs[_key(job)] = job
         self._metrics.attempts += 1
@@ -119,14 +119,14 @@
         if self._is_unreachable(sidecar, endpoint) or cut == "silent":
             timeout = int(self._scenario.network.connect_timeout_ms * MS)
             self._clock.after(timeout, self._finish, job, AttemptStatus.CONNECT_FAILED)
-        elif cut or endpoint.ails.dead or endpoint.connections >= endpoint.spec.connections:
+        elif cut or endpoint.faults.dead or endpoint.connections >= endpoint.spec.connections:
             self._clock.after(2 * hop, self._finish, job, AttemptStatus.CONNECT_FAILED)
         else:
             self._open_connection(sidecar, endpoint, job, hop)
 
     def _is_unreachable(self, sidecar: Sidecar, endpoint: Endpoint) -> bool:
         """Whether nothing answers a connection attempt."""
-        return endpoint.ails.vanished or endpoint.overloaded or self._is_isolated(sidecar, endpoint)
+        return endpoint.faults.vanished or endpoint.overloaded or self._is_isolated(sidecar, endpoint)
 
     def _open_connection(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
         endpoint.connections += 1
@@ -137,7 +137,7 @@
         self._clock.after(trips, self._connected, sidecar, endpoint, job)
 
     def _connected(self, sidecar: Sidecar, endpoint: Endpoint, job: Job) -> None:
-        if endpoint.life != job.life:
+        if endpoint.incarnation != job.incarnation:
             self._finish(job, AttemptStatus.CONNECT_FAILED)
         elif job.over:  # given up meanwhile: the connection is there for the next
             sidecar.add_idle_connection(endpoint.id)
@@ -161,7 +161,7 @@
     def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
         """Sends an endpoint's response back, unless the network or the endpoint loses it."""
         sidecar = self._run.sidecars[job.sidecar]
-        loss = endpoint.ails.loses
+        loss = endpoint.faults.loses
         hop = self._hop(sidecar, endpoint)
         if self._is_isolated(sidecar, endpoint):
             return
@@ -176,7 +176,7 @@
             self._clock.after(hop + late, self._answered, endpoint, job, status, load)
 
     def _answered(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
-        if not job.over and endpoint.life == job.life:
+        if not job.over and endpoint.incarnation == job.incarnation:
             self._run.sidecars[job.sidecar].add_idle_connection(endpoint.id)
         self._finish(job, status, load)
 
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -59,7 +59,7 @@
         speed = spec.speed * draws.uniform(1 - spec.speed_spread, 1 + spec.speed_spread)
         return Endpoint(number, kind, spec, self.scenario.rules, speed)
 
-    def told_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the sidecar that sent it knows of the endpoint's last start."""
         raise NotImplementedError
 
@@ -70,13 +70,13 @@
     def arrive(self, job: Job) -> None:
         """Takes a request whose last byte has arrived."""
         endpoint = self.endpoints[job.endpoint - 1]
-        if endpoint.life != job.life or endpoint.ails.dead:
+        if endpoint.incarnation != job.incarnation or endpoint.faults.dead:
             return  # its sidecar was notified by a reset
-        broken = endpoint.check_overload(self.clock.now, job.work_ns, self.told_of(job, endpoint))
+        broken = endpoint.check_overload(self.clock.now, job.work_ns, self.is_notified_of(job, endpoint))
         must(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
-        if endpoint.overloaded or endpoint.ails.vanished:
+        if endpoint.overloaded or endpoint.faults.vanished:
             return
-        failure_rate = endpoint.ails.failure_rate
+        failure_rate = endpoint.faults.failure_rate
         if failure_rate and self._failure_draws.uniform() < failure_rate:
             job.client_request.executions += 1
             self._respond(endpoint, job, AttemptStatus.ERROR)
@@ -89,7 +89,7 @@
     def stop(self, job: Job) -> None:
         """Takes the end of a connection, on which the group's kind of cancelling depends."""
         endpoint = self.endpoints[job.endpoint - 1]
-        if endpoint.life != job.life or job.stopped:
+        if endpoint.incarnation != job.incarnation or job.stopped:
             return
         endpoint.connections -= 1
         if endpoint.spec.cancel == "none":
@@ -118,10 +118,10 @@
             self.clock.after(max(1, service_time), self._finish_execution, endpoint, job)
 
     def _finish_execution(self, endpoint: Endpoint, job: Job) -> None:
-        if endpoint.life != job.life or job.stopped:
+        if endpoint.incarnation != job.incarnation or job.stopped:
             return
-        if self.clock.now < endpoint.ails.paused_until:
-            self.clock.at(endpoint.ails.paused_until, self._finish_execution, endpoint, job)
+        if self.clock.now < endpoint.faults.paused_until:
+            self.clock.at(endpoint.faults.paused_until, self._finish_execution, endpoint, job)
             return
         job.running = False
         job.stopped = True
@@ -130,7 +130,7 @@
         self._start(endpoint)
 
     def _respond(self, endpoint: Endpoint, job: Job, status: AttemptStatus) -> None:
-        if endpoint.ails.vanished or endpoint.overloaded:
+        if endpoint.faults.vanished or endpoint.overloaded:
             return
         now = self.clock.now
         valid_until = now + int(self._report_draws.uniform(*self.scenario.reports.every_ms) * MS)
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -48,7 +48,7 @@
         """Sends a client request for the first time, unless its application is stopped with its sidecar."""
         if self._run.serving(client_request.sidecar).down:
             return
-        self._metrics.wished(client_request)
+        self._metrics.record_client_request(client_request)
         self._send(client_request)
 
     def _send(self, client_request: ClientRequest) -> None:
@@ -136,8 +136,8 @@
             return
         client_request = self.close(key)
         if client_request.last_retry_after:
-            self._metrics.honest[True] += 1
-        self._metrics.tried(client_request, False)
+            self._metrics.retry_after_outcomes[True] += 1
+        self._metrics.record_client_attempt(client_request, False)
         self._metrics.end(client_request, self._clock.now, "served")
 
     def _reject(self, client_request: ClientRequest, retry_after: int) -> None:
@@ -149,9 +149,9 @@
             f"rule 2: wish {client_request.number} was refused, and had run",
         )
         client_request.rejections += 1
-        self._metrics.tried(client_request, True)
+        self._metrics.record_client_attempt(client_request, True)
         if client_request.last_retry_after:
-            self._metrics.honest[False] += 1
+            self._metrics.retry_after_outcomes[False] += 1
         client_request.last_rejection = (now, retry_after)
         if client_request.attempts_made >= self._scenario.clients.max_attempts:
             self._metrics.end(client_request, now, "refused")
@@ -161,7 +161,7 @@
 
     def fail(self, client_request: ClientRequest) -> None:
         """A request failed, or its process died: its client retries it if it is idempotent."""
-        self._metrics.tried(client_request, False)
+        self._metrics.record_client_attempt(client_request, False)
         idempotent = self._scenario.classes[client_request.class_index].effect == "repeatable"
         if idempotent and client_request.attempts_made < self._scenario.clients.max_attempts:
             self._retry_after(self._backoff_ns, client_request)
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -22,7 +22,7 @@
 
     Attributes:
         number: Of the request's attempts, from 0.
-        life: Which process of the endpoint it was sent to.
+        incarnation: Which process of the endpoint it was sent to.
         over: Its module has been notified of its outcome.
         connected: Its request has left on a connection.
         fresh: It opened a connection of its own.
@@ -37,7 +37,7 @@
     sent_at: int
     work_ns: int
     client_request: ClientRequest
-    life: int = 0
+    incarnation: int = 0
     over: bool = False
     connected: bool = False
     fresh: bool = False
@@ -91,9 +91,9 @@
         listed: Its state in the registry.
         overloaded: It was sent too much while it was warming up, and stays down.
         busy: Cores in use.
-        ails: What is wrong with it.
+        faults: What is wrong with it.
         busy_ns: Core time spent so far.
-        life: Counts its restarts: which process it is.
+        incarnation: Counts its restarts: which process it is.
     """
 
     id: int
@@ -107,9 +107,9 @@
     busy: int = 0
     connections: int = 0
     waiting: deque[Job] = field(default_factory=deque)
-    ails: EndpointFaults = field(default_factory=EndpointFaults)
+    faults: EndpointFaults = field(default_factory=EndpointFaults)
     busy_ns: int = 0
-    life: int = 0
+    incarnation: int = 0
     _load_report: tuple[float, ...] = ()
     _load_report_until: int = 0
     _warmup_arrivals: deque[WarmupArrival] = field(default_factory=deque)
@@ -124,7 +124,7 @@
 
     def core_speed(self, now: int) -> float:
         """Work done per second of one core now."""
-        return self.speed * self.warmth(now) * (1 - self.ails.stolen_cpu) / self.ails.slowdown
+        return self.speed * self.warmth(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
 
     def check_overload(self, now: int, work_ns: int, notified: bool) -> bool:
         """Rule 4: counts work that has arrived, and overloads an endpoint that is still warming up by it.
@@ -188,6 +188,6 @@
         self.connections = 0
         self.started = now
         self.overloaded = False
-        self.life += 1
-        self.ails.dead = False
-        self.ails.vanished = False
+        self.incarnation += 1
+        self.faults.dead = False
+        self.faults.vanished = False
--- a/anisespool/lab/model/faults.py
+++ b/anisespool/lab/model/faults.py
@@ -66,13 +66,13 @@
     def replace(self, endpoint: Endpoint) -> Endpoint:
         """Adds an endpoint that takes another's place, under another name, not yet listed."""
 
-    def hush(self, endpoint: Endpoint) -> None:
+    def silence(self, endpoint: Endpoint) -> None:
         """Its machine sends nothing from now on, and no connection to it comes up."""
 
     def process_fault(self, process_fault: ProcessFault) -> None:
         """Applies a fault to a sidecar's process, if this run holds the processes."""
 
-    def lose(self, endpoint: Endpoint) -> None:
+    def reset_connections(self, endpoint: Endpoint) -> None:
         """Resets its connections; if it is dead, it accepts no more."""
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
@@ -202,33 +202,33 @@
 
 
 def _slow(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.ails.slowdown = fault.size if begins else 1.0
+    endpoint.faults.slowdown = fault.size if begins else 1.0
 
 
 def _fail(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.ails.failure_rate = fault.size if begins else 0.0
+    endpoint.faults.failure_rate = fault.size if begins else 0.0
 
 
 def _neighbour(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.ails.stolen_cpu = min(fault.size, MAX_STOLEN_CPU) if begins else 0.0
+    endpoint.faults.stolen_cpu = min(fault.size, MAX_STOLEN_CPU) if begins else 0.0
 
 
 def _delay(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.ails.delay = fault.size if begins else 1.0
+    endpoint.faults.delay = fault.size if begins else 1.0
 
 
 def _lossy(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.ails.loses = fault.size if begins else 0.0
+    endpoint.faults.loses = fault.size if begins else 0.0
 
 
 def _pause(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
     if begins:
-        endpoint.ails.paused_until = _ends_at(target, fault)
+        endpoint.faults.paused_until = _ends_at(target, fault)
 
 
 def _reset(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
     if begins:
-        target.lose(endpoint)
+        target.reset_connections(endpoint)
 
 
 def _replace(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
@@ -251,10 +251,10 @@
 def _vanish(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
     """Its machine is silent; when it is back, all open connections are reset."""
     if begins:
-        endpoint.ails.vanished = True
-        target.hush(endpoint)
+        endpoint.faults.vanished = True
+        target.silence(endpoint)
     else:
-        target.lose(endpoint)
+        target.reset_connections(endpoint)
         _start_again(target, endpoint)
 
 
@@ -263,7 +263,7 @@
     if begins:
         target.publish(endpoint, EndpointState.DRAINING)
     else:
-        target.lose(endpoint)
+        target.reset_connections(endpoint)
         _start_again(target, endpoint)
 
 
@@ -272,8 +272,8 @@
 
 
 def _die(target: FaultTarget, endpoint: Endpoint) -> None:
-    endpoint.ails.dead = True
-    target.lose(endpoint)
+    endpoint.faults.dead = True
+    target.reset_connections(endpoint)
     target.publish(endpoint, EndpointState.GONE)
 
 
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -76,7 +76,7 @@
         tries: Requests that clients sent, during the warm-up too.
         tries_measured: Of these, the ones after the warm-up that have ended.
         tries_rejected: Of the measured ones, those rejected.
-        honest: Next tries after a Retry-After: whether they were served, or rejected again.
+        retry_after_outcomes: Next tries after a Retry-After: whether they were served, or rejected again.
         weight_requested: Sum of the client requests' weights.
         weight_in_time: Of these, weights of those served in time.
         weight_late: Weights of those that were not, and ended after their latency objective.
@@ -96,7 +96,7 @@
     tries: int = 0
     tries_measured: int = 0
     tries_rejected: int = 0
-    honest: Counter[bool] = field(default_factory=Counter)
+    retry_after_outcomes: Counter[bool] = field(default_factory=Counter)
     weight_requested: float = 0.0
     weight_in_time: float = 0.0
     weight_late: float = 0.0
@@ -129,7 +129,7 @@
         self._open_over_time += self._open * (now - self._integrated_until)
         self._integrated_until = now
 
-    def wished(self, client_request: ClientRequest) -> None:
+    def record_client_request(self, client_request: ClientRequest) -> None:
         """Notes a client request that is about to be sent first."""
         if client_request.arrived_at >= self.begin:
             self.requested[client_request.class_index] += 1
@@ -138,7 +138,7 @@
     def _weight(self, client_request: ClientRequest) -> float:
         return self.scenario.classes[client_request.class_index].priority_weight * client_request.weight
 
-    def tried(self, client_request: ClientRequest, refused: bool) -> None:
+    def record_client_attempt(self, client_request: ClientRequest, refused: bool) -> None:
         """Notes the end of one of its requests, by a rejection or otherwise."""
         if client_request.arrived_at >= self.begin:
             self.tries_measured += 1
@@ -281,5 +281,5 @@
             "worst_window": self.worst_window(),
             "worst_class": self.worst_class(),
             "worst_tenant": self.worst_tenant(),
-            "honest": self.honest[True] / max(1, sum(self.honest.values())),
+            "honest": self.retry_after_outcomes[True] / max(1, sum(self.retry_after_outcomes.values())),
         }
--- a/anisespool/lab/model/policies.py
+++ b/anisespool/lab/model/policies.py
@@ -166,7 +166,7 @@
 
     def _wait(self, number: int) -> float:
         endpoint = self.world.endpoints[number - 1]
-        if endpoint.ails.dead or endpoint.ails.vanished:
+        if endpoint.faults.dead or endpoint.faults.vanished:
             return float("inf")
         requests = endpoint.busy + len(endpoint.waiting) + 1
         return max(1.0, requests / endpoint.spec.cores) / endpoint.core_speed(self.now)
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -32,11 +32,11 @@
 
 
 @dataclass
-class Seen:
+class ScenarioRun:
     """A run, as a report shows it.
 
     Attributes:
-        looks: Samples in order.
+        samples: Samples in order.
         utilization: Share of its cores' time that each endpoint spent on requests.
         broken: The rule that was broken, if any.
     """
@@ -44,7 +44,7 @@
     name: str
     scenario: Scenario
     metrics: RunMetrics
-    looks: list[TimelineSample] = field(default_factory=list)
+    samples: list[TimelineSample] = field(default_factory=list)
     utilization: list[float] = field(default_factory=list)
     broken: str = ""
 
@@ -53,11 +53,11 @@
     """Samples a run's endpoints.
 
     Attributes:
-        looks: The samples so far.
+        samples: The samples so far.
     """
 
     def __init__(self, backend: Backend, begin: int, end: int) -> None:
-        self.looks: list[TimelineSample] = []
+        self.samples: list[TimelineSample] = []
         self._backend = backend
         self._begin = begin
         self._end = end
@@ -70,7 +70,7 @@
         queues = [len(endpoint.waiting) for endpoint in endpoints]
         running = sum(endpoint.busy for endpoint in endpoints)
         at_s = (now - self._begin) / SECOND
-        self.looks.append(TimelineSample(at_s, running, sum(queues), max(queues)))
+        self.samples.append(TimelineSample(at_s, running, sum(queues), max(queues)))
         if now + self._interval <= self._end:
             self._backend.clock.after(self._interval, self._sample)
 
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -78,7 +78,9 @@
         )
         self.sidecars = self.processes.sidecars
         span = (BEGIN, self.begin, self.end)
-        self.arrivals = Arrivals(scenario, self._streams.named("arrivals"), self.clock, span, self._wished)
+        self.arrivals = Arrivals(
+            scenario, self._streams.named("arrivals"), self.clock, span, self.on_client_request
+        )
 
     # The run --------------------------------------------------------------------------------------
 
@@ -110,7 +112,8 @@
         seed = self.seed * 1_000_003 + sidecar.number * 101 + sidecar.incarnation
         return self._module(sidecar.settings, seed, self)
 
-    def _wished(self, client_request: ClientRequest) -> None:
+    def on_client_request(self, client_request: ClientRequest) -> None:
+        """Lets a client send a request for the first time."""
         self.clients.start(client_request)
 
     def serving(self, slot: int) -> Sidecar:
@@ -165,7 +168,7 @@
 
     # What the endpoints need (Backend) ------------------------------------------------------------
 
-    def told_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the sidecar that sent it knows of the endpoint's last start."""
         return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started
 
@@ -183,12 +186,12 @@
         """Sends every sidecar the complete list, or an empty one."""
         self.endpoint_list.publish_all(rows)
 
-    def lose(self, endpoint: Endpoint) -> None:
+    def reset_connections(self, endpoint: Endpoint) -> None:
         """Resets an endpoint's connections."""
         self.attempts.reset_connections(endpoint)
 
-    def hush(self, endpoint: Endpoint) -> None:
-        """Nothing to do: `ails.vanished` already keeps its messages back."""
+    def silence(self, endpoint: Endpoint) -> None:
+        """Nothing to do: `faults.vanished` already keeps its messages back."""
 
     def set_rate(self, times: float) -> None:
         """Multiplies the traffic."""
--- a/anisespool/lab/report.py
+++ b/anisespool/lab/report.py
@@ -12,7 +12,7 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-from anisespool.lab.model.timeline import SHOWN, Seen, rows
+from anisespool.lab.model.timeline import SHOWN, ScenarioRun, rows
 from anisespool.lab.scenario import Fault, Scenario
 
 COLOURS = ("#1f6f8b", "#d1603d")  # of the first run and the second
@@ -34,7 +34,7 @@
 </style>"""
 
 Axes = Any  # matplotlib has no types
-Draw = Callable[[Axes, Sequence[Seen]], None]
+Draw = Callable[[Axes, Sequence[ScenarioRun]], None]
 
 
 class Drawing(NamedTuple):
@@ -44,7 +44,7 @@
     draw: Draw
 
 
-def page(title: str, runs: Sequence[Seen]) -> str:
+def page(title: str, runs: Sequence[ScenarioRun]) -> str:
     """The whole HTML file.
 
     Args:
@@ -82,7 +82,7 @@
     return f"{value:.1f}" if column.endswith("ms") else str(value)
 
 
-def _table(run: Seen) -> str:
+def _table(run: ScenarioRun) -> str:
     parts = ["<table><tr>", *(f"<th>{column.replace('_', ' ')}</th>" for column in COLUMNS), "</tr>"]
     for row in rows(run.metrics):
         cells = (f"<td>{html.escape(cell(column, row[column]))}</td>" for column in COLUMNS)
@@ -90,8 +90,8 @@
     return "".join(parts) + f"</table><p>{_summary(run)}</p>"
 
 
-def _summary(run: Seen) -> str:
-    honest = run.metrics.honest
+def _summary(run: ScenarioRun) -> str:
+    honest = run.metrics.retry_after_outcomes
     retries = sum(honest.values())
     text = f"service {run.metrics.service():.3f}"
     if retries:
@@ -99,7 +99,7 @@
     return text
 
 
-def _picture(draw: Draw, runs: Sequence[Seen]) -> str:
+def _picture(draw: Draw, runs: Sequence[ScenarioRun]) -> str:
     """An inline SVG, the same bytes for the same figures."""
     with matplotlib.rc_context({"svg.hashsalt": "lab", "svg.fonttype": "none", "font.size": 9}):
         figure, axes = plt.subplots(figsize=SIZE_INCHES, layout="constrained")
@@ -137,13 +137,13 @@
     )
 
 
-def _classes(run: Seen) -> Iterator[tuple[int, str, str]]:
+def _classes(run: ScenarioRun) -> Iterator[tuple[int, str, str]]:
     """Index, name and line style of each class that is drawn."""
     for number, request_class in enumerate(run.scenario.classes[:MAX_CLASSES]):
         yield number, request_class.name, STYLES[number % len(STYLES)]
 
 
-def _shares(run: Seen, class_index: int, outcome: str) -> tuple[list[float], list[float]]:
+def _shares(run: ScenarioRun, class_index: int, outcome: str) -> tuple[list[float], list[float]]:
     """Middle of each second of the scenario, and percent of its client requests with that outcome."""
     seconds = []
     percents = []
@@ -158,7 +158,7 @@
 def _by_class(outcome: str, label: str) -> Draw:
     """Makes the diagram of an outcome's share over time."""
 
-    def draw(axes: Axes, runs: Sequence[Seen]) -> None:
+    def draw(axes: Axes, runs: Sequence[ScenarioRun]) -> None:
         _draw_faults(axes, runs[0].scenario)
         for run, colour in zip(runs, COLOURS, strict=False):
             for number, name, style in _classes(run):
@@ -170,7 +170,7 @@
     return draw
 
 
-def _latency(axes: Axes, runs: Sequence[Seen]) -> None:
+def _latency(axes: Axes, runs: Sequence[ScenarioRun]) -> None:
     places = list(range(len(PERCENTILES)))
     for run, colour in zip(runs, COLOURS, strict=False):
         for number, name, style in _classes(run):
@@ -185,18 +185,18 @@
     axes.set_yscale("log")
 
 
-def _queues(axes: Axes, runs: Sequence[Seen]) -> None:
+def _queues(axes: Axes, runs: Sequence[ScenarioRun]) -> None:
     _draw_faults(axes, runs[0].scenario)
     for run, colour in zip(runs, COLOURS, strict=False):
-        times = [sample.at_s for sample in run.looks]
-        waiting = [sample.waiting for sample in run.looks]
-        longest = [sample.longest for sample in run.looks]
+        times = [sample.at_s for sample in run.samples]
+        waiting = [sample.waiting for sample in run.samples]
+        longest = [sample.longest for sample in run.samples]
         axes.plot(times, waiting, color=colour, lw=1.2, label=f"{run.name}: all")
         axes.plot(times, longest, ":", color=colour, lw=1.2, label=f"{run.name}: longest")
     axes.set_ylabel("waiting")
 
 
-def _utilization(axes: Axes, runs: Sequence[Seen]) -> None:
+def _utilization(axes: Axes, runs: Sequence[ScenarioRun]) -> None:
     width = 0.8 / len(runs)
     for number, (run, colour) in enumerate(zip(runs, COLOURS, strict=False)):
         places = [endpoint + number * width for endpoint in range(len(run.utilization))]
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -90,7 +90,7 @@
 
     def _add_capacity(self) -> None:
         for endpoint in self.endpoints:
-            if not endpoint.ails.dead:
+            if not endpoint.faults.dead:
                 warmth = endpoint.warmth(self.clock.now)
                 self.capacity[self._age_s(endpoint)] += endpoint.spec.cores * endpoint.spec.speed * warmth
 
--- a/tests/lab/test_admission_scenarios.py
+++ b/tests/lab/test_admission_scenarios.py
@@ -164,6 +164,6 @@
             bursts=[{"at_s": 0.5, "count": 700, "every_s": 4.0}],
             clients={"tries": 2},
         )
-        retries += day.metrics.honest
+        retries += day.metrics.retry_after_outcomes
     assert sum(retries.values()) > 400
     assert retries[True] >= 0.8 * sum(retries.values())
--- a/tests/lab/test_live_run.py
+++ b/tests/lab/test_live_run.py
@@ -83,9 +83,9 @@
     requests_of_model: list[tuple[int, int, int, int]] = []
 
     class RecordingWorld(World):
-        def _wished(self, client_request: ClientRequest) -> None:
+        def on_client_request(self, client_request: ClientRequest) -> None:
             requests_of_model.append(drawn(client_request, BEGIN))
-            super()._wished(client_request)
+            super().on_client_request(client_request)
 
     assert RecordingWorld(scenario, 5).run().attempts
     assert requests_of_model == [drawn(client_request) for client_request in plan(scenario, 5)]
@@ -107,7 +107,9 @@
 
 def test_a_report_is_one_file_without_outside_parts_and_the_same_each_time() -> None:
     scenario = from_raw(BUSY | {"asks": "Is <this> escaped?"}, "busy")
-    runs = [experiments.seen(Case(policy, scenario, policy, 1)) for policy in ("ours", "least-open")]
+    runs = [
+        experiments.run_with_timeline(Case(policy, scenario, policy, 1)) for policy in ("ours", "least-open")
+    ]
     page = report.page("busy", runs)
     assert page == report.page("busy", runs)
     assert page.count("<svg") == len(report.DRAWINGS)
--- a/tests/lab/test_standing_scenarios.py
+++ b/tests/lab/test_standing_scenarios.py
@@ -140,7 +140,7 @@
     assert [endpoint.id for endpoint in new] == list(range(13, 19))
     gone = [endpoint for endpoint in old if endpoint.listed is EndpointState.GONE]
     assert len(gone) == 6
-    assert all(endpoint.ails.dead for endpoint in gone)
+    assert all(endpoint.faults.dead for endpoint in gone)
     started_s = sorted((endpoint.started - world.begin) / SECOND for endpoint in new)
     assert started_s == pytest.approx([2 + number / 3 for number in range(6)])
     used = {one.endpoint for one in world.arrived_between(7, float("inf"))}
