--- a/anisespool/fakes/gossip_process.py
+++ b/anisespool/fakes/gossip_process.py
@@ -157,10 +157,10 @@
                 for state in self._members.values():
                     state.last_seen_s = max(state.last_seen_s, now_s)
             await asyncio.sleep(0)  # read what waits in the socket before any member is considered dead
-            self._send_heartbeats()
-            self._detect_failures(time.monotonic())
+            self.send_heartbeats()
+            self.detect_failures(time.monotonic())
             self._checked_s = time.monotonic()
-            self._take_budget()
+            self.take_budget()
             due_s = time.monotonic() + HEARTBEAT_INTERVAL_S
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
@@ -174,7 +174,8 @@
         state.counter = heartbeat.counter
         state.is_alive = True
 
-    def _send_heartbeats(self) -> None:
+    def send_heartbeats(self) -> None:
+        """Send the own heartbeat counter, and some of other members, to a few random members."""
         self._counter += 1
         own = Heartbeat(self._config.number, self._boot, self._counter)
         others = [
@@ -187,24 +188,27 @@
         for number in self._random.sample(sorted(self._members), min(FANOUT, len(self._members))):
             self._transport.sendto(data, self._config.peers[number])
 
-    def _detect_failures(self, now_s: float) -> None:
+    def detect_failures(self, now_s: float) -> None:
+        """Declare members dead that no heartbeat came from for `DEAD_AFTER_S`; print a changed view."""
         for number, state in self._members.items():
             is_overdue = state.is_alive and now_s - state.last_seen_s > DEAD_AFTER_S
             if is_overdue and self._mutation is not Mutation.KEEPS_THE_DEAD:
                 state.is_alive = False
                 print_event("dead", member=number)
-        view = sorted([self._config.number, *self._alive_members()])
+        view = sorted([self._config.number, *self.alive_members()])
         if view != self._printed_view:
             self._printed_view = view
             print_event("view", view=",".join(map(str, view)))
 
-    def _alive_members(self) -> list[int]:
+    def alive_members(self) -> list[int]:
+        """Return the numbers of the other members that are alive."""
         return [number for number, state in self._members.items() if state.is_alive]
 
-    def _take_budget(self) -> None:
+    def take_budget(self) -> None:
+        """Reserve this member's share of the budget."""
         shares = len(self._config.peers)
         if self._mutation is Mutation.SPLITS_BY_VIEW:
-            shares = 1 + len(self._alive_members())
+            shares = 1 + len(self.alive_members())
         order = {
             "member": self._config.number,
             "units": self._config.budget / shares,
--- a/anisespool/lab/model/links.py
+++ b/anisespool/lab/model/links.py
@@ -163,6 +163,10 @@
         self._matches.clear()
         return fault
 
+    def channel_state_size(self) -> int:
+        """Returns the entries of the largest table of channels: `MAX_CHANNELS` at most."""
+        return max(len(self._bad_channels), len(self._free_at), len(self._matches))
+
     def faults(self) -> Iterator[LinkFault]:
         """All links, in the order in which they were added."""
         yield from self._faults
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -80,8 +80,8 @@
     sidecar = Sidecar([listed(1), listed(2)])
     lines: list[str] = []
     for _ in range(200):
-        sidecar._last += 1
-        actions = sidecar.handle(api.RequestArrived(sidecar._last, 2, 2 * SECOND))
+        sidecar.last_request += 1
+        actions = sidecar.handle(api.RequestArrived(sidecar.last_request, 2, 2 * SECOND))
         for send in sends(actions):
             event = api.AttemptOutcome(send.request, send.endpoint, 0, MS, AttemptStatus.ERROR, False)
             actions += sidecar.handle(event)
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -11,7 +11,6 @@
     SECOND,
     Sidecar,
     listed,
-    pending_request,
     sends,
     share,
 )
@@ -69,14 +68,13 @@
         sidecar = Sidecar([listed(n) for n in range(1, 5)])
         sidecar.serve(200, latency_ns=10 * MS)
         sidecar.update_endpoints([listed(4, started_ns=sidecar.now)])
-        for number in range(60 * unanswered):
-            request = sidecar.balancer.pending.setdefault(-number, pending_request(sidecar))
-            sidecar.balancer._start_attempt(request, sidecar.endpoint(1), 10e6)
-            sidecar.endpoint(1).in_flight.clear()
+        slow_start = sidecar.balancer.selector.slow_start
+        for _ in range(60 * unanswered):
+            slow_start.record_sent(sidecar.endpoint(1), 10e6, sidecar.balancer.now)
         sidecar.endpoint(4).slow_start_factor = 0.25
         weights = [1.0, 1.0, 1.0, 9.0]
         endpoints = list(sidecar.balancer.endpoints.by_id.values())
-        sidecar.balancer.selector.slow_start.cap_weights(endpoints, weights, sidecar.balancer.now)
+        slow_start.cap_weights(endpoints, weights, sidecar.balancer.now)
         assert sum(weights) == pytest.approx(12.0)
         shares.append(weights[3] / 12)
     assert shares[1] < 0.75 * shares[0]
--- a/tests/fakes/test_gossip_process.py
+++ b/tests/fakes/test_gossip_process.py
@@ -43,7 +43,7 @@
     """The members considered alive after datagrams, each a sender and its rows."""
     for sender, rows in datagrams:
         node.datagram_received(b"".join(ROW.pack(*row) for row in rows), tuple(PEERS[sender]))
-    return node._alive_members()
+    return node.alive_members()
 
 
 def test_the_file_is_parsed() -> None:
@@ -74,7 +74,7 @@
     node, _ = create_node()
     node.datagram_received(ROW.pack(1, 1, 1), ("127.0.0.1", 1))
     node.datagram_received(ROW.pack(1, 1, 1)[:-1], tuple(PEERS[1]))
-    assert node._alive_members() == []
+    assert node.alive_members() == []
 
 
 @pytest.mark.parametrize(("mutation", "expected"), [("", []), ("keeps-the-dead", [1])])
@@ -83,8 +83,8 @@
 ) -> None:
     node, _ = create_node(mutation)
     assert alive_after(node, (1, [(1, 1, 5)]), (1, [(1, 1, 5)])) == [1]
-    node._detect_failures(time.monotonic() + 1.6)
-    assert node._alive_members() == expected
+    node.detect_failures(time.monotonic() + 1.6)
+    assert node.alive_members() == expected
     events = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert [event["what"] for event in events] == (["view"] if expected else ["dead", "view"])
     assert events[-1]["view"] == ("0,1" if expected else "0")
@@ -96,7 +96,7 @@
 def test_its_share_of_the_budget_does_not_depend_on_its_view(mutation: str, units: float) -> None:
     node, transport = create_node(mutation)
     alive_after(node, (1, [(1, 1, 1)]))
-    node._take_budget()
+    node.take_budget()
     order: dict[str, Any] = json.loads(transport.sent[0][0])
     assert order == {"member": 0, "units": units, "hold_s": 0.2}
     assert transport.sent[0][1] == Address("127.0.0.1", 7010)
@@ -105,6 +105,6 @@
 def test_heartbeats_carry_its_own_counter_and_those_of_living_members() -> None:
     node, transport = create_node()
     alive_after(node, (1, [(1, 1, 5)]))
-    node._send_heartbeats()
+    node.send_heartbeats()
     assert {address.port for _, address in transport.sent} == {7002, 7003}
     assert {data for data, _ in transport.sent} == {ROW.pack(0, 1, 1) + ROW.pack(1, 1, 5)}
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -227,7 +227,7 @@
     links = make_links({"loss": 0.5, "burst": 3, "rate_kb_s": 1})
     for number in range(100):
         links.datagram(0, Node("sidecar", number), B, b"x")
-    assert max(len(links._bad_channels), len(links._free_at), len(links._matches)) == 10
+    assert links.channel_state_size() == 10
     for _ in range(2):
         links.add(Link(at_s=0, for_s=1))
     with pytest.raises(ValueError, match="links: found over 3"):
--- a/tests/support.py
+++ b/tests/support.py
@@ -91,7 +91,7 @@
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 100 * SECOND
         self.update_endpoints(listings, api.EndpointListKind.CACHED)
-        self._last = 0
+        self.last_request = 0
 
     def update_endpoints(
         self, listings: list[api.EndpointListing], kind: api.EndpointListKind = api.EndpointListKind.DELTA
@@ -109,8 +109,8 @@
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
         """Let a client send the next request, of class `cls`."""
-        self._last += 1
-        event = api.RequestArrived(self._last, cls, left_ns, **fields)
+        self.last_request += 1
+        event = api.RequestArrived(self.last_request, cls, left_ns, **fields)
         return without_logs(self.balancer.handle(self.now, event))
 
     def outcome(
