--- a/anisespool/records/buffer.py
+++ b/anisespool/records/buffer.py
@@ -40,8 +40,8 @@
 class QueuedRecord:
     """A request's record on its way to the receiver.
 
-    It is encoded only when it is about to be sent: encoding many in a row costs half as much, and records
-    that are dropped are never encoded.
+    It is encoded only when it is about to be sent: encoding many in a row costs less CPU, and records that
+    are dropped are never encoded.
     """
 
     number: int
--- a/anisespool/records/message_ids.py
+++ b/anisespool/records/message_ids.py
@@ -1,4 +1,4 @@
-"""MSGIDs of the messages, by which receivers and `anisespool trace` tell them apart (docs/records.md)."""
+"""MSGIDs of the messages, by which receivers and `anisespool trace` distinguish them (docs/records.md)."""
 
 from __future__ import annotations
 
--- a/anisespool/records/reports.py
+++ b/anisespool/records/reports.py
@@ -28,7 +28,7 @@
 
     message: bytes
     report: Report | None = None
-    """What it reports, to be repeated if it is lost; None: the counts, which are always reported anew."""
+    """What it reports, to be repeated if it is lost; None: the counts, which the next report has again."""
 
 
 class StatusReports:
@@ -61,7 +61,7 @@
         self._encoder = encoder
         self._clock = clock
         self._sent: deque[Report] = deque(maxlen=MAX_REPEATED_REPORTS)  # on this connection
-        self._pending: list[Report] = []  # perhaps for the second time
+        self._pending: list[Report] = []  # some of them sent before, on a connection that was lost
         self._gap_reported_s = NEVER_S
         self._counts_reported_s = now_s
 
@@ -100,7 +100,7 @@
         )
 
     def on_sent(self, record: StatusRecord) -> None:
-        """Note that a report was handed to the kernel whole."""
+        """Note that a report was handed to the kernel completely."""
         if record.report:
             self._sent.append(record.report)
 
--- a/anisespool/records/sender.py
+++ b/anisespool/records/sender.py
@@ -18,7 +18,7 @@
 from anisespool.records.transports import Channel, ChannelOpener, DatagramTooLongError
 
 CONNECT_TIMEOUT_S = 5.0
-ACKNOWLEDGEMENT_POLL_S = 0.002  # between two looks at what the receiver's kernel has acknowledged
+ACKNOWLEDGEMENT_POLL_S = 0.002  # between two reads of what the receiver's kernel has acknowledged
 MAX_SHUTDOWN_RETRY_S = 0.05
 LOG_INTERVAL_S = 10.0
 MAX_BATCH_RECORDS = 64
@@ -40,8 +40,8 @@
 class Sender:
     """Takes records from the queue and writes them to a channel, reconnecting with a backoff.
 
-    Whatever happens in between, each record that is taken from the queue is counted as sent or dropped, or is
-    put back.
+    Each record that is taken from the queue is counted as sent or dropped, or is put back, also after an
+    error.
 
     Args:
         queue: Records to send.
@@ -151,7 +151,7 @@
                 await self._closing.wait()
 
     def _on_connection_lost(self) -> None:
-        """Report what was sent on the connection and perhaps never read.
+        """Report what was sent on the connection and may never have been read.
 
         Records are not sent again, as they may have arrived: they are reported as unconfirmed.
         """
@@ -197,14 +197,15 @@
             batch = self._next_batch(channel.max_write_bytes)
             if batch:
                 await self._write(channel, batch)
-                # While the kernel takes everything at once, a long queue would hold up every request.
+                # While the kernel takes everything at once, a long queue would delay every request.
                 await asyncio.sleep(0)
                 continue
             if channel.closed().done():
                 return
             await self._wait_for_wakeup(self._reports.seconds_until_due(time.monotonic()))
             if not self._closing.is_set():
-                await asyncio.sleep(self._options.flush_interval_s)  # a batch costs less
+                # A record costs less CPU in a larger batch.
+                await asyncio.sleep(self._options.flush_interval_s)
         while channel.unacknowledged_bytes and not channel.closed().done():
             await asyncio.sleep(ACKNOWLEDGEMENT_POLL_S)
 
--- a/anisespool/records/tls_channel.py
+++ b/anisespool/records/tls_channel.py
@@ -49,7 +49,7 @@
     def __init__(
         self, sock: socket.socket, tls: ssl.SSLObject, incoming: ssl.MemoryBIO, outgoing: ssl.MemoryBIO
     ) -> None:
-        """Take over a connected socket after its handshake."""
+        """Create a channel from a connected socket whose handshake has ended."""
         self._tls = tls
         self._incoming = incoming
         self._outgoing = outgoing
--- a/anisespool/records/transports.py
+++ b/anisespool/records/transports.py
@@ -1,7 +1,7 @@
 """Channels to a syslog receiver: UDP (RFC 5426), TCP (RFC 6587) and Unix datagram sockets.
 
 Sockets are written directly: after every write, also after one that failed, it is known how many frames were
-handed to the kernel whole. Only the task that writes ever waits for a receiver. TLS: tls_channel.py.
+handed to the kernel completely. Only the task that writes waits for a receiver. TLS: tls_channel.py.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
     Attributes:
         max_write_bytes: What one write should hold at most.
-        frames_sent: Frames of the last write that were handed to the kernel whole.
+        frames_sent: Frames of the last write that were handed to the kernel completely.
         is_stream: What was sent shortly before the channel is lost may not have arrived.
     """
 
@@ -47,7 +47,7 @@
     is_stream: bool
 
     async def write(self, frames: list[bytes]) -> None:
-        """Return when all frames are handed to the kernel; `frames_sent` says how many were, in any case.
+        """Return when all frames are handed to the kernel; `frames_sent` is right after an error too.
 
         Raises:
             OSError: The channel is lost.
@@ -101,7 +101,7 @@
     is_stream = False
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take over a connected socket."""
+        """Create a channel from a connected socket."""
         self.frames_sent = 0
         self._sock = sock
         self._closed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -128,7 +128,7 @@
             self.frames_sent += 1
 
     async def _try_send(self, frame: bytes) -> bool:
-        """Whether the frame was sent; where not, returns when it can be tried again."""
+        """Return whether the frame was sent; if not, only when the next attempt can succeed."""
         try:
             self._sock.send(frame)
         except BlockingIOError:
@@ -149,7 +149,7 @@
         return 0
 
     def closed(self) -> asyncio.Future[None]:
-        """A future that is never done: a datagram's receiver has no way to say so."""
+        """A future that is never done: a receiver of datagrams can't close the channel."""
         return self._closed
 
     def close(self) -> None:
@@ -168,7 +168,7 @@
     is_stream = True
 
     def __init__(self, sock: socket.socket) -> None:
-        """Take over a connected, non-blocking socket."""
+        """Create a channel from a connected, non-blocking socket."""
         self.frames_sent = 0
         self._sock = sock
         loop = asyncio.get_running_loop()
@@ -185,7 +185,7 @@
         self.frames_sent = 0
         data = memoryview(b"".join(frames))
         sent_bytes = 0
-        complete_bytes = 0  # of the frames that were sent whole
+        complete_bytes = 0  # of the frames that were sent completely
         while sent_bytes < len(data):
             try:
                 sent_bytes += self._sock.send(data[sent_bytes:])
