--- a/anisespool/fakes/record_soak.py
+++ b/anisespool/fakes/record_soak.py
@@ -18,7 +18,7 @@
 from anisespool.fakes.syslog.parser import Message
 from anisespool.fakes.syslog.receiver import MAX_READ_BYTES, Receiver, ReceiverOptions
 from anisespool.records.backoff import Backoff
-from anisespool.records.encoder import RecordEncoder
+from anisespool.records.encoder import LengthLimits, RecordEncoder
 from anisespool.records.outcome import Outcome
 from anisespool.records.recorder import Recorder
 from anisespool.records.request_record import AttemptRecord, RequestRecord
@@ -77,8 +77,7 @@
         PEN,
         "n0",
         CLASSES,
-        options.max_record_bytes,
-        options.max_value_bytes,
+        LengthLimits(options.max_record_bytes, options.max_value_bytes),
         lambda second: UTC_OFFSET_S,
     )
     return Recorder(encoder, options, sampler or Sampler({}, {}, list(CLASSES)), CLASSES)
--- a/anisespool/records/accounting.py
+++ b/anisespool/records/accounting.py
@@ -23,7 +23,7 @@
     sampled_out: list[int] = field(default_factory=_no_records)
     """Requests that the sampler did not choose."""
     sent: list[int] = field(default_factory=_no_records)
-    """Records that have been handed to the kernel whole."""
+    """Records that have been handed to the kernel completely."""
     unconfirmed: int = 0
     """Of the sent records: those that were on a connection shortly before it was lost."""
 
@@ -39,7 +39,7 @@
 class UnconfirmedRecords:
     """The records sent last on a connection.
 
-    When the connection is lost nobody knows whether they arrived: what the receiver has not read is lost
+    When the connection is lost it is unknown whether they arrived: what the receiver has not read is lost
     with the connection, although its kernel acknowledged it.
     """
 
@@ -47,20 +47,24 @@
         """Create an empty set that keeps the records sent last, of up to `max_bytes` in all."""
         self._max_bytes = max_bytes
         self._size_bytes = 0
-        # Number and size; plain tuples, as one is built for each record.
-        self._records: deque[tuple[int, int]] = deque()
+        # By record; two queues of numbers, as one object for each record would cost more.
+        self._numbers: deque[int] = deque()
+        self._sizes_bytes: deque[int] = deque()
 
     def add(self, record: QueuedRecord) -> None:
         """Add a record that was sent. The last one is kept whatever its size."""
-        self._records.append((record.number, record.size_bytes))
+        self._numbers.append(record.number)
+        self._sizes_bytes.append(record.size_bytes)
         self._size_bytes += record.size_bytes
-        while self._size_bytes > self._max_bytes and len(self._records) > 1:
-            _, size_bytes = self._records.popleft()
-            self._size_bytes -= size_bytes
+        while self._size_bytes > self._max_bytes and len(self._numbers) > 1:
+            self._numbers.popleft()
+            self._size_bytes -= self._sizes_bytes.popleft()
 
     def drain(self) -> UnconfirmedRange:
-        """Return the range of the records and forget them: the connection is lost."""
-        numbers = [number for number, _ in self._records]
-        self._records.clear()
+        """Return the range of the records and remove them: the connection is lost."""
+        numbers = self._numbers
+        unconfirmed = UnconfirmedRange(len(numbers), min(numbers, default=0), max(numbers, default=0))
+        self._numbers.clear()
+        self._sizes_bytes.clear()
         self._size_bytes = 0
-        return UnconfirmedRange(len(numbers), min(numbers, default=0), max(numbers, default=0))
+        return unconfirmed
--- a/anisespool/records/analysis.py
+++ b/anisespool/records/analysis.py
@@ -60,6 +60,15 @@
         self.max_ms = max(self.max_ms, duration_ms)
 
 
+class _GapKey(NamedTuple):
+    """What is equal in two reports of one gap."""
+
+    process: str
+    first: str
+    last: str
+    reason: str
+
+
 @dataclass(slots=True)
 class MissingRecords:
     """What the records themselves report as missing."""
@@ -72,7 +81,7 @@
     """The gap records, each once."""
     accounts: dict[str, ParsedRecord] = field(default_factory=dict)
     """The last account record of each process."""
-    _seen: set[tuple[str, ...]] = field(default_factory=set)
+    _counted: set[_GapKey] = field(default_factory=set)
 
     def add(self, record: ParsedRecord) -> None:
         """Add a gap or account record. A gap that was reported again after a lost connection counts once."""
@@ -81,11 +90,13 @@
             if record.process in self.accounts or len(self.accounts) < MAX_GROUPS:
                 self.accounts[record.process] = record
             return
-        key = (record.process, *[params.get(name, "") for name in ("first", "last", "reason")])
-        if key in self._seen:
+        key = _GapKey(
+            record.process, params.get("first", ""), params.get("last", ""), params.get("reason", "")
+        )
+        if key in self._counted:
             return
-        if len(self._seen) < MAX_GROUPS:
-            self._seen.add(key)
+        if len(self._counted) < MAX_GROUPS:
+            self._counted.add(key)
             self.gaps.append(record)
         self.dropped += _parse_int(params.get("dropped"))
         self.unconfirmed += _parse_int(params.get("unsure"))
@@ -125,13 +136,20 @@
     """Records of the same fingerprint, class and tenant, by time: at most the first MAX_RELATED_RECORDS."""
     fingerprint = f'alike="{request.fingerprint or ""}"'.encode()
     candidates = read_records(names, LineCounts(), RecordFilter(substring=fingerprint))
-    key = _class_and_tenant(request)
-    related = [record for record in candidates if _class_and_tenant(record) == key]
+    key = _OperationKey.of(request)
+    related = [record for record in candidates if _OperationKey.of(record) == key]
     return sorted(related[:MAX_RELATED_RECORDS], key=lambda record: (record.started_s, record.finished_s))
 
 
-def _class_and_tenant(record: ParsedRecord) -> tuple[str | None, str | None]:
-    return record.request_class, record.tenant
+class _OperationKey(NamedTuple):
+    """What is equal, beside the fingerprint, in all of a client's attempts at one operation."""
+
+    request_class: str | None
+    tenant: str | None
+
+    @classmethod
+    def of(cls, record: ParsedRecord) -> _OperationKey:
+        return cls(record.request_class, record.tenant)
 
 
 def _is_retry_of(earlier: ParsedRecord, later: ParsedRecord) -> bool:
--- a/anisespool/records/encoder.py
+++ b/anisespool/records/encoder.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import cached_property, lru_cache
+from typing import NamedTuple
 
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.records import message_ids
@@ -15,6 +16,7 @@
 from anisespool.records.request_record import RequestRecord
 from anisespool.records.rfc5424 import (
     Element,
+    Header,
     Origin,
     Param,
     Severity,
@@ -45,6 +47,13 @@
     return (number - 1) % MAX_SEQUENCE_ID + 1
 
 
+class LengthLimits(NamedTuple):
+    """Longest messages and values; what is longer is truncated."""
+
+    max_record_bytes: int
+    max_value_bytes: int
+
+
 @dataclass(frozen=True)
 class RecordEncoder:
     """Encodes the records of one sidecar. Without slots, as cached properties need a dictionary.
@@ -74,8 +83,7 @@
         enterprise_number: str,
         node: str,
         class_names: tuple[str, ...],
-        max_record_bytes: int,
-        max_value_bytes: int,
+        limits: LengthLimits,
         offset_s: Callable[[int], int] = local_offset_s,
     ) -> RecordEncoder:
         """Create an encoder from names that are not escaped.
@@ -87,10 +95,10 @@
         return cls(
             origin,
             enterprise_number,
-            escape_value(node, max_value_bytes),
-            tuple(escape_value(name, max_value_bytes) for name in class_names),
-            max_record_bytes,
-            max_value_bytes,
+            escape_value(node, limits.max_value_bytes),
+            tuple(escape_value(name, limits.max_value_bytes) for name in class_names),
+            limits.max_record_bytes,
+            limits.max_value_bytes,
             TimestampFormatter(offset_s),
         )
 
@@ -106,7 +114,7 @@
         return f' {origin.host} {origin.app} {origin.procid} {message_ids.REQUEST} [meta sequenceId="'
 
     def encode_request(self, number: int, request: RequestRecord, unix_ns: int) -> bytes:
-        """Encode one request's record, in one go where it fits: `encode_request_elements` is slower."""
+        """Encode one request's record, as one text where it fits: `encode_request_elements` is slower."""
         class_index = request.request_class
         arrived_ns = request.arrived_ns
         limit = self.max_value_bytes
@@ -135,7 +143,7 @@
         return data if fits else self.encode_request_elements(number, request, unix_ns)
 
     def encode_request_elements(self, number: int, request: RequestRecord, unix_ns: int) -> bytes:
-        """The same from its elements, truncated where it is too long."""
+        """Encode one request's record from its elements, truncated where it is too long."""
         meta = Element("meta", [Param("sequenceId", str(sequence_id(number)))])
         elements = [meta, self._request_element(request), *self._attempt_elements(request)]
         return self._encode(message_ids.REQUEST, SEVERITIES[request.outcome], elements, unix_ns)
@@ -228,10 +236,8 @@
         return self._encode(msgid, severity, [Element(self._sd_id(msgid), params)], unix_ns)
 
     def _encode(self, msgid: str, severity: Severity, elements: list[Element], unix_ns: int) -> bytes:
-        timestamp = self.format_timestamp(unix_ns)
-        return encode_message(
-            self.origin, severity, timestamp, msgid, elements, max_bytes=self.max_record_bytes
-        )
+        header = Header(self.origin, severity, self.format_timestamp(unix_ns), msgid)
+        return encode_message(header, elements, max_bytes=self.max_record_bytes)
 
 
 def _format_ms(duration_ns: int) -> str:
--- a/anisespool/records/factory.py
+++ b/anisespool/records/factory.py
@@ -9,7 +9,7 @@
 
 from anisespool.config.operator import RecordOptions, SamplingOptions, Transport, UnixDestination
 from anisespool.config.platform import Address, ConfigError, PlatformConfig
-from anisespool.records.encoder import RecordEncoder
+from anisespool.records.encoder import LengthLimits, RecordEncoder
 from anisespool.records.recorder import Recorder, create_sampler
 from anisespool.records.rfc5424 import Origin, OriginError
 from anisespool.records.tls_channel import TlsChannel, load_tls_settings
@@ -31,8 +31,7 @@
             options.enterprise_number,
             config.name,
             class_names,
-            options.max_record_bytes,
-            options.max_value_bytes,
+            LengthLimits(options.max_record_bytes, options.max_value_bytes),
         )
     except OriginError as error:
         raise ConfigError(f"records.{error}") from None
--- a/anisespool/records/recorder.py
+++ b/anisespool/records/recorder.py
@@ -19,7 +19,7 @@
 from anisespool.records.encoder import RecordEncoder
 from anisespool.records.outcome import Outcome
 from anisespool.records.request_record import UNKNOWN_CLASS, RequestRecord
-from anisespool.records.rfc5424 import frame_newline, frame_octet_counted
+from anisespool.records.rfc5424 import Framing, frame_newline, frame_octet_counted
 from anisespool.records.sampling import Sampler
 from anisespool.records.sender import Sender, SenderOptions
 from anisespool.records.transports import ChannelOpener
@@ -29,7 +29,7 @@
 EXPECTED_RECORD_BYTES = 290  # without names
 EXPECTED_ATTEMPT_BYTES = 80
 MIN_TRACEBACK_INTERVAL_S = 1.0
-FRAMINGS = {"octets": frame_octet_counted, "newline": frame_newline}
+FRAMINGS = {Framing.OCTET_COUNTING: frame_octet_counted, Framing.NEWLINE: frame_newline}
 
 
 class Recorder:
@@ -79,7 +79,7 @@
 
         Args:
             open_channel: Opens a channel to the receiver.
-            backoff: Delays between connection attempts; None: the usual ones.
+            backoff: Delays between connection attempts; None: the default ones.
         """
         options = self._options
         self.sender = Sender(
@@ -89,7 +89,7 @@
             open_channel=open_channel,
             backoff=backoff or Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, Random()),
             options=SenderOptions(
-                frame=FRAMINGS[options.framing] if options.is_stream else bytes,
+                frame=FRAMINGS[Framing(options.framing)] if options.is_stream else bytes,
                 max_unconfirmed_bytes=options.unconfirmed_bytes,
                 flush_interval_s=options.flush_interval_ms / 1e3,
             ),
@@ -101,7 +101,7 @@
         self.sampler = create_sampler(options, self._class_names)
 
     def record(self, request: RequestRecord) -> None:
-        """Record a request that is over. An error in here costs its record and no other request."""
+        """Record a request that is over. An error costs this record only."""
         try:
             self._record(request)
         except Exception as error:
--- a/anisespool/records/rfc5424.py
+++ b/anisespool/records/rfc5424.py
@@ -3,7 +3,7 @@
 A value may be any text or bytes. What a message can't carry is percent-encoded, as in a URL: control
 characters (also U+0080 to U+009F, U+2028 and U+2029, which end lines in some programs), bytes that are not
 UTF-8, lone surrogates, and the percent sign itself. So a message has no line end in it, whatever its values
-are. A percent sign at the very end of a value, followed by nothing, says that the value was truncated there.
+are. A percent sign at the very end of a value, followed by nothing, marks a value that was truncated there.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import re
 from collections.abc import Callable, Iterable, Sequence
 from datetime import UTC, datetime
-from enum import IntEnum
+from enum import Enum, IntEnum
 from typing import NamedTuple
 
 BOM = b"\xef\xbb\xbf"
@@ -55,6 +55,13 @@
     INFO = 6
 
 
+class Framing(Enum):
+    """How messages are delimited on a stream. The values are those of the operator's file."""
+
+    OCTET_COUNTING = "octets"
+    NEWLINE = "newline"
+
+
 class OriginError(ValueError):
     """A part of a header that can't be encoded.
 
@@ -101,6 +108,22 @@
                 raise OriginError(name, found, f"1 to {limit} printable characters")
 
 
+class Header(NamedTuple):
+    """The header of one message (6.2)."""
+
+    origin: Origin
+    severity: Severity
+    timestamp: str
+    """As a TimestampFormatter returned it."""
+    msgid: str
+
+    def encode(self) -> str:
+        """Return the text that precedes the structured data."""
+        origin = self.origin
+        priority = origin.facility * 8 + self.severity
+        return f"<{priority}>1 {self.timestamp} {origin.host} {origin.app} {origin.procid} {self.msgid} "
+
+
 class TimestampFormatter:
     """Formats TIMESTAMP (6.2.3) with microseconds and the local offset; a second's text is cached."""
 
@@ -198,10 +221,7 @@
 
 
 def encode_message(
-    origin: Origin,
-    severity: Severity,
-    timestamp: str,
-    msgid: str,
+    header: Header,
     elements: Iterable[Element],
     message: str = "",
     bom: bool = True,
@@ -210,16 +230,21 @@
     """Encode one message of at most `max_bytes` bytes.
 
     Where it would be longer, MSG is left out first, and then whole parameters from the end on; the last
-    element then says how many are missing, in a parameter `cut`. `timestamp` is a TimestampFormatter's.
-    `message` is MSG, written as it is; `bom`: whether a BOM precedes one that is not ASCII (6.4).
+    element then has their number in a parameter `cut`.
+
+    Args:
+        header: The message's header.
+        elements: Its structured data.
+        message: MSG, written as it is.
+        bom: Whether a BOM precedes a `message` that is not ASCII (6.4).
+        max_bytes: Longest message.
     """
-    priority = origin.facility * 8 + severity
-    header = f"<{priority}>1 {timestamp} {origin.host} {origin.app} {origin.procid} {msgid} "
+    start = header.encode()
     elements = list(elements)
     structured_data = "".join([_encode_element(element) for element in elements]) or NIL
-    data = (header + structured_data).encode()
+    data = (start + structured_data).encode()
     if len(data) > max_bytes:
-        return _encode_truncated(header, elements, max_bytes)
+        return _encode_truncated(start, elements, max_bytes)
     if not message:
         return data
     with_text = b"%b %b" % (data, _encode_text(message, bom))
--- a/benchmarks/records/escaping.py
+++ b/benchmarks/records/escaping.py
@@ -10,6 +10,7 @@
 from anisespool.fakes.syslog import parse
 from anisespool.records.rfc5424 import (
     Element,
+    Header,
     Origin,
     Param,
     Severity,
@@ -26,7 +27,7 @@
 MAX_MESSAGE_BYTES = 5000
 SPECIAL_CHARACTERS = '"\\]\n\r\0%\u2028\u0085\ud800ñ界'
 ELEMENT = "req@32473"
-ORIGIN = Origin(16, "h", "a", "1")
+HEADER = Header(Origin(16, "h", "a", "1"), Severity.INFO, "-", "path")
 
 
 def _check_round_trip(name: str | bytes) -> None:
@@ -37,7 +38,7 @@
     """
     octets = name if isinstance(name, bytes) else name.encode("utf-8", "surrogatepass")
     element = Element(ELEMENT, [Param("member", escape_value(name, MAX_VALUE_BYTES))])
-    data = encode_message(ORIGIN, Severity.INFO, "-", "path", [element], max_bytes=MAX_MESSAGE_BYTES)
+    data = encode_message(HEADER, [element], max_bytes=MAX_MESSAGE_BYTES)
     decoded, is_truncated = unescape_value(parse(data).first(ELEMENT)["member"])
     if decoded != octets or is_truncated:
         raise AssertionError(f"{name!r} came back as {decoded!r}")
--- a/tests/golden/adapters.py
+++ b/tests/golden/adapters.py
@@ -19,7 +19,7 @@
 from anisespool.membership.messages import Message, MessageKind
 from anisespool.records.accounting import RecordCounts, UnconfirmedRange
 from anisespool.records.buffer import Gap
-from anisespool.records.encoder import RecordEncoder
+from anisespool.records.encoder import LengthLimits, RecordEncoder
 from anisespool.records.outcome import OUTCOME_NAMES, Outcome
 from anisespool.records.request_record import AttemptRecord, RequestRecord
 from anisespool.records.rfc5424 import Origin, frame_newline, frame_octet_counted
@@ -68,8 +68,7 @@
         inputs.get("enterprise", "32473"),
         inputs.get("node", "n0"),
         tuple(classes),
-        inputs.get("longest", 2048),
-        inputs.get("longest_value", 256),
+        LengthLimits(inputs.get("longest", 2048), inputs.get("longest_value", 256)),
         lambda second: offset_s,
     )
 
--- a/tests/records/test_rfc5424.py
+++ b/tests/records/test_rfc5424.py
@@ -13,6 +13,7 @@
 from anisespool.records import rfc5424
 from anisespool.records.rfc5424 import (
     Element,
+    Header,
     Origin,
     OriginError,
     Param,
@@ -26,6 +27,7 @@
 )
 
 ORIGIN = Origin(16, "lima", "anisespool", "77")
+HEADER = Header(ORIGIN, Severity.INFO, "-", "path")
 NASTY = st.sampled_from([*'"\\]\n\r\0%=\u2028\u0085\ud800\U0001f514ñ界', "%4", "%%"])
 TEXTS = st.lists(st.one_of(NASTY, st.text(st.characters(), max_size=20)), max_size=14).map("".join)
 RAWS = st.one_of(TEXTS, st.binary(max_size=200))
@@ -42,7 +44,7 @@
 ) -> None:
     params = [Param(f"p{number}", escape_value(raw, max_bytes)) for number, raw in enumerate(raws)]
     elements = [Element("req@32473", params)]
-    data = encode_message(ORIGIN, Severity.INFO, "-", "path", elements, max_bytes=10**6)
+    data = encode_message(HEADER, elements, max_bytes=10**6)
     assert b"\n" not in data
     assert all(len(text.encode()) <= max_bytes for _, text in params)
     for raw, (_, text) in zip(raws, parse(data).data["req@32473"], strict=True):
@@ -85,9 +87,9 @@
 def test_a_message_that_is_too_long_loses_whole_parameters_and_says_how_many() -> None:
     params = [Param(f"p{number}", "v" * (9 * number + 3)) for number in range(4)]
     elements = [Element(f"e{number}@32473", params) for number in range(9)]
-    complete = encode_message(ORIGIN, Severity.INFO, "-", "path", elements, max_bytes=10**6)
+    complete = encode_message(HEADER, elements, max_bytes=10**6)
     for max_bytes in range(rfc5424.MIN_MAX_BYTES, len(complete) + 2):
-        data = encode_message(ORIGIN, Severity.INFO, "-", "path", elements, max_bytes=max_bytes)
+        data = encode_message(HEADER, elements, max_bytes=max_bytes)
         received = [param for element in parse(data).data.values() for param in element]
         missing = dict(received).get("cut")
         assert len(data) <= max_bytes
@@ -106,7 +108,7 @@
     ],
 )
 def test_a_message_carries_text(text: str, bom: bool, expected: tuple[bytes | None, bool]) -> None:
-    message = parse(encode_message(ORIGIN, Severity.ERROR, "-", "x", [], text, bom))
+    message = parse(encode_message(Header(ORIGIN, Severity.ERROR, "-", "x"), [], text, bom))
     assert (message.text, message.is_utf8) == expected
     assert message.data == {}
 
@@ -120,7 +122,7 @@
     assert TimestampFormatter(lambda second: 0)(951_782_400_000_000_000) == "2000-02-29T00:00:00.000000Z"
     assert lima(-1) == lima(10**21) == "-"
     for unix_ns in (0, 951_782_400_000_000_000, 1_796_156_220_000_001_999):
-        assert parse(encode_message(ORIGIN, Severity.INFO, lima(unix_ns), "x", [])).timestamp
+        assert parse(encode_message(Header(ORIGIN, Severity.INFO, lima(unix_ns), "x"), [])).timestamp
 
 
 @pytest.mark.parametrize(
