--- a/anisespool/records/analysis.py
+++ b/anisespool/records/analysis.py
@@ -149,6 +149,7 @@
 
     @classmethod
     def of(cls, record: ParsedRecord) -> _OperationKey:
+        """Return the key of a request's record."""
         return cls(record.request_class, record.tenant)
 
 
--- a/anisespool/records/buffer.py
+++ b/anisespool/records/buffer.py
@@ -127,7 +127,7 @@
             if self._drops_newest:
                 self.drop(record, _QUEUE_FULL)
                 return
-            self.drop(self._pop_victim(), _QUEUE_FULL)
+            self.drop(self._pop_next_dropped(), _QUEUE_FULL)
         if size > self._max_bytes:
             self.drop(record, _QUEUE_FULL)
             return
@@ -175,7 +175,7 @@
             return self._served if self._served[0].number < self._others[0].number else self._others
         return self._served or self._others
 
-    def _pop_victim(self) -> QueuedRecord:
+    def _pop_next_dropped(self) -> QueuedRecord:
         """Remove the record that the policy drops next. `_served` is empty unless it is dropped first."""
         return self._pop_from(self._served or self._others)
 
