--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -7,15 +7,14 @@
 
 from zlib import crc32
 
-from anisespool.membership.config import BUCKET_SIZE
+from anisespool.membership.config import BUCKET_MEMBERS
 from anisespool.membership.member_state import MemberUpdate
-from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind, Outgoing
+from anisespool.membership.messages import MAX_UPDATES, BucketStateSequence, Message, MessageKind, Outgoing
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
-INITIAL_BUCKETS_AT_ONCE = 4
-UNSETTLED_SPEEDUP = 5  # how much more often buckets are compared while views change
-IS_ANSWER = 1  # the sequence of a bucket's states that is not answered again
+INITIAL_DIGEST_DATAGRAMS = 4  # a comparison, until each bucket was compared once after the start
+UNSETTLED_RATE_FACTOR = 5  # comparisons are so many times as frequent while views change
 BELOW_ALL: tuple[int, int, int] = (-1, 0, 0)  # in precedence
 
 
@@ -24,7 +23,7 @@
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
-        self._bucket_count = (state.fleet_size + BUCKET_SIZE - 1) // BUCKET_SIZE
+        self._bucket_count = (state.fleet_size + BUCKET_MEMBERS - 1) // BUCKET_MEMBERS
         self._initial_buckets: list[int] = []  # still to be compared after the start
 
     def start(self) -> None:
@@ -35,15 +34,15 @@
         """Send digests of some buckets, each to a random member."""
         state = self._state
         initial = self._initial_buckets
-        buckets = [initial.pop() for _ in range(min(INITIAL_BUCKETS_AT_ONCE, len(initial)))]
+        buckets = [initial.pop() for _ in range(min(INITIAL_DIGEST_DATAGRAMS, len(initial)))]
         buckets = buckets or [state.random_below(self._bucket_count)]
         out = []
         for bucket in buckets:
             for recipient in state.choose_members(1):
                 message = state.compose(now, MessageKind.BUCKET_DIGEST, target=bucket)
                 out.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
-        if initial or now - state.views.changed_at < state.config.unsettled_period:
-            interval = state.config.anti_entropy_interval // UNSETTLED_SPEEDUP
+        if initial or now - state.views.changed_at < state.config.unsettled_period_ns:
+            interval = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
             state.schedule.set(Timer.ANTI_ENTROPY, now + interval)
         return out
 
@@ -62,7 +61,7 @@
     def receive_states(self, now: int, sender: int, message: Message) -> list[Outgoing]:
         """Answer a bucket's states, applied already, with those that are newer here."""
         bucket = message.target
-        if not self._is_bucket(bucket) or message.sequence:
+        if not self._is_bucket(bucket) or message.sequence != BucketStateSequence.FIRST:
             return []
         received = {update.member: update.precedence for update in message.updates}
         newer = [
@@ -72,7 +71,7 @@
         ]
         if not newer:
             return []
-        reply = self._state.compose(now, MessageKind.BUCKET_STATE, IS_ANSWER, bucket)
+        reply = self._state.compose(now, MessageKind.BUCKET_STATE, BucketStateSequence.ANSWER, bucket)
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
@@ -84,11 +83,11 @@
         return crc32(text.encode())
 
     def _is_bucket(self, bucket: int) -> bool:
-        return 0 <= bucket * BUCKET_SIZE < self._state.fleet_size
+        return 0 <= bucket * BUCKET_MEMBERS < self._state.fleet_size
 
     def _updates(self, bucket: int) -> list[MemberUpdate]:
         state = self._state
-        numbers = range(bucket * BUCKET_SIZE, min(state.fleet_size, (bucket + 1) * BUCKET_SIZE))
+        numbers = range(bucket * BUCKET_MEMBERS, min(state.fleet_size, (bucket + 1) * BUCKET_MEMBERS))
         current = (
             state.local if number == state.local.member else state.members.get(number) for number in numbers
         )
--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -10,23 +10,28 @@
 from __future__ import annotations
 
 import struct
-from enum import Enum
+from enum import Enum, IntEnum
 from zlib import crc32
 
 from anisespool.membership.member_state import NOBODY, MemberState, MemberUpdate
 from anisespool.membership.messages import Message, MessageKind
 
 MAX_BYTES = 256
-MAGIC = 0xA5
-VERSION = 1
 HEADER = struct.Struct("!BBBBBIHHHIB")
 UPDATE = struct.Struct("!HBIHBHB")
 CHECKSUM = struct.Struct("!I")
-NO_REPORTER = 0xFFFF
 KINDS = frozenset(MessageKind)
 STATES = frozenset(MemberState)
 
 
+class FixedValue(IntEnum):
+    """Values that the format prescribes."""
+
+    MAGIC = 0xA5
+    VERSION = 1
+    NO_REPORTER = 0xFFFF
+
+
 class InvalidReason(Enum):
     """Why bytes are no datagram of this protocol; the values are names of counters."""
 
@@ -61,8 +66,8 @@
     if count > max_updates(len(payload)):
         raise ValueError(f"{count} updates beside {len(payload)} bytes, wanted at most 256 in all")
     header = HEADER.pack(
-        MAGIC,
-        VERSION,
+        FixedValue.MAGIC,
+        FixedValue.VERSION,
         message.kind,
         count,
         message.boot >> 32,
@@ -78,7 +83,7 @@
 
 
 def _encode_update(update: MemberUpdate) -> bytes:
-    reporter = update.reporter if update.reporter >= 0 else NO_REPORTER
+    reporter = update.reporter if update.reporter >= 0 else FixedValue.NO_REPORTER
     return UPDATE.pack(
         update.member,
         update.boot >> 32,
@@ -86,7 +91,7 @@
         update.incarnation,
         update.state,
         reporter,
-        update.suspicion_age,
+        update.suspicion_age_units,
     )
 
 
@@ -118,9 +123,9 @@
     """Length, magic, version and checksum, in this order."""
     if len(data) > MAX_BYTES:
         raise InvalidDatagramError(InvalidReason.TOO_LONG)
-    if len(data) < HEADER.size + CHECKSUM.size or data[0] != MAGIC:
+    if len(data) < HEADER.size + CHECKSUM.size or data[0] != FixedValue.MAGIC:
         raise InvalidDatagramError(InvalidReason.FOREIGN)
-    if data[1] != VERSION:
+    if data[1] != FixedValue.VERSION:
         raise InvalidDatagramError(InvalidReason.VERSION)
     if CHECKSUM.unpack(data[-CHECKSUM.size :])[0] != crc32(data[: -CHECKSUM.size]):
         raise InvalidDatagramError(InvalidReason.CHECKSUM)
@@ -136,6 +141,6 @@
         boot=boot_high << 32 | boot_low,
         incarnation=incarnation,
         state=MemberState(state),
-        reporter=NOBODY if reporter == NO_REPORTER else reporter,
-        suspicion_age=age,
+        reporter=NOBODY if reporter == FixedValue.NO_REPORTER else reporter,
+        suspicion_age_units=age,
     )
--- a/anisespool/membership/config.py
+++ b/anisespool/membership/config.py
@@ -4,57 +4,58 @@
 
 from dataclasses import dataclass
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
 
-BUCKET_SIZE = 16  # members that one comparison of anti-entropy covers
-MAX_HEALTH_SCORE = 8
+BUCKET_MEMBERS = 16  # that one comparison of anti-entropy covers
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """Times are in ns.
+    """Intervals, timeouts and bounds of the protocol.
+
+    The operator's file sets most of them, under its own keys in ms: `service.py` converts them.
 
     Attributes:
-        probe_interval: Between the starts of two probes.
-        ping_timeout: For a direct ack, before indirect probes begin.
-        probe_timeout: For any answer, before the member is suspected.
+        probe_interval_ns: Between the starts of two probes.
+        ping_timeout_ns: For a direct ack, before indirect probes begin.
+        probe_timeout_ns: For any answer, before the member is suspected.
         indirect_probes: Members that are sent a ping-req.
-        suspicion_min: From the first failed probe to dead, with all `confirmations`.
-        suspicion_max: The same with no confirmation.
+        suspicion_min_ns: From the first failed probe to dead, with all `confirmations`.
+        suspicion_max_ns: The same with no confirmation.
         confirmations: Independent reporters beside the first that bring the time down to the minimum.
-        max_reported_suspicion_age: How much of a suspicion's age is believed when another member reports it.
-        gossip_interval: Between two rounds of gossip.
-        urgent_gossip_interval: The same while a suspicion or a refutation is new.
+        max_reported_suspicion_age_ns: At most so much of the age counts that another member reports.
+        gossip_interval_ns: Between two rounds of gossip.
+        urgent_gossip_interval_ns: The same while a suspicion or a refutation is new.
         fanout: Members that each round of gossip goes to.
         retransmit_multiplier: Transmissions of an update, times the digits of the fleet's size.
-        anti_entropy_interval: Between two comparisons of a bucket; a fifth of it while views are unsettled.
-        unsettled_period: For so long after a change of the view it counts as unsettled.
-        reconnect_interval: Between two attempts to reach a member that is dead or unknown.
-        pause_threshold: A tick later than this means that this process itself was not running.
-        pause_grace: After such a pause, before this member suspects anybody.
+        anti_entropy_interval_ns: Between two comparisons of a bucket, while views are settled.
+        unsettled_period_ns: For so long after a change of the view it counts as unsettled.
+        reconnect_interval_ns: Between two attempts to reach a member that is dead or unknown.
+        pause_threshold_ns: A tick later than this means that this process itself was not running.
+        pause_grace_ns: After such a pause, before this member suspects anybody.
         max_broadcasts: Updates that wait to be spread.
         max_probes: Own probes in flight.
         max_relays: Pings in flight on behalf of others.
     """
 
-    probe_interval: int = 120 * MS
-    ping_timeout: int = 200 * MS
-    probe_timeout: int = 500 * MS
+    probe_interval_ns: int = 120 * NS_PER_MS
+    ping_timeout_ns: int = 200 * NS_PER_MS
+    probe_timeout_ns: int = 500 * NS_PER_MS
     indirect_probes: int = 3
-    suspicion_min: int = 2400 * MS
-    suspicion_max: int = 3500 * MS
+    suspicion_min_ns: int = 2400 * NS_PER_MS
+    suspicion_max_ns: int = 3500 * NS_PER_MS
     confirmations: int = 3
-    max_reported_suspicion_age: int = 1000 * MS
-    gossip_interval: int = 200 * MS
-    urgent_gossip_interval: int = 50 * MS
+    max_reported_suspicion_age_ns: int = 1000 * NS_PER_MS
+    gossip_interval_ns: int = 200 * NS_PER_MS
+    urgent_gossip_interval_ns: int = 50 * NS_PER_MS
     fanout: int = 3
     retransmit_multiplier: int = 3
-    anti_entropy_interval: int = 1000 * MS
-    unsettled_period: int = 3000 * MS
-    reconnect_interval: int = 1000 * MS
-    pause_threshold: int = 300 * MS
-    pause_grace: int = 1000 * MS
+    anti_entropy_interval_ns: int = 1000 * NS_PER_MS
+    unsettled_period_ns: int = 3000 * NS_PER_MS
+    reconnect_interval_ns: int = 1000 * NS_PER_MS
+    pause_threshold_ns: int = 300 * NS_PER_MS
+    pause_grace_ns: int = 1000 * NS_PER_MS
     max_broadcasts: int = 512
     max_probes: int = 8
     max_relays: int = 64
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -11,15 +11,14 @@
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.member_state import (
-    MAX_SUSPICION_AGE,
     NOBODY,
-    SUSPICION_AGE_UNIT,
     MemberState,
     MemberUpdate,
+    suspicion_age_units,
 )
 
-URGENT_TRANSMISSIONS = 3  # of a suspicion or a refutation, sent without waiting for the next round
-CONFIRMATION_TRANSMISSIONS = 4  # of a further report: where many die, these are most of the updates
+URGENT_UPDATE_DATAGRAMS = 3  # carry a suspicion or a refutation before it waits for ordinary rounds
+CONFIRMATION_DATAGRAMS = 4  # carry a further report of a suspicion: after many deaths most updates are such
 
 Key = tuple[int, int]  # member, reporter
 
@@ -57,7 +56,7 @@
     def is_urgent(self) -> bool:
         """Whether a suspicion, or an update that refutes one, has reached only a few members yet."""
         return any(
-            broadcast.transmissions < URGENT_TRANSMISSIONS
+            broadcast.transmissions < URGENT_UPDATE_DATAGRAMS
             and (broadcast.update.state is MemberState.SUSPECT or broadcast.update.incarnation)
             for broadcast in self._broadcasts.values()
         )
@@ -80,7 +79,7 @@
         if not self._broadcasts:
             return ()
         limit = self._config.retransmit_multiplier * max(1, ceil(log10(fleet_size + 1)))
-        confirmation_limit = min(limit, CONFIRMATION_TRANSMISSIONS)
+        confirmation_limit = min(limit, CONFIRMATION_DATAGRAMS)
         chosen = []
         for key in nsmallest(count, self._broadcasts, key=self._priority):
             broadcast = self._broadcasts[key]
@@ -119,7 +118,7 @@
 
 def _with_age(broadcast: _Broadcast, now: int) -> MemberUpdate:
     """The update as sent now, with the suspicion's age."""
-    age = 0
+    age_units = 0
     if broadcast.update.state is MemberState.SUSPECT:
-        age = min(MAX_SUSPICION_AGE, max(0, now - broadcast.suspected_since) // SUSPICION_AGE_UNIT)
-    return broadcast.update._replace(suspicion_age=age)
+        age_units = suspicion_age_units(now - broadcast.suspected_since)
+    return broadcast.update._replace(suspicion_age_units=age_units)
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -6,6 +6,8 @@
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
+LONG_QUEUE_INTERVAL_FACTOR = 2  # rounds of a long queue, relative to those of an urgent one
+
 
 def gossip(state: ProtocolState, now: int) -> list[Outgoing]:
     """One round."""
@@ -15,8 +17,8 @@
     # Where many die at once their updates wait for one another, longer than suspicions take to expire.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
-        interval = state.config.urgent_gossip_interval * (2 if is_long else 1)
-        state.schedule.set(Timer.GOSSIP, now + min(state.config.gossip_interval, interval))
+        interval = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
+        state.schedule.set(Timer.GOSSIP, now + min(state.config.gossip_interval_ns, interval))
     out = []
     for recipient in state.choose_members(state.config.fanout):
         updates = queue.take(MAX_UPDATES, state.fleet_size, now)
--- a/anisespool/membership/local_health.py
+++ b/anisespool/membership/local_health.py
@@ -9,10 +9,10 @@
 from collections import deque
 from typing import NamedTuple
 
-from anisespool.membership.config import MAX_HEALTH_SCORE
-
 WINDOW_PROBES = 8
 ISOLATED_SHARE = 0.6  # of the window, failed
+MAX_SCORE_LEVEL = 8  # Lifeguard's local health multiplier saturates at 8 as well
+MAX_TIMEOUT_INCREASE_SHARE = 0.5  # of a timeout, at the highest score
 
 
 class FailedProbes(NamedTuple):
@@ -39,7 +39,7 @@
 
     def degrade(self, steps: int = 1) -> None:
         """Trust own observations less."""
-        self.score = min(MAX_HEALTH_SCORE, self.score + steps)
+        self.score = min(MAX_SCORE_LEVEL, self.score + steps)
 
     def improve(self) -> None:
         """Trust own observations more."""
@@ -48,7 +48,7 @@
     @property
     def timeout_multiplier(self) -> float:
         """What own timeouts are multiplied by, 1.0 to 1.5."""
-        return 1.0 + 0.5 * self.score / MAX_HEALTH_SCORE
+        return 1.0 + MAX_TIMEOUT_INCREASE_SHARE * self.score / MAX_SCORE_LEVEL
 
     @property
     def failed_probes(self) -> FailedProbes:
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -15,8 +15,8 @@
 MAX_INCARNATION = 2**16 - 1  # beyond it a member takes a new boot
 MAX_BOOT = 2**40 - 1
 NOBODY = -1
-SUSPICION_AGE_UNIT = 20_000_000  # ns
-MAX_SUSPICION_AGE = 255
+SUSPICION_AGE_UNIT_NS = 20_000_000  # a suspicion's age takes one byte of a datagram
+MAX_SUSPICION_AGE_NS = 255 * SUSPICION_AGE_UNIT_NS
 
 
 class MemberState(IntEnum):
@@ -39,7 +39,7 @@
         incarnation: Of that boot; incremented by the member itself to refute a suspicion.
         state: The reported state.
         reporter: Who suspects it or declared it dead; NOBODY otherwise.
-        suspicion_age: Age of the suspicion in units of SUSPICION_AGE_UNIT.
+        suspicion_age_units: Age of the suspicion, in units of SUSPICION_AGE_UNIT_NS.
     """
 
     member: int
@@ -47,7 +47,7 @@
     incarnation: int
     state: MemberState
     reporter: int = NOBODY
-    suspicion_age: int = 0
+    suspicion_age_units: int = 0
 
     @property
     def precedence(self) -> tuple[int, int, int]:
@@ -60,6 +60,11 @@
         return self.boot, self.incarnation
 
 
+def suspicion_age_units(age_ns: int) -> int:
+    """Return a suspicion's age in the units of an update, within what an update can carry."""
+    return min(MAX_SUSPICION_AGE_NS, max(0, age_ns)) // SUSPICION_AGE_UNIT_NS
+
+
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
     """Whether the update replaces the current one; both are about one member."""
     return update.precedence > current.precedence
--- a/anisespool/membership/messages.py
+++ b/anisespool/membership/messages.py
@@ -19,7 +19,14 @@
     NACK = 4  # I have pinged `target` on your behalf and have no answer so far
     GOSSIP = 5  # updates alone
     BUCKET_DIGEST = 6  # digest of my states in bucket `target`: send yours if it differs
-    BUCKET_STATE = 7  # my states in bucket `target`; `sequence` 1: an answer, which is not answered again
+    BUCKET_STATE = 7  # my states in bucket `target`; `sequence` is a BucketStateSequence
+
+
+class BucketStateSequence(IntEnum):
+    """What the `sequence` of a BUCKET_STATE means, as it matches no probe."""
+
+    FIRST = 0  # the receiver answers with the states that are newer there
+    ANSWER = 1  # not answered again
 
 
 class Message(NamedTuple):
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -9,13 +9,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from anisespool.membership.config import BUCKET_SIZE
+from anisespool.membership.config import BUCKET_MEMBERS
 from anisespool.membership.member_state import (
-    MAX_SUSPICION_AGE,
     NOBODY,
-    SUSPICION_AGE_UNIT,
     MemberState,
     MemberUpdate,
+    suspicion_age_units,
 )
 from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind, Outgoing
 from anisespool.membership.probe_order import ProbeOrder
@@ -23,7 +22,7 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.updates import UpdateProcessor
 
-MAX_RECONNECTS = 4  # pings at a time to members that are dead or unknown
+MAX_RECONNECT_PROBES = 4  # at a time, of members that are dead or unknown
 
 
 @dataclass(slots=True)
@@ -89,7 +88,7 @@
                 self._fail(now, probe)
                 out.append(self._ping(now, probe.sequence, probe.target))
         if self._state.schedule.is_due(Timer.PROBE, now):
-            interval = int(self._state.config.probe_interval * self._state.health.timeout_multiplier)
+            interval = int(self._state.config.probe_interval_ns * self._state.health.timeout_multiplier)
             self._state.schedule.set(Timer.PROBE, now + interval)
             if len(self._probes) < self._state.config.max_probes:
                 out += self._begin(now)
@@ -107,7 +106,7 @@
         if not absent:
             return []
         out = []
-        for _ in range(min(MAX_RECONNECTS, 1 + len(absent) // BUCKET_SIZE)):
+        for _ in range(min(MAX_RECONNECT_PROBES, 1 + len(absent) // BUCKET_MEMBERS)):
             target = absent[state.random_below(len(absent))]
             ping = state.compose(now, MessageKind.PING, target=target)
             current = state.members.get(target)
@@ -135,7 +134,7 @@
         if len(self._relays) >= state.config.max_relays:
             return []
         sequence = state.next_sequence()
-        expires_at = now + state.config.probe_interval
+        expires_at = now + state.config.probe_interval_ns
         self._relays[sequence] = Relay(sender, message.sequence, target, expires_at)
         ping = state.compose(now, MessageKind.PING, sequence, target)
         nack = state.compose(now, MessageKind.NACK, message.sequence, target)
@@ -167,8 +166,8 @@
             target,
             sequence,
             sent_at=now,
-            indirect_at=now + int(state.config.ping_timeout * multiplier),
-            deadline=now + int(state.config.probe_timeout * multiplier),
+            indirect_at=now + int(state.config.ping_timeout_ns * multiplier),
+            deadline=now + int(state.config.probe_timeout_ns * multiplier),
         )
         return [self._ping(now, sequence, target)]
 
@@ -214,9 +213,10 @@
         current = state.members.get(probe.target)
         if current and current.state < MemberState.DEAD and now >= state.suspicions.allowed_from:
             state.stats.accusations += 1
-            age = min(MAX_SUSPICION_AGE, (now - probe.sent_at) // SUSPICION_AGE_UNIT)
             suspect = current._replace(
-                state=MemberState.SUSPECT, reporter=state.local.member, suspicion_age=age
+                state=MemberState.SUSPECT,
+                reporter=state.local.member,
+                suspicion_age_units=suspicion_age_units(now - probe.sent_at),
             )
             self._updates.apply(now, suspect)
 
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 
 from anisespool.membership.anti_entropy import AntiEntropy
-from anisespool.membership.config import MS, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, MembershipConfig
 from anisespool.membership.dissemination import BroadcastQueue
 from anisespool.membership.events import MembershipEvent, ProtocolPaused
 from anisespool.membership.gossip import gossip
@@ -31,7 +31,8 @@
 from anisespool.membership.view import MembershipView
 
 MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # clocks of two machines may differ by so much
-HEALTH_STEPS_OF_PAUSE = 2
+PAUSE_PENALTY_LEVEL = 2  # added to the health score
+LEAVE_FANOUT_FACTOR = 2  # a member that leaves sends its announcement once only
 
 
 class MembershipProtocol:
@@ -118,7 +119,7 @@
         state = self._state
         self._restart_timers(now)
         self._anti_entropy.start()
-        state.suspicions.allowed_from = now + state.config.probe_interval
+        state.suspicions.allowed_from = now + state.config.probe_interval_ns
         state.views.changed_at = now
         state.started_at = now
         state.broadcasts.add(state.local)
@@ -134,7 +135,7 @@
         if self.is_leaving:
             return []
         pause = now - self.next_tick_at
-        if pause > self._state.config.pause_threshold:
+        if pause > self._state.config.pause_threshold_ns:
             return self._resume(now, pause)
         out = self._prober.tick(now)
         self._updates.expire_suspicions(now)
@@ -167,7 +168,7 @@
         state = self._state
         state.local = state.local._replace(state=MemberState.LEFT)
         announcement = state.compose_gossip(now, (state.local,))
-        recipients = state.choose_members(2 * state.config.fanout)
+        recipients = state.choose_members(LEAVE_FANOUT_FACTOR * state.config.fanout)
         self.is_leaving = True
         return [Outgoing(recipient, announcement) for recipient in recipients]
 
@@ -183,13 +184,13 @@
         out: list[Outgoing] = []
         # Each job's next time is set before it runs, as it may choose an earlier one.
         if state.schedule.is_due(Timer.GOSSIP, now):
-            state.schedule.set(Timer.GOSSIP, now + state.config.gossip_interval)
+            state.schedule.set(Timer.GOSSIP, now + state.config.gossip_interval_ns)
             out += gossip(state, now)
         if state.schedule.is_due(Timer.ANTI_ENTROPY, now):
-            state.schedule.set(Timer.ANTI_ENTROPY, now + state.config.anti_entropy_interval)
+            state.schedule.set(Timer.ANTI_ENTROPY, now + state.config.anti_entropy_interval_ns)
             out += self._anti_entropy.compare(now)
         if state.schedule.is_due(Timer.RECONNECT, now):
-            state.schedule.set(Timer.RECONNECT, now + state.config.reconnect_interval)
+            state.schedule.set(Timer.RECONNECT, now + state.config.reconnect_interval_ns)
             out += self._prober.reconnect(now)
         return out
 
@@ -197,10 +198,10 @@
         """Continue after this process did not run: what it missed is nobody's fault."""
         state = self._state
         state.stats.pauses += 1
-        state.record_event(ProtocolPaused(pause // MS))
+        state.record_event(ProtocolPaused(pause // NS_PER_MS))
         self._prober.abandon()
-        state.health.degrade(HEALTH_STEPS_OF_PAUSE)
-        state.suspicions.allowed_from = now + state.config.pause_grace
+        state.health.degrade(PAUSE_PENALTY_LEVEL)
+        state.suspicions.allowed_from = now + state.config.pause_grace_ns
         state.suspicions.postpone(now, pause)
         self._restart_timers(now)
         state.broadcasts.add(state.local)
@@ -208,11 +209,11 @@
 
     def _restart_timers(self, now: int) -> None:
         state = self._state
-        state.schedule.restart(now, state.config.gossip_interval, state.random_below)
+        state.schedule.restart(now, state.config.gossip_interval_ns, state.random_below)
 
     def _max_plausible_boot(self, now: int) -> int:
         """Boots are counted in ms. One reported far ahead for a member would exclude it permanently."""
-        return self._state.local.boot + max(0, now - self._state.started_at) // MS + MAX_BOOT_SKEW_MS
+        return self._state.local.boot + max(0, now - self._state.started_at) // NS_PER_MS + MAX_BOOT_SKEW_MS
 
     def _is_acceptable(self, sender: int, message: Message, max_boot: int) -> bool:
         if sender == self._state.local.member or not 0 <= sender < self._state.fleet_size:
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from anisespool.membership.config import MS
+from anisespool.membership.config import NS_PER_MS
 from anisespool.membership.protocol import MembershipProtocol
 
 
@@ -74,7 +74,7 @@
         boot=protocol.local.boot,
         incarnation=protocol.local.incarnation,
         view_version=view.version,
-        age_ms=(now - view.changed_at) // MS,
+        age_ms=(now - view.changed_at) // NS_PER_MS,
         alive=sorted(view.alive),
         suspect=sorted(view.suspect),
         dead=sorted(view.dead),
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -13,7 +13,7 @@
 from anisespool.config.platform import ConfigError, PeerAddresses, PlatformConfig
 from anisespool.config.platform_loader import read_peer_addresses
 from anisespool.log import log_event
-from anisespool.membership.config import MS, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, MembershipConfig
 from anisespool.membership.events import MembershipEvent, ViewChanged
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
@@ -56,7 +56,7 @@
         self._on_event = on_event
         self.protocol = MembershipProtocol(
             config.settings.self_index,
-            boot=max(1, wall_ns() // MS - BOOT_EPOCH_S * 1000),
+            boot=max(1, wall_ns() // NS_PER_MS - BOOT_EPOCH_S * 1000),
             fleet_size=len(self._addresses.peers),
             random_below=random.Random(f"{config.seed}-{wall_ns()}").randrange,
             config=_protocol_config(options),
@@ -157,17 +157,17 @@
 def _protocol_config(options: MembershipOptions) -> MembershipConfig:
     """The operator's options in ns; the other parameters have their defaults."""
     return MembershipConfig(
-        probe_interval=int(options.probe_interval_ms * MS),
-        ping_timeout=int(options.ping_timeout_ms * MS),
-        probe_timeout=int(options.probe_timeout_ms * MS),
+        probe_interval_ns=int(options.probe_interval_ms * NS_PER_MS),
+        ping_timeout_ns=int(options.ping_timeout_ms * NS_PER_MS),
+        probe_timeout_ns=int(options.probe_timeout_ms * NS_PER_MS),
         indirect_probes=options.indirect_probes,
-        suspicion_min=int(options.suspicion_min_ms * MS),
-        suspicion_max=int(options.suspicion_max_ms * MS),
+        suspicion_min_ns=int(options.suspicion_min_ms * NS_PER_MS),
+        suspicion_max_ns=int(options.suspicion_max_ms * NS_PER_MS),
         confirmations=options.confirmations,
-        gossip_interval=int(options.gossip_interval_ms * MS),
+        gossip_interval_ns=int(options.gossip_interval_ms * NS_PER_MS),
         fanout=options.fanout,
-        pause_threshold=int(options.pause_threshold_ms * MS),
-        pause_grace=int(options.pause_grace_ms * MS),
-        anti_entropy_interval=int(options.anti_entropy_interval_ms * MS),
-        reconnect_interval=int(options.reconnect_interval_ms * MS),
+        pause_threshold_ns=int(options.pause_threshold_ms * NS_PER_MS),
+        pause_grace_ns=int(options.pause_grace_ms * NS_PER_MS),
+        anti_entropy_interval_ns=int(options.anti_entropy_interval_ms * NS_PER_MS),
+        reconnect_interval_ns=int(options.reconnect_interval_ms * NS_PER_MS),
     )
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -16,7 +16,7 @@
 from anisespool.membership.view import MembershipView, ViewCache
 
 MAX_EVENTS = 1000  # that wait to be taken
-SEQUENCES = 2**16
+SEQUENCE_NUMBERS = 2**16
 PIGGYBACK_KINDS = frozenset({MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ, MessageKind.NACK})
 
 RandomBelow = Callable[[int], int]  # a random whole number below the given one
@@ -92,7 +92,7 @@
 
     def next_sequence(self) -> int:
         """A sequence number for a ping; probes and relays share them."""
-        self.last_sequence = (self.last_sequence + 1) % SEQUENCES
+        self.last_sequence = (self.last_sequence + 1) % SEQUENCE_NUMBERS
         return self.last_sequence
 
     def compose(self, now: int, kind: MessageKind, sequence: int = 0, target: int = 0) -> Message:
@@ -112,7 +112,7 @@
 
     def expedite_gossip(self, now: int) -> None:
         """Gossip soon, as an update decides whether somebody is taken for dead."""
-        self.schedule.bring_forward(Timer.GOSSIP, now + self.config.urgent_gossip_interval)
+        self.schedule.bring_forward(Timer.GOSSIP, now + self.config.urgent_gossip_interval_ns)
 
     def record_event(self, event: MembershipEvent) -> None:
         """Add to the bounded list of events."""
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -8,7 +8,9 @@
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.local_health import LocalHealth
 
-WIDESPREAD = 8  # suspicions at a time from which on more than one member has a problem
+WIDESPREAD_MEMBERS = (
+    8  # suspected at a time: from here on a fault of the network is likelier than single deaths
+)
 
 
 @dataclass(slots=True)
@@ -29,8 +31,8 @@
         """From the maximum down to the minimum by the logarithm of the confirmations (ns)."""
         confirmations = min(max(0, len(self.reporters) - 1), config.confirmations)
         share = log(confirmations + 1) / log(config.confirmations + 1)
-        extra = (config.suspicion_max - config.suspicion_min) * (1 - share) * multiplier
-        return self.since + int(config.suspicion_min + extra) + 1
+        extra = (config.suspicion_max_ns - config.suspicion_min_ns) * (1 - share) * multiplier
+        return self.since + int(config.suspicion_min_ns + extra) + 1
 
 
 class SuspicionTable:
@@ -67,7 +69,7 @@
     @property
     def is_widespread(self) -> bool:
         """Whether so many are suspected that a network fault is likelier than single deaths."""
-        return len(self._suspicions) >= WIDESPREAD
+        return len(self._suspicions) >= WIDESPREAD_MEMBERS
 
     def is_reported_locally(self, member: int) -> bool:
         """Whether this member itself has reported that one."""
@@ -87,7 +89,7 @@
 
     def postpone(self, now: int, pause: int) -> None:
         """Resume after this process was paused: the pause does not count against anybody."""
-        earliest = now - self._config.suspicion_max + self._config.pause_grace
+        earliest = now - self._config.suspicion_max_ns + self._config.pause_grace_ns
         for suspicion in self._suspicions.values():
             suspicion.since = max(suspicion.since + pause, earliest)
 
--- a/anisespool/membership/transport.py
+++ b/anisespool/membership/transport.py
@@ -13,7 +13,7 @@
 from anisespool.membership.codec import InvalidDatagramError
 from anisespool.membership.messages import Message
 
-READ_BATCH = 32  # datagrams read before requests get their turn
+READ_BATCH_DATAGRAMS = 32  # read before requests get their turn
 READ_BYTES = 512  # more than a datagram of ours, so that a longer one is recognized
 RECEIVE_BUFFER_BYTES = 2**18
 
@@ -90,7 +90,7 @@
             self._socket.close()
 
     def _read(self) -> None:
-        for _ in range(READ_BATCH):
+        for _ in range(READ_BATCH_DATAGRAMS):
             try:
                 data, source = self._socket.recvfrom(READ_BYTES)
             except (BlockingIOError, InterruptedError):
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -17,7 +17,7 @@
 )
 from anisespool.membership.member_state import (
     NOBODY,
-    SUSPICION_AGE_UNIT,
+    SUSPICION_AGE_UNIT_NS,
     MemberState,
     MemberUpdate,
     refutation,
@@ -28,6 +28,8 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.suspicion import Suspicion
 
+PROBES_PER_CONFIRMATION_FACTOR = 3  # expected early probes of a suspect, for each confirmation it takes
+
 
 class UpdateProcessor:
     """The rules by which a member's state changes."""
@@ -94,7 +96,9 @@
     def _suspect(self, now: int, report: MemberUpdate) -> Suspicion:
         """Begin a suspicion, of the reported age up to a bound."""
         state = self._state
-        age = min(report.suspicion_age * SUSPICION_AGE_UNIT, state.config.max_reported_suspicion_age)
+        age = min(
+            report.suspicion_age_units * SUSPICION_AGE_UNIT_NS, state.config.max_reported_suspicion_age_ns
+        )
         suspicion = state.suspicions.open(report.member, report.incarnation_key, now - age)
         self._record(now, report._replace(state=MemberState.SUSPECT))
         state.record_event(MemberSuspected(report.member, report.reporter))
@@ -106,7 +110,7 @@
         state = self._state
         if state.suspicions.is_widespread or report.reporter == state.local.member:
             return
-        if state.random_below(state.fleet_size) < 3 * state.config.confirmations:
+        if state.random_below(state.fleet_size) < PROBES_PER_CONFIRMATION_FACTOR * state.config.confirmations:
             self._probe_order.put_first(report.member)
             state.schedule.bring_forward(Timer.PROBE, now)
 
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from anisespool.membership.config import MS, SECOND, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, NS_PER_S, MembershipConfig
 from anisespool.membership.events import MemberDied
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
@@ -38,7 +38,7 @@
 
     def __init__(self, size: int, seed: int = 1, config: MembershipConfig | None = None) -> None:
         print(f"seed {seed}")
-        self.now = SECOND
+        self.now = NS_PER_S
         self.size = size
         self.config = config or MembershipConfig()
         self.random = Random(seed)
@@ -67,7 +67,7 @@
 
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
-        end = self.now + int(seconds * SECOND)
+        end = self.now + int(seconds * NS_PER_S)
         while self._queue and self._queue[0][0] <= end:
             self.now, _, call, arguments = heapq.heappop(self._queue)
             call(*arguments)
@@ -82,7 +82,7 @@
             self.sent[member] += 1
             assert len(message.updates) <= 17
             if not self.is_cut(member, recipient) and self.random.random() >= self.loss:
-                delay = int(self.random.uniform(*self.delay_ms) * MS)
+                delay = int(self.random.uniform(*self.delay_ms) * NS_PER_MS)
                 self._call_at(self.now + delay, self._deliver, member, recipient, message)
 
     def alive(self, member: int) -> frozenset[int]:
@@ -98,9 +98,9 @@
         """Run until they agree, and return the seconds that took; fails at the limit."""
         start = self.now
         while not self.agree(members, alive):
-            assert self.now < start + limit_s * SECOND, {n: sorted(self.alive(n)) for n in members}
+            assert self.now < start + limit_s * NS_PER_S, {n: sorted(self.alive(n)) for n in members}
             self.run(0.1)
-        return (self.now - start) / SECOND
+        return (self.now - start) / NS_PER_S
 
     def _call_at(self, at: int, call: Callable[..., None], *arguments: Any) -> None:
         heapq.heappush(self._queue, (at, next(self._order), call, arguments))
@@ -113,14 +113,14 @@
             return
         self.emit(member, protocol.tick(self.now))
         if not protocol.is_leaving:
-            self._call_at(max(self.now + MS, protocol.next_tick_at), self._tick, member, protocol)
+            self._call_at(max(self.now + NS_PER_MS, protocol.next_tick_at), self._tick, member, protocol)
 
     def _deliver(self, sender: int, recipient: int, message: Message) -> None:
         protocol = self.members.get(recipient)
         if protocol is None:
             return
         if self.paused_until.get(recipient, 0) > self.now:  # it waits in the socket
-            self._call_at(self.paused_until[recipient] + MS, self._deliver, sender, recipient, message)
+            self._call_at(self.paused_until[recipient] + NS_PER_MS, self._deliver, sender, recipient, message)
             return
         self.emit(recipient, protocol.receive(self.now, sender, message))
 
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -11,7 +11,7 @@
 
 from anisespool.membership import codec
 from anisespool.membership.codec import InvalidDatagramError, InvalidReason
-from anisespool.membership.config import SECOND
+from anisespool.membership.config import NS_PER_S
 from anisespool.membership.member_state import MemberState, MemberUpdate
 from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind
 from anisespool.membership.protocol import MembershipProtocol
@@ -25,7 +25,7 @@
     incarnation=U16,
     state=st.sampled_from(MemberState),
     reporter=st.integers(-1, 2**16 - 2),
-    suspicion_age=st.integers(0, 255),
+    suspicion_age_units=st.integers(0, 255),
 )
 MESSAGES = st.builds(
     Message,
@@ -111,11 +111,11 @@
 def test_random_messages_keep_all_bounds(conversation: list[tuple[int, Message, int]], seed: int) -> None:
     """No error, incarnations never decrease, one entry a member, few answers a message."""
     protocol = MembershipProtocol(3, 10, 10, Random(seed).randrange)
-    now = SECOND
+    now = NS_PER_S
     protocol.start(now)
     previous: dict[int, tuple[int, int]] = {}
     for sender, message, pause in conversation:
-        now += pause * SECOND // 5
+        now += pause * NS_PER_S // 5
         answers = protocol.receive(now, sender, message)
         assert len(answers) <= 4
         assert all(0 <= answer.recipient < 10 and answer.recipient != 3 for answer in answers)
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from anisespool.membership.config import SECOND, MembershipConfig
+from anisespool.membership.config import NS_PER_S, MembershipConfig
 from anisespool.membership.member_state import MAX_BOOT, MemberState, MemberUpdate
 from anisespool.membership.messages import Message, MessageKind
 from anisespool.membership.protocol import MembershipProtocol
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("pause_s", [0.6, 2.0, 20.0])
 def test_a_paused_member_suspects_nobody_for_it_and_rejoins(fleet: SimulatedFleet, pause_s: float) -> None:
-    fleet.paused_until[5] = fleet.now + int(pause_s * SECOND)
+    fleet.paused_until[5] = fleet.now + int(pause_s * NS_PER_S)
     fleet.run(pause_s + 0.001)
     fleet.deaths.clear()
     fleet.run(8)
@@ -103,10 +103,10 @@
 def test_ten_percent_loss_and_pauses_cause_no_false_death(fleet: SimulatedFleet) -> None:
     fleet.loss = 0.1
     for second in range(0, 120, 2):
-        fleet.paused_until[second % 20] = fleet.now + int(fleet.random.uniform(0.3, 2.0) * SECOND)
+        fleet.paused_until[second % 20] = fleet.now + int(fleet.random.uniform(0.3, 2.0) * NS_PER_S)
         fleet.run(2)
     paused_until = fleet.paused_until
-    assert not [death for death in fleet.deaths if paused_until.get(death.member, 0) + SECOND < death.at]
+    assert not [death for death in fleet.deaths if paused_until.get(death.member, 0) + NS_PER_S < death.at]
 
 
 def test_a_member_announces_its_shutdown(fleet: SimulatedFleet) -> None:
@@ -124,14 +124,14 @@
     )  # 0 receives from the faulty one alone
     start = fleet.now
     observer = fleet.members[0]
-    while not [death for death in fleet.deaths if death.by == 0] and fleet.now < start + 5 * SECOND:
+    while not [death for death in fleet.deaths if death.by == 0] and fleet.now < start + 5 * NS_PER_S:
         key = observer.members[4].incarnation_key
         reports = (MemberUpdate(4, *key, MemberState.DEAD, reporter, 255) for reporter in range(5, 19))
         observer.receive(fleet.now, 19, gossip(*reports))
         fleet.run(0.05)
     first_death, *_ = [death for death in fleet.deaths if death.by == 0]
     config = MembershipConfig()
-    assert first_death.at - start >= config.suspicion_min - config.max_reported_suspicion_age
+    assert first_death.at - start >= config.suspicion_min_ns - config.max_reported_suspicion_age_ns
 
 
 def test_two_processes_with_one_number_leave_everything_bounded(fleet: SimulatedFleet) -> None:
@@ -153,12 +153,12 @@
     protocol.start(0)
     for sender in range(1, 200):
         ping_req = Message(MessageKind.PING_REQ, 1, 0, sequence=sender, target=500)
-        protocol.receive(SECOND, sender, ping_req)
+        protocol.receive(NS_PER_S, sender, ping_req)
         reports = [
             MemberUpdate(n, 1, 0, MemberState.SUSPECT, reporter=n % 7) for n in range(sender, sender + 15)
         ]
         no_member = MemberUpdate(5000, 1, 0, MemberState.DEAD, reporter=1)
-        protocol.receive(SECOND, sender, gossip(*reports, no_member, boot=1))
+        protocol.receive(NS_PER_S, sender, gossip(*reports, no_member, boot=1))
     assert len(protocol._prober._relays) <= 4
     assert len(protocol.broadcasts) <= 10
     assert protocol.broadcasts.dropped
