--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -30,7 +30,7 @@
         """Compare every bucket once, as a member that has just started knows nothing."""
         self._initial_buckets = list(range(self._bucket_count))
 
-    def compare(self, now: int) -> list[Outgoing]:
+    def compare(self, now_ns: int) -> list[Outgoing]:
         """Send digests of some buckets, each to a random member."""
         state = self._state
         initial = self._initial_buckets
@@ -39,26 +39,26 @@
         out = []
         for bucket in buckets:
             for recipient in state.choose_members(1):
-                message = state.compose(now, MessageKind.BUCKET_DIGEST, target=bucket)
+                message = state.compose(now_ns, MessageKind.BUCKET_DIGEST, target=bucket)
                 out.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
-        if initial or now - state.views.changed_at < state.config.unsettled_period_ns:
-            interval = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
-            state.schedule.set(Timer.ANTI_ENTROPY, now + interval)
+        if initial or now_ns - state.views.changed_at_ns < state.config.unsettled_period_ns:
+            interval_ns = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
+            state.schedule.set(Timer.ANTI_ENTROPY, now_ns + interval_ns)
         return out
 
-    def receive_digest(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Send all states of the bucket, in as many messages as it takes, if the digest differs."""
         bucket = message.target
         if not self._is_bucket(bucket) or message.digest == self.digest(bucket):
             return []
         updates = self._updates(bucket)
-        reply = self._state.compose(now, MessageKind.BUCKET_STATE, target=bucket)
+        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, target=bucket)
         return [
             Outgoing(sender, reply._replace(updates=tuple(updates[start : start + MAX_UPDATES])))
             for start in range(0, len(updates), MAX_UPDATES)
         ]
 
-    def receive_states(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def receive_states(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Answer a bucket's states, applied already, with those that are newer here."""
         bucket = message.target
         if not self._is_bucket(bucket) or message.sequence != BucketStateSequence.FIRST:
@@ -71,7 +71,7 @@
         ]
         if not newer:
             return []
-        reply = self._state.compose(now, MessageKind.BUCKET_STATE, BucketStateSequence.ANSWER, bucket)
+        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, BucketStateSequence.ANSWER, bucket)
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -28,7 +28,7 @@
     """An update with its transmissions so far, and when its suspicion began (ns)."""
 
     update: MemberUpdate
-    suspected_since: int
+    suspected_at_ns: int
     transmissions: int = 0
 
 
@@ -61,8 +61,8 @@
             for broadcast in self._broadcasts.values()
         )
 
-    def add(self, update: MemberUpdate, suspected_since: int = 0) -> None:
-        """Queue an update. `suspected_since`: when its suspicion began (ns), sent along as an age."""
+    def add(self, update: MemberUpdate, suspected_at_ns: int = 0) -> None:
+        """Queue an update. `suspected_at_ns`: when its suspicion began (ns), sent along as an age."""
         reporter = update.reporter if update.state is MemberState.SUSPECT else NOBODY
         for other in list(self._reporters.get(update.member, ())):
             queued = self._broadcasts[update.member, other].update
@@ -71,10 +71,10 @@
         key = (update.member, reporter)
         if key not in self._broadcasts and len(self._broadcasts) >= self._config.max_broadcasts:
             self._drop_least_needed()
-        self._broadcasts[key] = _Broadcast(update, suspected_since)
+        self._broadcasts[key] = _Broadcast(update, suspected_at_ns)
         self._reporters.setdefault(update.member, {})[reporter] = None
 
-    def take(self, count: int, fleet_size: int, now: int) -> tuple[MemberUpdate, ...]:
+    def take(self, count: int, fleet_size: int, now_ns: int) -> tuple[MemberUpdate, ...]:
         """The next updates to send, at most `count`."""
         if not self._broadcasts:
             return ()
@@ -83,7 +83,7 @@
         chosen = []
         for key in nsmallest(count, self._broadcasts, key=self._priority):
             broadcast = self._broadcasts[key]
-            chosen.append(_with_age(broadcast, now))
+            chosen.append(_with_age(broadcast, now_ns))
             broadcast.transmissions += 1
             if broadcast.transmissions >= (limit if self._is_first_report(key) else confirmation_limit):
                 self._remove(key)
@@ -116,9 +116,9 @@
             del self._reporters[member]
 
 
-def _with_age(broadcast: _Broadcast, now: int) -> MemberUpdate:
+def _with_age(broadcast: _Broadcast, now_ns: int) -> MemberUpdate:
     """The update as sent now, with the suspicion's age."""
     age_units = 0
     if broadcast.update.state is MemberState.SUSPECT:
-        age_units = suspicion_age_units(now - broadcast.suspected_since)
+        age_units = suspicion_age_units(now_ns - broadcast.suspected_at_ns)
     return broadcast.update._replace(suspicion_age_units=age_units)
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -9,7 +9,7 @@
 LONG_QUEUE_INTERVAL_FACTOR = 2  # rounds of a long queue, relative to those of an urgent one
 
 
-def gossip(state: ProtocolState, now: int) -> list[Outgoing]:
+def gossip(state: ProtocolState, now_ns: int) -> list[Outgoing]:
     """One round."""
     queue = state.broadcasts
     if not queue:
@@ -17,11 +17,11 @@
     # Where many die at once their updates wait for one another, longer than suspicions take to expire.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
-        interval = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
-        state.schedule.set(Timer.GOSSIP, now + min(state.config.gossip_interval_ns, interval))
+        interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
+        state.schedule.set(Timer.GOSSIP, now_ns + min(state.config.gossip_interval_ns, interval_ns))
     out = []
     for recipient in state.choose_members(state.config.fanout):
-        updates = queue.take(MAX_UPDATES, state.fleet_size, now)
+        updates = queue.take(MAX_UPDATES, state.fleet_size, now_ns)
         if updates:
-            out.append(Outgoing(recipient, state.compose_gossip(now, updates)))
+            out.append(Outgoing(recipient, state.compose_gossip(now_ns, updates)))
     return out
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -7,7 +7,7 @@
 missed.
 
 The concerns are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
-Methods return the messages to be sent; `next_tick_at` says when to call `tick`. Times are in ns.
+Methods return the messages to be sent; `next_tick_at_ns` says when to call `tick`. Times are in ns.
 """
 
 from __future__ import annotations
@@ -114,38 +114,38 @@
         """Members by state; the same object until something changes."""
         return self._state.view()
 
-    def start(self, now: int) -> list[Outgoing]:
+    def start(self, now_ns: int) -> list[Outgoing]:
         """Announce this member to a few others, and begin to compare every bucket."""
         state = self._state
-        self._restart_timers(now)
+        self._restart_timers(now_ns)
         self._anti_entropy.start()
-        state.suspicions.allowed_from = now + state.config.probe_interval_ns
-        state.views.changed_at = now
-        state.started_at = now
+        state.suspicions.allowed_at_ns = now_ns + state.config.probe_interval_ns
+        state.views.changed_at_ns = now_ns
+        state.started_at_ns = now_ns
         state.broadcasts.add(state.local)
-        return gossip(state, now)
+        return gossip(state, now_ns)
 
     @property
-    def next_tick_at(self) -> int:
+    def next_tick_at_ns(self) -> int:
         """When `tick` has to be called next."""
-        return min(self._times())
+        return min(self._due_times())
 
-    def tick(self, now: int) -> list[Outgoing]:
+    def tick(self, now_ns: int) -> list[Outgoing]:
         """Do all that is due."""
         if self.is_leaving:
             return []
-        pause = now - self.next_tick_at
-        if pause > self._state.config.pause_threshold_ns:
-            return self._resume(now, pause)
-        out = self._prober.tick(now)
-        self._updates.expire_suspicions(now)
-        out += self._run_timers(now)
+        pause_ns = now_ns - self.next_tick_at_ns
+        if pause_ns > self._state.config.pause_threshold_ns:
+            return self._resume(now_ns, pause_ns)
+        out = self._prober.tick(now_ns)
+        self._updates.expire_suspicions(now_ns)
+        out += self._run_timers(now_ns)
         return out
 
-    def receive(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def receive(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Handle a message; the transport identified its sender by the address."""
         state = self._state
-        max_boot = self._max_plausible_boot(now)
+        max_boot = self._max_plausible_boot(now_ns)
         if not self._is_acceptable(sender, message, max_boot):
             state.stats.ignored += 1
             return []
@@ -154,102 +154,106 @@
             # A late datagram of an earlier boot must not be taken for one of the new. But the sender may have
             # started with its clock set back: it is notified, and takes a higher boot.
             state.stats.ignored += 1
-            return [state.answer_with(now, sender, known)]
+            return [state.answer_with(now_ns, sender, known)]
         local = state.local
-        out = self._apply_sender(now, sender, message)
-        self._apply_updates(now, message, max_boot)
+        out = self._apply_sender(now_ns, sender, message)
+        self._apply_updates(now_ns, message, max_boot)
         if state.local is not local:  # a refutation reaches first whoever passed the suspicion on
-            out.append(state.answer_with(now, sender, state.local))
-        out += self._reply(now, sender, message)
+            out.append(state.answer_with(now_ns, sender, state.local))
+        out += self._reply(now_ns, sender, message)
         return out
 
-    def leave(self, now: int) -> list[Outgoing]:
+    def leave(self, now_ns: int) -> list[Outgoing]:
         """Announce the shutdown to a few members, which pass it on. Nothing is sent after it."""
         state = self._state
         state.local = state.local._replace(state=MemberState.LEFT)
-        announcement = state.compose_gossip(now, (state.local,))
+        announcement = state.compose_gossip(now_ns, (state.local,))
         recipients = state.choose_members(LEAVE_FANOUT_FACTOR * state.config.fanout)
         self.is_leaving = True
         return [Outgoing(recipient, announcement) for recipient in recipients]
 
-    def _times(self) -> Iterator[int]:
-        yield from self._state.schedule.times(is_gossip_pending=bool(self._state.broadcasts))
-        yield from self._prober.times()
-        expiry = self._state.suspicions.next_expiry
+    def _due_times(self) -> Iterator[int]:
+        yield from self._state.schedule.due_times(is_gossip_pending=bool(self._state.broadcasts))
+        yield from self._prober.due_times()
+        expiry = self._state.suspicions.next_expiry_at_ns
         if expiry is not None:
             yield expiry
 
-    def _run_timers(self, now: int) -> list[Outgoing]:
+    def _run_timers(self, now_ns: int) -> list[Outgoing]:
         state = self._state
         out: list[Outgoing] = []
         # Each job's next time is set before it runs, as it may choose an earlier one.
-        if state.schedule.is_due(Timer.GOSSIP, now):
-            state.schedule.set(Timer.GOSSIP, now + state.config.gossip_interval_ns)
-            out += gossip(state, now)
-        if state.schedule.is_due(Timer.ANTI_ENTROPY, now):
-            state.schedule.set(Timer.ANTI_ENTROPY, now + state.config.anti_entropy_interval_ns)
-            out += self._anti_entropy.compare(now)
-        if state.schedule.is_due(Timer.RECONNECT, now):
-            state.schedule.set(Timer.RECONNECT, now + state.config.reconnect_interval_ns)
-            out += self._prober.reconnect(now)
+        if state.schedule.is_due(Timer.GOSSIP, now_ns):
+            state.schedule.set(Timer.GOSSIP, now_ns + state.config.gossip_interval_ns)
+            out += gossip(state, now_ns)
+        if state.schedule.is_due(Timer.ANTI_ENTROPY, now_ns):
+            state.schedule.set(Timer.ANTI_ENTROPY, now_ns + state.config.anti_entropy_interval_ns)
+            out += self._anti_entropy.compare(now_ns)
+        if state.schedule.is_due(Timer.RECONNECT, now_ns):
+            state.schedule.set(Timer.RECONNECT, now_ns + state.config.reconnect_interval_ns)
+            out += self._prober.reconnect(now_ns)
         return out
 
-    def _resume(self, now: int, pause: int) -> list[Outgoing]:
+    def _resume(self, now_ns: int, pause_ns: int) -> list[Outgoing]:
         """Continue after this process did not run: what it missed is nobody's fault."""
         state = self._state
         state.stats.pauses += 1
-        state.record_event(ProtocolPaused(pause // NS_PER_MS))
+        state.record_event(ProtocolPaused(pause_ns // NS_PER_MS))
         self._prober.abandon()
         state.health.degrade(PAUSE_PENALTY_LEVEL)
-        state.suspicions.allowed_from = now + state.config.pause_grace_ns
-        state.suspicions.postpone(now, pause)
-        self._restart_timers(now)
+        state.suspicions.allowed_at_ns = now_ns + state.config.pause_grace_ns
+        state.suspicions.postpone(now_ns, pause_ns)
+        self._restart_timers(now_ns)
         state.broadcasts.add(state.local)
-        return gossip(state, now) + self._anti_entropy.compare(now)
+        return gossip(state, now_ns) + self._anti_entropy.compare(now_ns)
 
-    def _restart_timers(self, now: int) -> None:
+    def _restart_timers(self, now_ns: int) -> None:
         state = self._state
-        state.schedule.restart(now, state.config.gossip_interval_ns, state.random_below)
+        state.schedule.restart(now_ns, state.config.gossip_interval_ns, state.random_below)
 
-    def _max_plausible_boot(self, now: int) -> int:
+    def _max_plausible_boot(self, now_ns: int) -> int:
         """Boots are counted in ms. One reported far ahead for a member would exclude it permanently."""
-        return self._state.local.boot + max(0, now - self._state.started_at) // NS_PER_MS + MAX_BOOT_SKEW_MS
+        return (
+            self._state.local.boot
+            + max(0, now_ns - self._state.started_at_ns) // NS_PER_MS
+            + MAX_BOOT_SKEW_MS
+        )
 
     def _is_acceptable(self, sender: int, message: Message, max_boot: int) -> bool:
         if sender == self._state.local.member or not 0 <= sender < self._state.fleet_size:
             return False
         return not self.is_leaving and message.boot <= max_boot
 
-    def _apply_sender(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def _apply_sender(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """The message shows that its sender is alive; if others took it for dead, it is notified."""
         alive = MemberUpdate(sender, message.boot, message.incarnation, MemberState.ALIVE)
-        self._updates.apply(now, alive)
+        self._updates.apply(now_ns, alive)
         current = self._state.members.get(sender)
         if current and current.state is MemberState.DEAD:
-            return [self._state.answer_with(now, sender, current)]
+            return [self._state.answer_with(now_ns, sender, current)]
         return []
 
-    def _apply_updates(self, now: int, message: Message, max_boot: int) -> None:
+    def _apply_updates(self, now_ns: int, message: Message, max_boot: int) -> None:
         for update in message.updates:
             if 0 <= update.member < self._state.fleet_size and update.boot <= max_boot:
-                self._updates.apply(now, update)
+                self._updates.apply(now_ns, update)
             else:
                 self._state.stats.ignored += 1
 
-    def _reply(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def _reply(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         match message.kind:
             case MessageKind.PING:
-                return self._prober.receive_ping(now, sender, message)
+                return self._prober.receive_ping(now_ns, sender, message)
             case MessageKind.ACK:
-                return self._prober.receive_ack(now, sender, message)
+                return self._prober.receive_ack(now_ns, sender, message)
             case MessageKind.PING_REQ:
-                return self._prober.receive_ping_req(now, sender, message)
+                return self._prober.receive_ping_req(now_ns, sender, message)
             case MessageKind.NACK:
                 self._prober.receive_nack(message)
             case MessageKind.BUCKET_DIGEST:
-                return self._anti_entropy.receive_digest(now, sender, message)
+                return self._anti_entropy.receive_digest(now_ns, sender, message)
             case MessageKind.BUCKET_STATE:
-                return self._anti_entropy.receive_states(now, sender, message)
+                return self._anti_entropy.receive_states(now_ns, sender, message)
         return []
 
 
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -65,7 +65,7 @@
     datagrams: dict[str, int]
 
 
-def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now: int) -> MembershipReport:
+def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now_ns: int) -> MembershipReport:
     """The state of the protocol at `now` (monotonic, ns), with the transport's counts."""
     view = protocol.view()
     stats = protocol.stats
@@ -74,7 +74,7 @@
         boot=protocol.local.boot,
         incarnation=protocol.local.incarnation,
         view_version=view.version,
-        age_ms=(now - view.changed_at) // NS_PER_MS,
+        age_ms=(now_ns - view.changed_at_ns) // NS_PER_MS,
         alive=sorted(view.alive),
         suspect=sorted(view.suspect),
         dead=sorted(view.dead),
--- a/anisespool/membership/schedule.py
+++ b/anisespool/membership/schedule.py
@@ -19,27 +19,27 @@
     """The next time of each timer."""
 
     def __init__(self) -> None:
-        self._due_at = dict.fromkeys(Timer, 0)
+        self._due_at_ns = dict.fromkeys(Timer, 0)
 
-    def restart(self, now: int, spread: int, random_below: Callable[[int], int]) -> None:
+    def restart(self, now_ns: int, spread_ns: int, random_below: Callable[[int], int]) -> None:
         """Set each timer to a random time within `spread`, so that members don't act in step."""
         for timer in Timer:
-            self._due_at[timer] = now + random_below(max(1, spread))
+            self._due_at_ns[timer] = now_ns + random_below(max(1, spread_ns))
 
-    def set(self, timer: Timer, at: int) -> None:
+    def set(self, timer: Timer, at_ns: int) -> None:
         """Set the timer's next time."""
-        self._due_at[timer] = at
+        self._due_at_ns[timer] = at_ns
 
-    def bring_forward(self, timer: Timer, at: int) -> None:
+    def bring_forward(self, timer: Timer, at_ns: int) -> None:
         """Let the timer be due by `at`, or sooner if it is already."""
-        self._due_at[timer] = min(self._due_at[timer], at)
+        self._due_at_ns[timer] = min(self._due_at_ns[timer], at_ns)
 
-    def is_due(self, timer: Timer, now: int) -> bool:
+    def is_due(self, timer: Timer, now_ns: int) -> bool:
         """Whether the timer's time has come."""
-        return now >= self._due_at[timer]
+        return now_ns >= self._due_at_ns[timer]
 
-    def times(self, is_gossip_pending: bool) -> Iterator[int]:
+    def due_times(self, is_gossip_pending: bool) -> Iterator[int]:
         """The next times; gossip counts only while there is something to send, not to wake for nothing."""
-        for timer, at in self._due_at.items():
+        for timer, at_ns in self._due_at_ns.items():
             if timer is not Timer.GOSSIP or is_gossip_pending:
-                yield at
+                yield at_ns
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -107,7 +107,7 @@
 
     def _schedule_tick(self, min_delay_s: float = MIN_TICK_INTERVAL_S) -> None:
         loop = asyncio.get_running_loop()
-        at_s = max(self.protocol.next_tick_at / 1e9, loop.time() + min_delay_s)
+        at_s = max(self.protocol.next_tick_at_ns / 1e9, loop.time() + min_delay_s)
         self._timer = loop.call_at(at_s, self._tick)
 
     def _tick(self) -> None:
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -50,7 +50,7 @@
         events: Since they were last taken.
         stats: Counts for people.
         reached_indirectly: Members that answered their last probe through others alone: a path is cut.
-        started_at: When this member started (ns).
+        started_at_ns: When this member started.
     """
 
     config: MembershipConfig
@@ -66,7 +66,7 @@
     events: list[MembershipEvent] = field(default_factory=list)
     stats: ProtocolStats = field(default_factory=ProtocolStats)
     reached_indirectly: set[int] = field(default_factory=set)
-    started_at: int = 0
+    started_at_ns: int = 0
     last_sequence: int = 0
 
     def is_active(self, member: int) -> bool:
@@ -95,24 +95,24 @@
         self.last_sequence = (self.last_sequence + 1) % SEQUENCE_NUMBERS
         return self.last_sequence
 
-    def compose(self, now: int, kind: MessageKind, sequence: int = 0, target: int = 0) -> Message:
+    def compose(self, now_ns: int, kind: MessageKind, sequence: int = 0, target: int = 0) -> Message:
         """A message from this member; those of a probe carry queued updates (piggybacking)."""
         updates: tuple[MemberUpdate, ...] = ()
         if kind in PIGGYBACK_KINDS:
-            updates = self.broadcasts.take(MAX_UPDATES, self.fleet_size, now)
+            updates = self.broadcasts.take(MAX_UPDATES, self.fleet_size, now_ns)
         return Message(kind, self.local.boot, self.local.incarnation, sequence, target, updates=updates)
 
-    def compose_gossip(self, now: int, updates: tuple[MemberUpdate, ...]) -> Message:
+    def compose_gossip(self, now_ns: int, updates: tuple[MemberUpdate, ...]) -> Message:
         """A message that carries these updates alone."""
-        return self.compose(now, MessageKind.GOSSIP)._replace(updates=updates)
+        return self.compose(now_ns, MessageKind.GOSSIP)._replace(updates=updates)
 
-    def answer_with(self, now: int, recipient: int, update: MemberUpdate) -> Outgoing:
+    def answer_with(self, now_ns: int, recipient: int, update: MemberUpdate) -> Outgoing:
         """A message to one member with one update."""
-        return Outgoing(recipient, self.compose_gossip(now, (update,)))
+        return Outgoing(recipient, self.compose_gossip(now_ns, (update,)))
 
-    def expedite_gossip(self, now: int) -> None:
+    def expedite_gossip(self, now_ns: int) -> None:
         """Gossip soon, as an update decides whether somebody is taken for dead."""
-        self.schedule.bring_forward(Timer.GOSSIP, now + self.config.urgent_gossip_interval_ns)
+        self.schedule.bring_forward(Timer.GOSSIP, now_ns + self.config.urgent_gossip_interval_ns)
 
     def record_event(self, event: MembershipEvent) -> None:
         """Add to the bounded list of events."""
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -19,31 +19,31 @@
 
     Attributes:
         incarnation_key: The boot and incarnation suspected.
-        since: When the first failed probe was sent (ns).
+        suspected_at_ns: When the first failed probe was sent (ns).
         reporters: Members that suspect it, this one among them if it does.
     """
 
     incarnation_key: tuple[int, int]
-    since: int
+    suspected_at_ns: int
     reporters: set[int] = field(default_factory=set)
 
-    def expires_at(self, config: MembershipConfig, multiplier: float) -> int:
+    def expires_at_ns(self, config: MembershipConfig, multiplier: float) -> int:
         """From the maximum down to the minimum by the logarithm of the confirmations (ns)."""
         confirmations = min(max(0, len(self.reporters) - 1), config.confirmations)
         share = log(confirmations + 1) / log(config.confirmations + 1)
-        extra = (config.suspicion_max_ns - config.suspicion_min_ns) * (1 - share) * multiplier
-        return self.since + int(config.suspicion_min_ns + extra) + 1
+        extra_ns = (config.suspicion_max_ns - config.suspicion_min_ns) * (1 - share) * multiplier
+        return self.suspected_at_ns + int(config.suspicion_min_ns + extra_ns) + 1
 
 
 class SuspicionTable:
     """Members under suspicion, as this member sees them.
 
     Attributes:
-        allowed_from: Before this time (ns) this member suspects nobody by itself and lets nothing expire.
+        allowed_at_ns: Before this time this member suspects nobody by itself and lets nothing expire.
     """
 
     def __init__(self, config: MembershipConfig, health: LocalHealth, local_member: int) -> None:
-        self.allowed_from = 0
+        self.allowed_at_ns = 0
         self._config = config
         self._health = health
         self._local_member = local_member
@@ -56,9 +56,9 @@
         """The suspicion of that member, if there is one."""
         return self._suspicions.get(member)
 
-    def open(self, member: int, incarnation_key: tuple[int, int], since: int) -> Suspicion:
+    def open(self, member: int, incarnation_key: tuple[int, int], suspected_at_ns: int) -> Suspicion:
         """A new suspicion, in the place of one of an earlier incarnation."""
-        suspicion = Suspicion(incarnation_key, since)
+        suspicion = Suspicion(incarnation_key, suspected_at_ns)
         self._suspicions[member] = suspicion
         return suspicion
 
@@ -77,24 +77,24 @@
         return suspicion is not None and self._local_member in suspicion.reporters
 
     @property
-    def next_expiry(self) -> int | None:
+    def next_expiry_at_ns(self) -> int | None:
         """When the first suspicion expires (ns)."""
-        return min(map(self._expires_at, self._suspicions), default=None)
+        return min(map(self._expires_at_ns, self._suspicions), default=None)
 
-    def expired(self, now: int) -> list[int]:
+    def expired(self, now_ns: int) -> list[int]:
         """Members whose suspicion has expired."""
-        if now < self.allowed_from:
+        if now_ns < self.allowed_at_ns:
             return []
-        return [member for member in self._suspicions if self._expires_at(member) <= now]
+        return [member for member in self._suspicions if self._expires_at_ns(member) <= now_ns]
 
-    def postpone(self, now: int, pause: int) -> None:
+    def postpone(self, now_ns: int, pause_ns: int) -> None:
         """Resume after this process was paused: the pause does not count against anybody."""
-        earliest = now - self._config.suspicion_max_ns + self._config.pause_grace_ns
+        earliest_at_ns = now_ns - self._config.suspicion_max_ns + self._config.pause_grace_ns
         for suspicion in self._suspicions.values():
-            suspicion.since = max(suspicion.since + pause, earliest)
+            suspicion.suspected_at_ns = max(suspicion.suspected_at_ns + pause_ns, earliest_at_ns)
 
-    def _expires_at(self, member: int) -> int:
+    def _expires_at_ns(self, member: int) -> int:
         suspicion = self._suspicions[member]
         is_local = self._local_member in suspicion.reporters
         multiplier = self._health.timeout_multiplier if is_local else 1.0
-        return max(suspicion.expires_at(self._config, multiplier), self.allowed_from)
+        return max(suspicion.expires_at_ns(self._config, multiplier), self.allowed_at_ns)
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -38,28 +38,28 @@
         self._state = state
         self._probe_order = probe_order
 
-    def apply(self, now: int, update: MemberUpdate) -> None:
+    def apply(self, now_ns: int, update: MemberUpdate) -> None:
         """Apply an update, whoever it comes from; one that is superseded changes nothing."""
         if update.member == self._state.local.member:
-            self._refute(now, update)
+            self._refute(now_ns, update)
         elif update.state in (MemberState.SUSPECT, MemberState.DEAD):
-            self._report_suspicion(now, update)
+            self._report_suspicion(now_ns, update)
         else:
             current = self._state.members.get(update.member)
             if current is None or supersedes(update, current):
-                self._record(now, update)
+                self._record(now_ns, update)
 
-    def expire_suspicions(self, now: int) -> None:
+    def expire_suspicions(self, now_ns: int) -> None:
         """Declare members dead whose suspicion has expired; all of one moment are one change of the view."""
         state = self._state
-        for member in state.suspicions.expired(now):
+        for member in state.suspicions.expired(now_ns):
             suspicion = state.suspicions.get(member)
             assert suspicion
             boot, incarnation = suspicion.incarnation_key
             dead = MemberUpdate(member, boot, incarnation, MemberState.DEAD, state.local.member)
-            self._record(now, dead)
+            self._record(now_ns, dead)
 
-    def _refute(self, now: int, received: MemberUpdate) -> None:
+    def _refute(self, now_ns: int, received: MemberUpdate) -> None:
         """An update about this member itself: announce a higher incarnation if it would supersede ours."""
         state = self._state
         answer = refutation(state.local, received)
@@ -70,11 +70,11 @@
         state.local = answer
         state.stats.refutations += 1
         state.record_event(SuspicionRefuted(answer.incarnation))
-        state.expedite_gossip(now)
+        state.expedite_gossip(now_ns)
         state.health.degrade()
         state.broadcasts.add(answer)
 
-    def _report_suspicion(self, now: int, report: MemberUpdate) -> None:
+    def _report_suspicion(self, now_ns: int, report: MemberUpdate) -> None:
         """One more reporter of a suspicion, or the first."""
         state = self._state
         current = state.members.get(report.member)
@@ -86,35 +86,35 @@
             return
         suspicion = state.suspicions.get(report.member)
         if suspicion is None or suspicion.incarnation_key < report.incarnation_key:
-            suspicion = self._suspect(now, report)
+            suspicion = self._suspect(now_ns, report)
         max_reporters = state.config.confirmations + 2
         if report.reporter not in suspicion.reporters and len(suspicion.reporters) < max_reporters:
             suspicion.reporters.add(report.reporter)
-            state.broadcasts.add(report._replace(state=MemberState.SUSPECT), suspicion.since)
-            state.expedite_gossip(now)
+            state.broadcasts.add(report._replace(state=MemberState.SUSPECT), suspicion.suspected_at_ns)
+            state.expedite_gossip(now_ns)
 
-    def _suspect(self, now: int, report: MemberUpdate) -> Suspicion:
+    def _suspect(self, now_ns: int, report: MemberUpdate) -> Suspicion:
         """Begin a suspicion, of the reported age up to a bound."""
         state = self._state
-        age = min(
+        age_ns = min(
             report.suspicion_age_units * SUSPICION_AGE_UNIT_NS, state.config.max_reported_suspicion_age_ns
         )
-        suspicion = state.suspicions.open(report.member, report.incarnation_key, now - age)
-        self._record(now, report._replace(state=MemberState.SUSPECT))
+        suspicion = state.suspicions.open(report.member, report.incarnation_key, now_ns - age_ns)
+        self._record(now_ns, report._replace(state=MemberState.SUSPECT))
         state.record_event(MemberSuspected(report.member, report.reporter))
-        self._maybe_probe_soon(now, report)
+        self._maybe_probe_soon(now_ns, report)
         return suspicion
 
-    def _maybe_probe_soon(self, now: int, report: MemberUpdate) -> None:
+    def _maybe_probe_soon(self, now_ns: int, report: MemberUpdate) -> None:
         """Some members probe the suspect at once, as many as it takes to confirm: no waiting for chance."""
         state = self._state
         if state.suspicions.is_widespread or report.reporter == state.local.member:
             return
         if state.random_below(state.fleet_size) < PROBES_PER_CONFIRMATION_FACTOR * state.config.confirmations:
             self._probe_order.put_first(report.member)
-            state.schedule.bring_forward(Timer.PROBE, now)
+            state.schedule.bring_forward(Timer.PROBE, now_ns)
 
-    def _record(self, now: int, update: MemberUpdate) -> None:
+    def _record(self, now_ns: int, update: MemberUpdate) -> None:
         """Take over an update as the member's current state."""
         state = self._state
         previous = state.members.get(update.member)
@@ -127,8 +127,8 @@
         if not is_suspect:  # a suspicion is queued with its reporter
             state.broadcasts.add(update)
             if previous and previous.state is not MemberState.ALIVE:
-                state.expedite_gossip(now)
-        state.views.mark_changed(now)
+                state.expedite_gossip(now_ns)
+        state.views.mark_changed(now_ns)
         self._record_event(previous, update)
 
     def _record_event(self, previous: MemberUpdate | None, update: MemberUpdate) -> None:
--- a/anisespool/membership/view.py
+++ b/anisespool/membership/view.py
@@ -27,7 +27,7 @@
 
     Attributes:
         version: Counts changes of the sets.
-        changed_at: When they last changed (monotonic, ns).
+        changed_at_ns: When they last changed (monotonic, ns).
         alive: This member among them.
         suspect: Suspected, and not yet taken for dead.
         dead: Their suspicion expired.
@@ -39,7 +39,7 @@
     """
 
     version: int
-    changed_at: int
+    changed_at_ns: int
     alive: frozenset[int]
     suspect: frozenset[int]
     dead: frozenset[int]
@@ -65,13 +65,13 @@
 
     def __init__(self) -> None:
         self.version = 0
-        self.changed_at = 0
+        self.changed_at_ns = 0
         self._view: MembershipView | None = None
 
-    def mark_changed(self, now: int) -> None:
+    def mark_changed(self, now_ns: int) -> None:
         """A member changed its state: the next view is a new version."""
         self.version += 1
-        self.changed_at = now
+        self.changed_at_ns = now_ns
         self._view = None
 
     def current(
@@ -97,7 +97,7 @@
         by_state[MemberState.ALIVE].add(local_member)
         return MembershipView(
             version=self.version,
-            changed_at=self.changed_at,
+            changed_at_ns=self.changed_at_ns,
             alive=frozenset(by_state[MemberState.ALIVE]),
             suspect=frozenset(by_state[MemberState.SUSPECT]),
             dead=frozenset(by_state[MemberState.DEAD]),
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -101,7 +101,7 @@
 
 def _run(members: dict[int, MembershipProtocol], end_ns: int) -> Traffic:
     traffic = Traffic()
-    ticks = [(member.next_tick_at, number) for number, member in members.items()]
+    ticks = [(member.next_tick_at_ns, number) for number, member in members.items()]
     heapq.heapify(ticks)
     while ticks and ticks[0][0] < end_ns:
         now, number = heapq.heappop(ticks)
@@ -111,7 +111,7 @@
             traffic.octets += len(codec.encode(message))
             if message.kind is MessageKind.PING:
                 member.receive(now, recipient, _ack(recipient, message))
-        heapq.heappush(ticks, (max(now + 1, member.next_tick_at), number))
+        heapq.heappush(ticks, (max(now + 1, member.next_tick_at_ns), number))
     return traffic
 
 
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -18,7 +18,7 @@
 class Death(NamedTuple):
     """One member declared another dead."""
 
-    at: int
+    at_ns: int
     by: int
     member: int
 
@@ -28,7 +28,7 @@
 
     Attributes:
         members: Running members by number.
-        paused_until: By member; its messages wait so long.
+        paused_until_ns: By member; its messages wait so long.
         loss: Share of messages lost.
         delay_ms: Bounds of a message's delay.
         is_cut: Whether messages from the first member to the second are lost.
@@ -38,12 +38,12 @@
 
     def __init__(self, size: int, seed: int = 1, config: MembershipConfig | None = None) -> None:
         print(f"seed {seed}")
-        self.now = NS_PER_S
+        self.now_ns = NS_PER_S
         self.size = size
         self.config = config or MembershipConfig()
         self.random = Random(seed)
         self.members: dict[int, MembershipProtocol] = {}
-        self.paused_until: dict[int, int] = {}
+        self.paused_until_ns: dict[int, int] = {}
         self.loss = 0.0
         self.delay_ms = (1.0, 3.0)
         self.is_cut: Callable[[int, int], bool] = lambda sender, recipient: False
@@ -58,8 +58,8 @@
         """Start a member, in the place of the one of that number."""
         protocol = MembershipProtocol(member, boot, self.size, self.random.randrange, self.config)
         self.members[member] = protocol
-        self.emit(member, protocol.start(self.now))
-        self._call_at(protocol.next_tick_at, self._tick, member, protocol)
+        self.emit(member, protocol.start(self.now_ns))
+        self._call_at(protocol.next_tick_at_ns, self._tick, member, protocol)
 
     def kill(self, member: int) -> None:
         """End a member without a word."""
@@ -67,23 +67,23 @@
 
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
-        end = self.now + int(seconds * NS_PER_S)
-        while self._queue and self._queue[0][0] <= end:
-            self.now, _, call, arguments = heapq.heappop(self._queue)
+        end_ns = self.now_ns + int(seconds * NS_PER_S)
+        while self._queue and self._queue[0][0] <= end_ns:
+            self.now_ns, _, call, arguments = heapq.heappop(self._queue)
             call(*arguments)
-        self.now = end
+        self.now_ns = end_ns
 
     def emit(self, member: int, outgoing: list[Outgoing]) -> None:
         """Note the member's events and deliver what it sends."""
         for event in self.members[member].take_events():
             if isinstance(event, MemberDied):
-                self.deaths.append(Death(self.now, member, event.member))
+                self.deaths.append(Death(self.now_ns, member, event.member))
         for recipient, message in outgoing:
             self.sent[member] += 1
             assert len(message.updates) <= 17
             if not self.is_cut(member, recipient) and self.random.random() >= self.loss:
-                delay = int(self.random.uniform(*self.delay_ms) * NS_PER_MS)
-                self._call_at(self.now + delay, self._deliver, member, recipient, message)
+                delay_ns = int(self.random.uniform(*self.delay_ms) * NS_PER_MS)
+                self._call_at(self.now_ns + delay_ns, self._deliver, member, recipient, message)
 
     def alive(self, member: int) -> frozenset[int]:
         """Whom the member takes for alive."""
@@ -96,33 +96,37 @@
 
     def run_until_agreed(self, members: set[int], alive: set[int], limit_s: float) -> float:
         """Run until they agree, and return the seconds that took; fails at the limit."""
-        start = self.now
+        start_ns = self.now_ns
         while not self.agree(members, alive):
-            assert self.now < start + limit_s * NS_PER_S, {n: sorted(self.alive(n)) for n in members}
+            assert self.now_ns < start_ns + limit_s * NS_PER_S, {n: sorted(self.alive(n)) for n in members}
             self.run(0.1)
-        return (self.now - start) / NS_PER_S
+        return (self.now_ns - start_ns) / NS_PER_S
 
-    def _call_at(self, at: int, call: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self._queue, (at, next(self._order), call, arguments))
+    def _call_at(self, at_ns: int, call: Callable[..., None], *arguments: Any) -> None:
+        heapq.heappush(self._queue, (at_ns, next(self._order), call, arguments))
 
     def _tick(self, member: int, protocol: MembershipProtocol) -> None:
         if self.members.get(member) is not protocol:
             return
-        if self.paused_until.get(member, 0) > self.now:
-            self._call_at(self.paused_until[member], self._tick, member, protocol)
+        if self.paused_until_ns.get(member, 0) > self.now_ns:
+            self._call_at(self.paused_until_ns[member], self._tick, member, protocol)
             return
-        self.emit(member, protocol.tick(self.now))
+        self.emit(member, protocol.tick(self.now_ns))
         if not protocol.is_leaving:
-            self._call_at(max(self.now + NS_PER_MS, protocol.next_tick_at), self._tick, member, protocol)
+            self._call_at(
+                max(self.now_ns + NS_PER_MS, protocol.next_tick_at_ns), self._tick, member, protocol
+            )
 
     def _deliver(self, sender: int, recipient: int, message: Message) -> None:
         protocol = self.members.get(recipient)
         if protocol is None:
             return
-        if self.paused_until.get(recipient, 0) > self.now:  # it waits in the socket
-            self._call_at(self.paused_until[recipient] + NS_PER_MS, self._deliver, sender, recipient, message)
+        if self.paused_until_ns.get(recipient, 0) > self.now_ns:  # it waits in the socket
+            self._call_at(
+                self.paused_until_ns[recipient] + NS_PER_MS, self._deliver, sender, recipient, message
+            )
             return
-        self.emit(recipient, protocol.receive(self.now, sender, message))
+        self.emit(recipient, protocol.receive(self.now_ns, sender, message))
 
 
 def agreed_fleet(size: int = 20, seed: int = 1) -> SimulatedFleet:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -111,20 +111,20 @@
 def test_random_messages_keep_all_bounds(conversation: list[tuple[int, Message, int]], seed: int) -> None:
     """No error, incarnations never decrease, one entry a member, few answers a message."""
     protocol = MembershipProtocol(3, 10, 10, Random(seed).randrange)
-    now = NS_PER_S
-    protocol.start(now)
+    now_ns = NS_PER_S
+    protocol.start(now_ns)
     previous: dict[int, tuple[int, int]] = {}
-    for sender, message, pause in conversation:
-        now += pause * NS_PER_S // 5
-        answers = protocol.receive(now, sender, message)
+    for sender, message, pause_ns in conversation:
+        now_ns += pause_ns * NS_PER_S // 5
+        answers = protocol.receive(now_ns, sender, message)
         assert len(answers) <= 4
         assert all(0 <= answer.recipient < 10 and answer.recipient != 3 for answer in answers)
-        for outgoing in (*answers, *protocol.tick(now)):
+        for outgoing in (*answers, *protocol.tick(now_ns)):
             assert len(codec.encode(outgoing.message)) <= 256
         for member, update in protocol.members.items():
             assert update.incarnation_key >= previous.get(member, (0, 0))
             previous[member] = update.incarnation_key
         assert protocol.local.incarnation_key >= previous.get(3, (0, 0))
         assert len(protocol.members) <= 9
-        assert protocol.next_tick_at >= 0
+        assert protocol.next_tick_at_ns >= 0
         previous[3] = protocol.local.incarnation_key
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -37,7 +37,7 @@
     for member in ALL - {3, 4}:
         sender = (member + 1) % 20 if member != 2 else 5
         fleet.members[member].receive(
-            fleet.now, sender, gossip(MemberUpdate(3, 10, 9, MemberState.DEAD, reporter=7))
+            fleet.now_ns, sender, gossip(MemberUpdate(3, 10, 9, MemberState.DEAD, reporter=7))
         )
     fleet.run(5)
     assert fleet.agree(ALL - {4}, ALL - {4})
@@ -54,11 +54,11 @@
 def test_a_boot_far_ahead_from_a_faulty_member_excludes_nobody(fleet: SimulatedFleet) -> None:
     observer = fleet.members[0]
     for boot in (MAX_BOOT, 10 + 25 * 3600 * 1000):
-        observer.receive(fleet.now, 19, gossip(MemberUpdate(4, boot, 0, MemberState.ALIVE)))
-        observer.receive(fleet.now, 19, gossip(boot=boot))
+        observer.receive(fleet.now_ns, 19, gossip(MemberUpdate(4, boot, 0, MemberState.ALIVE)))
+        observer.receive(fleet.now_ns, 19, gossip(boot=boot))
     assert observer.members[4].boot == observer.members[19].boot == 10
     plausible = MemberUpdate(4, 5000, 0, MemberState.ALIVE)
-    observer.receive(fleet.now, 19, gossip(plausible))
+    observer.receive(fleet.now_ns, 19, gossip(plausible))
     fleet.run(3)
     assert fleet.members[4].local.boot == 5001 == observer.members[4].boot
     assert fleet.agree(ALL, ALL)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("pause_s", [0.6, 2.0, 20.0])
 def test_a_paused_member_suspects_nobody_for_it_and_rejoins(fleet: SimulatedFleet, pause_s: float) -> None:
-    fleet.paused_until[5] = fleet.now + int(pause_s * NS_PER_S)
+    fleet.paused_until_ns[5] = fleet.now_ns + int(pause_s * NS_PER_S)
     fleet.run(pause_s + 0.001)
     fleet.deaths.clear()
     fleet.run(8)
@@ -103,14 +103,16 @@
 def test_ten_percent_loss_and_pauses_cause_no_false_death(fleet: SimulatedFleet) -> None:
     fleet.loss = 0.1
     for second in range(0, 120, 2):
-        fleet.paused_until[second % 20] = fleet.now + int(fleet.random.uniform(0.3, 2.0) * NS_PER_S)
+        fleet.paused_until_ns[second % 20] = fleet.now_ns + int(fleet.random.uniform(0.3, 2.0) * NS_PER_S)
         fleet.run(2)
-    paused_until = fleet.paused_until
-    assert not [death for death in fleet.deaths if paused_until.get(death.member, 0) + NS_PER_S < death.at]
+    paused_until_ns = fleet.paused_until_ns
+    assert not [
+        death for death in fleet.deaths if paused_until_ns.get(death.member, 0) + NS_PER_S < death.at_ns
+    ]
 
 
 def test_a_member_announces_its_shutdown(fleet: SimulatedFleet) -> None:
-    fleet.emit(8, fleet.members[8].leave(fleet.now))
+    fleet.emit(8, fleet.members[8].leave(fleet.now_ns))
     fleet.members.pop(8)
     assert fleet.run_until_agreed(ALL - {8}, ALL - {8}, 2) < 1.5
     assert not fleet.deaths
@@ -122,16 +124,16 @@
     fleet.is_cut = (
         lambda sender, recipient: recipient == 0 and sender != 19
     )  # 0 receives from the faulty one alone
-    start = fleet.now
+    start_ns = fleet.now_ns
     observer = fleet.members[0]
-    while not [death for death in fleet.deaths if death.by == 0] and fleet.now < start + 5 * NS_PER_S:
+    while not [death for death in fleet.deaths if death.by == 0] and fleet.now_ns < start_ns + 5 * NS_PER_S:
         key = observer.members[4].incarnation_key
         reports = (MemberUpdate(4, *key, MemberState.DEAD, reporter, 255) for reporter in range(5, 19))
-        observer.receive(fleet.now, 19, gossip(*reports))
+        observer.receive(fleet.now_ns, 19, gossip(*reports))
         fleet.run(0.05)
     first_death, *_ = [death for death in fleet.deaths if death.by == 0]
     config = MembershipConfig()
-    assert first_death.at - start >= config.suspicion_min_ns - config.max_reported_suspicion_age_ns
+    assert first_death.at_ns - start_ns >= config.suspicion_min_ns - config.max_reported_suspicion_age_ns
 
 
 def test_two_processes_with_one_number_leave_everything_bounded(fleet: SimulatedFleet) -> None:
@@ -139,8 +141,8 @@
     for _ in range(200):
         for target in (0, 1, 2):
             message = Message(MessageKind.GOSSIP, second.local.boot, second.local.incarnation)
-            fleet.members[target].receive(fleet.now, 7, message)
-        second.receive(fleet.now, 0, gossip(fleet.members[0].members[7]))
+            fleet.members[target].receive(fleet.now_ns, 7, message)
+        second.receive(fleet.now_ns, 0, gossip(fleet.members[0].members[7]))
         fleet.run(0.05)
     assert fleet.members[7].local.boot >= 10
     assert len(fleet.members[0].members) == 19
