--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -8,14 +8,16 @@
 from zlib import crc32
 
 from anisespool.membership.config import BUCKET_MEMBERS
-from anisespool.membership.member_state import MemberUpdate
+from anisespool.membership.member_state import MemberState, MemberUpdate, Precedence
 from anisespool.membership.messages import MAX_UPDATES, BucketStateSequence, Message, MessageKind, Outgoing
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
 INITIAL_DIGEST_DATAGRAMS = 4  # a comparison, until each bucket was compared once after the start
 UNSETTLED_RATE_FACTOR = 5  # comparisons are so many times as frequent while views change
-BELOW_ALL: tuple[int, int, int] = (-1, 0, 0)  # in precedence
+LOWEST_PRECEDENCE = Precedence(
+    boot=-1, incarnation=0, state=MemberState.ALIVE
+)  # of a member without an update
 
 
 class AntiEntropy:
@@ -67,7 +69,7 @@
         newer = [
             update
             for update in self._updates(bucket)
-            if update.precedence > received.get(update.member, BELOW_ALL)
+            if update.precedence > received.get(update.member, LOWEST_PRECEDENCE)
         ]
         if not newer:
             return []
--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -114,7 +114,7 @@
         sequence=sequence,
         target=target,
         digest=digest,
-        updates=tuple(_decode_update(*row) for row in UPDATE.iter_unpack(data[HEADER.size : updates_end])),
+        updates=tuple(_decode_update(row) for row in UPDATE.iter_unpack(data[HEADER.size : updates_end])),
         payload=data[updates_end : updates_end + payload_bytes],
     )
 
@@ -131,9 +131,8 @@
         raise InvalidDatagramError(InvalidReason.CHECKSUM)
 
 
-def _decode_update(
-    member: int, boot_high: int, boot_low: int, incarnation: int, state: int, reporter: int, age: int
-) -> MemberUpdate:
+def _decode_update(packed: tuple[int, ...]) -> MemberUpdate:
+    member, boot_high, boot_low, incarnation, state, reporter, age_units = packed
     if state not in STATES:
         raise InvalidDatagramError(InvalidReason.MALFORMED)
     return MemberUpdate(
@@ -142,5 +141,5 @@
         incarnation=incarnation,
         state=MemberState(state),
         reporter=NOBODY if reporter == FixedValue.NO_REPORTER else reporter,
-        suspicion_age_units=age,
+        suspicion_age_units=age_units,
     )
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -8,19 +8,26 @@
 from dataclasses import dataclass
 from heapq import nsmallest
 from math import ceil, log10
+from typing import NamedTuple
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.member_state import (
     NOBODY,
     MemberState,
     MemberUpdate,
+    supersedes,
     suspicion_age_units,
 )
 
 URGENT_UPDATE_DATAGRAMS = 3  # carry a suspicion or a refutation before it waits for ordinary rounds
 CONFIRMATION_DATAGRAMS = 4  # carry a further report of a suspicion: after many deaths most updates are such
 
-Key = tuple[int, int]  # member, reporter
+
+class BroadcastKey(NamedTuple):
+    """What a queued update is about; `reporter` is NOBODY unless it reports a suspicion."""
+
+    member: int
+    reporter: int
 
 
 @dataclass(slots=True)
@@ -43,7 +50,7 @@
         self.dropped = 0
         self._config = config
         self._local_member = local_member
-        self._broadcasts: dict[Key, _Broadcast] = {}
+        self._broadcasts: dict[BroadcastKey, _Broadcast] = {}
         self._reporters: dict[int, dict[int, None]] = {}  # by member, in order of arrival
 
     def __bool__(self) -> bool:
@@ -65,10 +72,10 @@
         """Queue an update. `suspected_at_ns`: when its suspicion began (ns), sent along as an age."""
         reporter = update.reporter if update.state is MemberState.SUSPECT else NOBODY
         for other in list(self._reporters.get(update.member, ())):
-            queued = self._broadcasts[update.member, other].update
-            if queued.precedence < update.precedence or reporter == NOBODY:
-                self._remove((update.member, other))
-        key = (update.member, reporter)
+            queued_key = BroadcastKey(update.member, other)
+            if reporter == NOBODY or supersedes(update, self._broadcasts[queued_key].update):
+                self._remove(queued_key)
+        key = BroadcastKey(update.member, reporter)
         if key not in self._broadcasts and len(self._broadcasts) >= self._config.max_broadcasts:
             self._drop_least_needed()
         self._broadcasts[key] = _Broadcast(update, suspected_at_ns)
@@ -89,31 +96,34 @@
                 self._remove(key)
         return tuple(chosen)
 
-    def _is_first_report(self, key: Key) -> bool:
-        member, reporter = key
-        return reporter == NOBODY or reporter == next(iter(self._reporters[member]))
+    def _is_first_report(self, key: BroadcastKey) -> bool:
+        return key.reporter == NOBODY or key.reporter == next(iter(self._reporters[key.member]))
+
+    def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
+        """Lower is sent first: about this member, least transmitted, highest state.
 
-    def _priority(self, key: Key) -> tuple[bool, int, int, Key]:
+        A plain tuple, as after many deaths hundreds are built for each datagram.
+        """
         broadcast = self._broadcasts[key]
         state = broadcast.update.state
-        urgency = -state if state != MemberState.LEFT else 0
-        return key[0] != self._local_member, broadcast.transmissions, urgency, key
+        state_rank = -state if state is not MemberState.LEFT else 0
+        return key.member != self._local_member, broadcast.transmissions, state_rank, key
 
     def _drop_least_needed(self) -> None:
         """Make room for a newer update; anti-entropy repairs what the dropped one was needed for."""
         key = max(
             self._broadcasts,
-            key=lambda key: (key[0] != self._local_member, self._broadcasts[key].transmissions, key),
+            key=lambda key: (key.member != self._local_member, self._broadcasts[key].transmissions, key),
         )
         self._remove(key)
         self.dropped += 1
 
-    def _remove(self, key: Key) -> None:
-        member, reporter = key
+    def _remove(self, key: BroadcastKey) -> None:
         del self._broadcasts[key]
-        self._reporters[member].pop(reporter, None)
-        if not self._reporters[member]:
-            del self._reporters[member]
+        reporters = self._reporters[key.member]
+        reporters.pop(key.reporter, None)
+        if not reporters:
+            del self._reporters[key.member]
 
 
 def _with_age(broadcast: _Broadcast, now_ns: int) -> MemberUpdate:
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -28,6 +28,21 @@
     LEFT = 3
 
 
+class IncarnationKey(NamedTuple):
+    """Which incarnation of a member is meant: ordered by boot, then by the incarnation of that boot."""
+
+    boot: int
+    incarnation: int
+
+
+class Precedence(NamedTuple):
+    """The total order of updates about one member."""
+
+    boot: int
+    incarnation: int
+    state: MemberState
+
+
 class MemberUpdate(NamedTuple):
     """What one member reports about another, or about itself.
 
@@ -50,14 +65,14 @@
     suspicion_age_units: int = 0
 
     @property
-    def precedence(self) -> tuple[int, int, int]:
-        """The total order of updates about one member."""
-        return self.boot, self.incarnation, self.state
+    def precedence(self) -> Precedence:
+        """The place of this update in the order of updates about the member."""
+        return Precedence(self.boot, self.incarnation, self.state)
 
     @property
-    def incarnation_key(self) -> tuple[int, int]:
-        """What a refutation has to exceed."""
-        return self.boot, self.incarnation
+    def incarnation_key(self) -> IncarnationKey:
+        """The incarnation that the update is about, and that a refutation has to exceed."""
+        return IncarnationKey(self.boot, self.incarnation)
 
 
 def suspicion_age_units(age_ns: int) -> int:
@@ -67,7 +82,9 @@
 
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
     """Whether the update replaces the current one; both are about one member."""
-    return update.precedence > current.precedence
+    # Plain tuples: thousands are compared a second, and building a Precedence each costs thrice as much.
+    received = (update.boot, update.incarnation, update.state)
+    return received > (current.boot, current.incarnation, current.state)
 
 
 def refutation(local: MemberUpdate, received: MemberUpdate) -> MemberUpdate | None:
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -177,9 +177,13 @@
         suspicion = self._state.suspicions.get(target)
         if suspicion is None:
             return Outgoing(target, ping)
-        boot, incarnation = suspicion.incarnation_key
-        reporter = min(suspicion.reporters, default=NOBODY)
-        suspect = MemberUpdate(target, boot, incarnation, MemberState.SUSPECT, reporter)
+        suspect = MemberUpdate(
+            member=target,
+            boot=suspicion.incarnation_key.boot,
+            incarnation=suspicion.incarnation_key.incarnation,
+            state=MemberState.SUSPECT,
+            reporter=min(suspicion.reporters, default=NOBODY),
+        )
         return Outgoing(target, ping._replace(updates=(suspect, *ping.updates)[:MAX_UPDATES]))
 
     def _probe_indirectly(self, now_ns: int, probe: Probe) -> list[Outgoing]:
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -2,12 +2,17 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
 import msgspec
 
 from anisespool.membership.config import NS_PER_MS
+from anisespool.membership.local_health import FailedProbes
 from anisespool.membership.protocol import MembershipProtocol
+from anisespool.membership.state import ProtocolStats
+
+JsonObject = dict[str, Any]
 
 
 class MembershipReport(
@@ -59,16 +64,15 @@
     alive_min: int
     alive_max: int
     is_isolated: bool
-    failed_probes: tuple[int, int]
+    failed_probes: FailedProbes
     health_score: int
-    stats: dict[str, int]
+    stats: ProtocolStats
     datagrams: dict[str, int]
 
 
 def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now_ns: int) -> MembershipReport:
     """The state of the protocol at `now` (monotonic, ns), with the transport's counts."""
     view = protocol.view()
-    stats = protocol.stats
     return MembershipReport(
         number=protocol.local.member,
         boot=protocol.local.boot,
@@ -84,19 +88,14 @@
         alive_min=view.alive_min,
         alive_max=view.alive_max,
         is_isolated=view.is_isolated,
-        failed_probes=(view.failed_probes.failed, view.failed_probes.total),
+        failed_probes=view.failed_probes,
         health_score=view.health_score,
-        stats={
-            "accusations": stats.accusations,
-            "refutations": stats.refutations,
-            "pauses": stats.pauses,
-            "ignored": stats.ignored,
-        },
+        stats=replace(protocol.stats),
         datagrams=datagrams,
     )
 
 
-def to_json_object(report: MembershipReport) -> dict[str, Any]:
-    """The report as the control socket's JSON object."""
-    built: dict[str, Any] = msgspec.to_builtins(report)
+def to_json_object(report: MembershipReport) -> JsonObject:
+    """Return the report under the names that it has on the control socket."""
+    built: JsonObject = msgspec.to_builtins(report)
     return built
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -6,7 +6,6 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any
 
 from anisespool.config.clock import wall_ns
 from anisespool.config.operator import MembershipOptions
@@ -17,7 +16,7 @@
 from anisespool.membership.events import MembershipEvent, ViewChanged
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
-from anisespool.membership.report import build_report, to_json_object
+from anisespool.membership.report import JsonObject, build_report, to_json_object
 from anisespool.membership.transport import UdpTransport
 from anisespool.membership.view import MembershipView, format_ranges
 
@@ -100,7 +99,7 @@
         if self._transport:
             self._transport.close()
 
-    def describe(self) -> dict[str, Any]:
+    def describe(self) -> JsonObject:
         """The answer to `GET /v1/peers`, for `anisespool peers`."""
         datagrams = dict(self._transport.counts) if self._transport else {}
         return to_json_object(build_report(self.protocol, datagrams, time.monotonic_ns()))
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -7,6 +7,7 @@
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.local_health import LocalHealth
+from anisespool.membership.member_state import IncarnationKey
 
 WIDESPREAD_MEMBERS = (
     8  # suspected at a time: from here on a fault of the network is likelier than single deaths
@@ -23,7 +24,7 @@
         reporters: Members that suspect it, this one among them if it does.
     """
 
-    incarnation_key: tuple[int, int]
+    incarnation_key: IncarnationKey
     suspected_at_ns: int
     reporters: set[int] = field(default_factory=set)
 
@@ -56,7 +57,7 @@
         """The suspicion of that member, if there is one."""
         return self._suspicions.get(member)
 
-    def open(self, member: int, incarnation_key: tuple[int, int], suspected_at_ns: int) -> Suspicion:
+    def open(self, member: int, incarnation_key: IncarnationKey, suspected_at_ns: int) -> Suspicion:
         """A new suspicion, in the place of one of an earlier incarnation."""
         suspicion = Suspicion(incarnation_key, suspected_at_ns)
         self._suspicions[member] = suspicion
--- a/anisespool/membership/transport.py
+++ b/anisespool/membership/transport.py
@@ -63,7 +63,7 @@
         """
         self.counts: Counter[str] = Counter()
         self._peers = list(peers)
-        self._numbers: dict[tuple[str, int], int] = {address: number for number, address in enumerate(peers)}
+        self._numbers = {address: number for number, address in enumerate(peers)}
         self._on_message = on_message
         self._limiter = RateLimiter(max_datagrams_per_s, time.monotonic())
         self._socket = _bound_socket(listen)
@@ -99,7 +99,7 @@
                 continue
             self._receive(data, source)
 
-    def _receive(self, data: bytes, source: tuple[str, int]) -> None:
+    def _receive(self, data: bytes, source: Address) -> None:
         sender = self._numbers.get(source)
         if sender is None:
             self.counts["stranger"] += 1
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -55,8 +55,13 @@
         for member in state.suspicions.expired(now_ns):
             suspicion = state.suspicions.get(member)
             assert suspicion
-            boot, incarnation = suspicion.incarnation_key
-            dead = MemberUpdate(member, boot, incarnation, MemberState.DEAD, state.local.member)
+            dead = MemberUpdate(
+                member=member,
+                boot=suspicion.incarnation_key.boot,
+                incarnation=suspicion.incarnation_key.incarnation,
+                state=MemberState.DEAD,
+                reporter=state.local.member,
+            )
             self._record(now_ns, dead)
 
     def _refute(self, now_ns: int, received: MemberUpdate) -> None:
@@ -81,11 +86,12 @@
         if current is None:
             current = report._replace(state=MemberState.ALIVE, reporter=NOBODY)
             state.members[report.member] = current
-        is_same = report.incarnation_key == current.incarnation_key
-        if report.incarnation_key < current.incarnation_key or is_same and current.state >= MemberState.DEAD:
+        reported = report.incarnation_key
+        is_same = reported == current.incarnation_key
+        if reported < current.incarnation_key or is_same and current.state >= MemberState.DEAD:
             return
         suspicion = state.suspicions.get(report.member)
-        if suspicion is None or suspicion.incarnation_key < report.incarnation_key:
+        if suspicion is None or suspicion.incarnation_key < reported:
             suspicion = self._suspect(now_ns, report)
         max_reporters = state.config.confirmations + 2
         if report.reporter not in suspicion.reporters and len(suspicion.reporters) < max_reporters:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -12,7 +12,7 @@
 from anisespool.membership import codec
 from anisespool.membership.codec import InvalidDatagramError, InvalidReason
 from anisespool.membership.config import NS_PER_S
-from anisespool.membership.member_state import MemberState, MemberUpdate
+from anisespool.membership.member_state import IncarnationKey, MemberState, MemberUpdate
 from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind
 from anisespool.membership.protocol import MembershipProtocol
 
@@ -113,18 +113,18 @@
     protocol = MembershipProtocol(3, 10, 10, Random(seed).randrange)
     now_ns = NS_PER_S
     protocol.start(now_ns)
-    previous: dict[int, tuple[int, int]] = {}
-    for sender, message, pause_ns in conversation:
-        now_ns += pause_ns * NS_PER_S // 5
+    previous: dict[int, IncarnationKey] = {}
+    for sender, message, pause_fifths in conversation:
+        now_ns += pause_fifths * NS_PER_S // 5
         answers = protocol.receive(now_ns, sender, message)
         assert len(answers) <= 4
         assert all(0 <= answer.recipient < 10 and answer.recipient != 3 for answer in answers)
         for outgoing in (*answers, *protocol.tick(now_ns)):
             assert len(codec.encode(outgoing.message)) <= 256
         for member, update in protocol.members.items():
-            assert update.incarnation_key >= previous.get(member, (0, 0))
+            assert update.incarnation_key >= previous.get(member, IncarnationKey(0, 0))
             previous[member] = update.incarnation_key
-        assert protocol.local.incarnation_key >= previous.get(3, (0, 0))
+        assert protocol.local.incarnation_key >= previous.get(3, IncarnationKey(0, 0))
         assert len(protocol.members) <= 9
         assert protocol.next_tick_at_ns >= 0
         previous[3] = protocol.local.incarnation_key
--- a/tests/membership/test_member_state.py
+++ b/tests/membership/test_member_state.py
@@ -11,8 +11,10 @@
 from anisespool.membership.member_state import (
     MAX_BOOT,
     MAX_INCARNATION,
+    IncarnationKey,
     MemberState,
     MemberUpdate,
+    Precedence,
     refutation,
     supersedes,
 )
@@ -27,7 +29,7 @@
 )
 
 
-def merge(updates: list[MemberUpdate]) -> tuple[int, int, int]:
+def merge(updates: list[MemberUpdate]) -> Precedence:
     """The precedence of what remains of updates applied in this order."""
     current = updates[0]
     for update in updates:
@@ -46,23 +48,27 @@
 
 
 @pytest.mark.parametrize(
-    ("local", "heard", "answer"),
+    ("local", "received", "answer"),
     [
-        ((5, 2), (5, 2, MemberState.SUSPECT), (5, 3)),
-        ((5, 2), (5, 7, MemberState.DEAD), (5, 8)),
-        ((5, 2), (5, 1, MemberState.DEAD), None),
-        ((5, 2), (4, 9, MemberState.DEAD), None),
-        ((5, 2), (5, 2, MemberState.ALIVE), None),
+        (IncarnationKey(5, 2), Precedence(5, 2, MemberState.SUSPECT), IncarnationKey(5, 3)),
+        (IncarnationKey(5, 2), Precedence(5, 7, MemberState.DEAD), IncarnationKey(5, 8)),
+        (IncarnationKey(5, 2), Precedence(5, 1, MemberState.DEAD), None),
+        (IncarnationKey(5, 2), Precedence(4, 9, MemberState.DEAD), None),
+        (IncarnationKey(5, 2), Precedence(5, 2, MemberState.ALIVE), None),
         # Another process with its number, or a clock that was set back.
-        ((5, 2), (6, 0, MemberState.ALIVE), (7, 0)),
+        (IncarnationKey(5, 2), Precedence(6, 0, MemberState.ALIVE), IncarnationKey(7, 0)),
         # At the highest incarnation it takes a new boot.
-        ((5, MAX_INCARNATION), (5, MAX_INCARNATION, MemberState.SUSPECT), (6, 0)),
+        (
+            IncarnationKey(5, MAX_INCARNATION),
+            Precedence(5, MAX_INCARNATION, MemberState.SUSPECT),
+            IncarnationKey(6, 0),
+        ),
         # Nothing exceeds the highest boot, which only a faulty member sends.
-        ((5, 2), (MAX_BOOT, 0, MemberState.DEAD), None),
+        (IncarnationKey(5, 2), Precedence(MAX_BOOT, 0, MemberState.DEAD), None),
     ],
 )
 def test_a_live_member_refutes_updates_about_itself(
-    local: tuple[int, int], heard: tuple[int, int, MemberState], answer: tuple[int, int] | None
+    local: IncarnationKey, received: Precedence, answer: IncarnationKey | None
 ) -> None:
-    found = refutation(MemberUpdate(1, *local, MemberState.ALIVE), MemberUpdate(1, *heard, reporter=3))
+    found = refutation(MemberUpdate(1, *local, MemberState.ALIVE), MemberUpdate(1, *received, reporter=3))
     assert (found.incarnation_key if found else None) == answer
