--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -101,7 +101,8 @@
 
     def describe(self) -> JsonObject:
         """The answer to `GET /v1/peers`, for `anisespool peers`."""
-        datagrams = dict(self._transport.counts) if self._transport else {}
+        counts = self._transport.counts if self._transport else {}
+        datagrams = {counter.value: count for counter, count in counts.items()}
         return to_json_object(build_report(self.protocol, datagrams, time.monotonic_ns()))
 
     def _schedule_tick(self, min_delay_s: float = MIN_TICK_INTERVAL_S) -> None:
--- a/anisespool/membership/transport.py
+++ b/anisespool/membership/transport.py
@@ -1,4 +1,4 @@
-"""One UDP socket between members: a sender is known by its address, and sending is limited in rate."""
+"""The UDP socket between members: identifies senders by address, limits what is sent, counts datagrams."""
 
 from __future__ import annotations
 
@@ -7,40 +7,36 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Sequence
+from enum import Enum
 
 from anisespool.config.platform import Address
 from anisespool.membership import codec
-from anisespool.membership.codec import InvalidDatagramError
+from anisespool.membership.codec import InvalidDatagramError, InvalidReason
 from anisespool.membership.messages import Message
+from anisespool.membership.rate_limiter import RateLimiter
 
 READ_BATCH_DATAGRAMS = 32  # read before requests get their turn
-READ_BYTES = 512  # more than a datagram of ours, so that a longer one is recognized
+READ_BYTES = 512  # more than the longest valid datagram, so that a longer one is recognized
 RECEIVE_BUFFER_BYTES = 2**18
 
 
-class RateLimiter:
-    """A token bucket: `rate` events a second, in bursts of as many."""
+class TransportCounter(Enum):
+    """What became of datagrams; the values are the names on the control socket."""
 
-    def __init__(self, rate: float, now_s: float) -> None:
-        self._rate = rate
-        self._tokens = rate
-        self._refilled_at_s = now_s
-
-    def try_take(self, now_s: float) -> bool:
-        """Take a token if there is one."""
-        self._tokens = min(self._rate, self._tokens + (now_s - self._refilled_at_s) * self._rate)
-        self._refilled_at_s = now_s
-        if self._tokens < 1:
-            return False
-        self._tokens -= 1
-        return True
+    SENT = "sent"
+    SENT_BYTES = "sent_bytes"
+    RATE_LIMITED = "over rate"
+    SEND_FAILED = "unsent"
+    RECEIVED = "received"
+    RECEIVED_BYTES = "received_bytes"
+    UNKNOWN_SENDER = "stranger"
 
 
 class UdpTransport:
     """Sends and receives messages.
 
     Attributes:
-        counts: Datagrams and bytes sent and received, and what was dropped by reason.
+        counts: Datagrams and bytes by what became of them; invalid datagrams by the reason.
     """
 
     def __init__(
@@ -55,13 +51,13 @@
         Args:
             listen: Address to bind.
             peers: Addresses of all members, by number.
-            max_datagrams_per_s: What would exceed it is dropped.
+            max_datagrams_per_s: Messages beyond this rate are dropped.
             on_message: Called with the sender's number and its message.
 
         Raises:
             OSError: The address can't be bound; nothing stays open.
         """
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[TransportCounter | InvalidReason] = Counter()
         self._peers = list(peers)
         self._numbers = {address: number for number, address in enumerate(peers)}
         self._on_message = on_message
@@ -70,18 +66,18 @@
         asyncio.get_running_loop().add_reader(self._socket, self._read)
 
     def send(self, recipient: int, message: Message) -> None:
-        """Send a message, or drop it: a datagram may always be lost."""
-        if not self._limiter.try_take(time.monotonic()):
-            self.counts["over rate"] += 1
+        """Send a message, or drop and count it: the protocol tolerates lost datagrams."""
+        if not self._limiter.try_consume(time.monotonic()):
+            self.counts[TransportCounter.RATE_LIMITED] += 1
             return
         data = codec.encode(message)
         try:
             self._socket.sendto(data, self._peers[recipient])
-        except OSError:  # a full buffer, or nobody there
-            self.counts["unsent"] += 1
+        except OSError:  # a full buffer, or no process at that address
+            self.counts[TransportCounter.SEND_FAILED] += 1
             return
-        self.counts["sent"] += 1
-        self.counts["sent_bytes"] += len(data)
+        self.counts[TransportCounter.SENT] += 1
+        self.counts[TransportCounter.SENT_BYTES] += len(data)
 
     def close(self) -> None:
         """Close the socket; a second call does nothing."""
@@ -95,22 +91,23 @@
                 data, source = self._socket.recvfrom(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:
+            except OSError:  # of one datagram: the others are still to be read
                 continue
             self._receive(data, source)
 
     def _receive(self, data: bytes, source: Address) -> None:
+        """Handle one datagram; `source` is the socket module's pair, which equals an Address."""
         sender = self._numbers.get(source)
         if sender is None:
-            self.counts["stranger"] += 1
+            self.counts[TransportCounter.UNKNOWN_SENDER] += 1
             return
         try:
             message = codec.decode(data)
         except InvalidDatagramError as error:
-            self.counts[error.reason.value] += 1
+            self.counts[error.reason] += 1
             return
-        self.counts["received"] += 1
-        self.counts["received_bytes"] += len(data)
+        self.counts[TransportCounter.RECEIVED] += 1
+        self.counts[TransportCounter.RECEIVED_BYTES] += len(data)
         self._on_message(sender, message)
 
 
--- /dev/null
+++ b/tests/membership/test_transport.py
@@ -0,0 +1,58 @@
+"""The socket between members, with real datagrams on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+from anisespool.config.platform import Address
+from anisespool.membership import codec
+from anisespool.membership.messages import Message, MessageKind
+from anisespool.membership.transport import UdpTransport
+
+PING = Message(MessageKind.PING, 7, 0, sequence=1, target=0)
+
+
+@contextmanager
+def bound_udp_socket() -> Iterator[socket.socket]:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.settimeout(5)
+        sock.bind(("127.0.0.1", 0))
+        yield sock
+
+
+async def test_datagrams_are_counted_by_what_became_of_them() -> None:
+    """Under the names of the control socket."""
+    received: list[tuple[int, Message]] = []
+    with bound_udp_socket() as peer, bound_udp_socket() as unknown, bound_udp_socket() as free:
+        listen = Address(*free.getsockname())
+        free.close()
+        transport = UdpTransport(
+            listen, [listen, Address(*peer.getsockname())], 1, lambda *call: received.append(call)
+        )
+        data = codec.encode(PING)
+        unknown.sendto(data, listen)
+        peer.sendto(data[:-1] + b"x", listen)
+        peer.sendto(data + bytes(300), listen)
+        peer.sendto(data, listen)
+        async with asyncio.timeout(5):
+            while not received:
+                await asyncio.sleep(0.01)
+        for _ in range(2):
+            transport.send(1, PING)
+        transport.close()
+        transport.close()
+        assert received == [(1, PING)]
+        assert peer.recv(300) == data
+    assert {counter.value: count for counter, count in transport.counts.items()} == {
+        "stranger": 1,
+        "checksum": 1,
+        "too long": 1,
+        "received": 1,
+        "received_bytes": len(data),
+        "sent": 1,
+        "sent_bytes": len(data),
+        "over rate": 1,
+    }
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -100,6 +100,7 @@
     "membership/probe_order.py",
     "membership/probing.py",
     "membership/protocol.py",
+    "membership/rate_limiter.py",
     "membership/schedule.py",
     "membership/state.py",
     "membership/suspicion.py",
