--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -1,6 +1,7 @@
-"""Anti-entropy: repairs what gossip missed by comparing digests of buckets of members with a random member.
+"""Anti-entropy: repairs what gossip missed, by comparing digests of buckets with a random member.
 
-Only a bucket that differs is sent. memberlist's push/pull does the same with the whole state.
+memberlist's push/pull exchanges the complete state. Here the members are divided into buckets by number, and
+only a bucket whose digest differs is sent.
 """
 
 from __future__ import annotations
@@ -15,13 +16,12 @@
 
 INITIAL_DIGEST_DATAGRAMS = 4  # a comparison, until each bucket was compared once after the start
 UNSETTLED_RATE_FACTOR = 5  # comparisons are so many times as frequent while views change
-LOWEST_PRECEDENCE = Precedence(
-    boot=-1, incarnation=0, state=MemberState.ALIVE
-)  # of a member without an update
+# Of a member without an update.
+LOWEST_PRECEDENCE = Precedence(boot=-1, incarnation=0, state=MemberState.ALIVE)
 
 
 class AntiEntropy:
-    """Compares buckets: all of them at the start, then random ones."""
+    """Compares each bucket once after the start, then random ones."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
@@ -29,11 +29,17 @@
         self._initial_buckets: list[int] = []  # still to be compared after the start
 
     def start(self) -> None:
-        """Compare every bucket once, as a member that has just started knows nothing."""
+        """Queue every bucket for one comparison, as a member has no updates when it starts."""
         self._initial_buckets = list(range(self._bucket_count))
 
     def compare(self, now_ns: int) -> list[Outgoing]:
-        """Send digests of some buckets, each to a random member."""
+        """Return digests of some buckets, each for a random member; the timer calls it.
+
+        The next comparison is sooner while buckets of the start are left, or a view has changed lately.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         initial = self._initial_buckets
         buckets = [initial.pop() for _ in range(min(INITIAL_DIGEST_DATAGRAMS, len(initial)))]
@@ -49,19 +55,31 @@
         return out
 
     def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Send all states of the bucket, in as many messages as it takes, if the digest differs."""
+        """Return all states of the bucket for the sender, in as many messages as it takes, if digests differ.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the digest.
+            message: A BUCKET_DIGEST.
+        """
         bucket = message.target
         if not self._is_bucket(bucket) or message.digest == self.digest(bucket):
             return []
         updates = self._updates(bucket)
-        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, target=bucket)
+        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, BucketStateSequence.FIRST, bucket)
         return [
             Outgoing(sender, reply._replace(updates=tuple(updates[start : start + MAX_UPDATES])))
             for start in range(0, len(updates), MAX_UPDATES)
         ]
 
     def receive_states(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Answer a bucket's states, applied already, with those that are newer here."""
+        """Return the bucket's states that supersede the sender's; none if the message is itself an answer.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the states.
+            message: A BUCKET_STATE whose updates have been applied.
+        """
         bucket = message.target
         if not self._is_bucket(bucket) or message.sequence != BucketStateSequence.FIRST:
             return []
@@ -77,7 +95,11 @@
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
-        """CRC-32 of the states in the bucket, this member's among them; reporters don't count."""
+        """Return the CRC-32 of a bucket's states, this member's among them; reporters are left out.
+
+        Args:
+            bucket: Index of the bucket.
+        """
         text = ";".join(
             f"{update.member},{update.boot},{update.incarnation},{update.state:d}"
             for update in self._updates(bucket)
@@ -89,7 +111,8 @@
 
     def _updates(self, bucket: int) -> list[MemberUpdate]:
         state = self._state
-        numbers = range(bucket * BUCKET_MEMBERS, min(state.fleet_size, (bucket + 1) * BUCKET_MEMBERS))
+        end = min(state.fleet_size, (bucket + 1) * BUCKET_MEMBERS)
+        numbers = range(bucket * BUCKET_MEMBERS, end)
         current = (
             state.local if number == state.local.member else state.members.get(number) for number in numbers
         )
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -1,6 +1,7 @@
-"""Updates on their way to the whole fleet: a bounded queue, each sent a limited number of times.
+"""Dissemination: the bounded queue of updates that gossip and probes carry to the fleet.
 
-Least transmitted first, then the higher state first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
+Each update is sent a limited number of times that grows with the logarithm of the fleet's size; the least
+transmitted goes first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
 """
 
 from __future__ import annotations
@@ -32,7 +33,13 @@
 
 @dataclass(slots=True)
 class _Broadcast:
-    """An update with its transmissions so far, and when its suspicion began (ns)."""
+    """A queued update.
+
+    Attributes:
+        update: As it was added.
+        suspected_at_ns: When the suspicion that it reports began; unused for other states.
+        transmissions: Datagrams that carried it so far.
+    """
 
     update: MemberUpdate
     suspected_at_ns: int
@@ -40,7 +47,7 @@
 
 
 class BroadcastQueue:
-    """One update a member, replaced by a newer one; of a suspicion one a reporter, as each confirms it.
+    """One update a member, and of a suspicion one a reporter, as each report confirms it.
 
     Attributes:
         dropped: Updates that left the full queue before their last transmission.
@@ -51,7 +58,7 @@
         self._config = config
         self._local_member = local_member
         self._broadcasts: dict[BroadcastKey, _Broadcast] = {}
-        self._reporters: dict[int, dict[int, None]] = {}  # by member, in order of arrival
+        self._reporters: dict[int, dict[int, None]] = {}  # by member; a dict as a set in order of arrival
 
     def __bool__(self) -> bool:
         return bool(self._broadcasts)
@@ -61,7 +68,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a suspicion, or an update that refutes one, has reached only a few members yet."""
+        """Whether a suspicion, or an update that refutes one, was sent in a few datagrams only."""
         return any(
             broadcast.transmissions < URGENT_UPDATE_DATAGRAMS
             and (broadcast.update.state is MemberState.SUSPECT or broadcast.update.incarnation)
@@ -69,7 +76,12 @@
         )
 
     def add(self, update: MemberUpdate, suspected_at_ns: int = 0) -> None:
-        """Queue an update. `suspected_at_ns`: when its suspicion began (ns), sent along as an age."""
+        """Queue an update, in the place of those that it supersedes.
+
+        Args:
+            update: Any state; of a SUSPECT the reporter counts.
+            suspected_at_ns: When the suspicion began, sent along as its age; monotonic time.
+        """
         reporter = update.reporter if update.state is MemberState.SUSPECT else NOBODY
         for other in list(self._reporters.get(update.member, ())):
             queued_key = BroadcastKey(update.member, other)
@@ -77,12 +89,18 @@
                 self._remove(queued_key)
         key = BroadcastKey(update.member, reporter)
         if key not in self._broadcasts and len(self._broadcasts) >= self._config.max_broadcasts:
-            self._drop_least_needed()
+            self._drop_one()
         self._broadcasts[key] = _Broadcast(update, suspected_at_ns)
         self._reporters.setdefault(update.member, {})[reporter] = None
 
     def take(self, count: int, fleet_size: int, now_ns: int) -> tuple[MemberUpdate, ...]:
-        """The next updates to send, at most `count`."""
+        """Return the next updates for one datagram, and remove those that were sent often enough.
+
+        Args:
+            count: At most so many updates.
+            fleet_size: Members by the settings, from which the transmissions of an update follow.
+            now_ns: Monotonic time, for the ages of suspicions.
+        """
         if not self._broadcasts:
             return ()
         limit = self._config.retransmit_multiplier * max(1, ceil(log10(fleet_size + 1)))
@@ -100,7 +118,7 @@
         return key.reporter == NOBODY or key.reporter == next(iter(self._reporters[key.member]))
 
     def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
-        """Lower is sent first: about this member, least transmitted, highest state.
+        """Return the sort key of a queued update: about this member, least transmitted, then highest state.
 
         A plain tuple, as after many deaths hundreds are built for each datagram.
         """
@@ -109,8 +127,8 @@
         state_rank = -state if state is not MemberState.LEFT else 0
         return key.member != self._local_member, broadcast.transmissions, state_rank, key
 
-    def _drop_least_needed(self) -> None:
-        """Make room for a newer update; anti-entropy repairs what the dropped one was needed for."""
+    def _drop_one(self) -> None:
+        """Drop the most transmitted update about another member; anti-entropy repairs what it misses."""
         key = max(
             self._broadcasts,
             key=lambda key: (key.member != self._local_member, self._broadcasts[key].transmissions, key),
@@ -127,7 +145,7 @@
 
 
 def _with_age(broadcast: _Broadcast, now_ns: int) -> MemberUpdate:
-    """The update as sent now, with the suspicion's age."""
+    """Return the update as it is sent now: a suspicion with its age."""
     age_units = 0
     if broadcast.update.state is MemberState.SUSPECT:
         age_units = suspicion_age_units(now_ns - broadcast.suspected_at_ns)
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -1,4 +1,4 @@
-"""What the concerns of the protocol share: member table, queue, timers, events, and composing messages."""
+"""State that the parts of the protocol share (members, queue, timers, events), and messages made of it."""
 
 from __future__ import annotations
 
@@ -15,16 +15,23 @@
 from anisespool.membership.suspicion import SuspicionTable
 from anisespool.membership.view import MembershipView, ViewCache
 
-MAX_EVENTS = 1000  # that wait to be taken
-SEQUENCE_NUMBERS = 2**16
+MAX_EVENTS = 1000  # that wait to be taken; beyond it the oldest are dropped
+SEQUENCE_NUMBERS = 2**16  # two bytes of a datagram
 PIGGYBACK_KINDS = frozenset({MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ, MessageKind.NACK})
 
-RandomBelow = Callable[[int], int]  # a random whole number below the given one
+RandomBelow = Callable[[int], int]  # takes n, returns a random integer from 0 to n - 1
 
 
 @dataclass(slots=True)
 class ProtocolStats:
-    """Counts since the start, by the names that the control socket shows."""
+    """Counts since the start; the fields' names are those on the control socket.
+
+    Attributes:
+        accusations: Failed probes after which this member suspected the target.
+        refutations: Updates about this member that it refuted.
+        pauses: Ticks later than the pause threshold.
+        ignored: Messages and updates that were dropped: of an earlier boot, an implausible one, or no member.
+    """
 
     accusations: int = 0
     refutations: int = 0
@@ -34,23 +41,24 @@
 
 @dataclass(slots=True)
 class ProtocolState:
-    """One member's state.
+    """One member's state; times are monotonic ns.
 
     Attributes:
         config: The protocol's parameters.
         fleet_size: Members by the settings; their numbers run from 0.
         random_below: The only source of randomness.
         local: This member's own state, as it announces it.
-        members: States of the others, by number; none of a member of which no update was received.
-        health: How far this member trusts its own observations.
-        broadcasts: Updates on their way to the fleet.
+        health: The health score, which lengthens this member's timeouts.
+        broadcasts: Updates that are being disseminated.
         suspicions: Members under suspicion.
-        schedule: Periodic jobs.
-        views: The view that others read.
+        members: Current updates about the others, by number; none before the first about a member.
+        schedule: When periodic jobs are due.
+        views: The view that the sidecar reads.
         events: Since they were last taken.
-        stats: Counts for people.
-        reached_indirectly: Members that answered their last probe through others alone: a path is cut.
+        stats: Counts for the control socket.
+        reached_indirectly: Members whose last probe was acknowledged through helpers alone: a path is cut.
         started_at_ns: When this member started.
+        last_sequence: Sequence number of the last ping.
     """
 
     config: MembershipConfig
@@ -70,12 +78,17 @@
     last_sequence: int = 0
 
     def is_active(self, member: int) -> bool:
-        """Whether the member is known as alive or suspect."""
+        """Return whether the member is alive or suspect; false before the first update about it."""
         current = self.members.get(member)
         return current is not None and current.state < MemberState.DEAD
 
     def choose_members(self, count: int, excluded: Set[int] = frozenset()) -> list[int]:
-        """Random active members, suspects only if nobody is alive; any number while nobody is known."""
+        """Return random members to send to: alive ones, else suspects, else any of the fleet.
+
+        Args:
+            count: At most so many.
+            excluded: Members that are not chosen.
+        """
         active = [
             member
             for member, current in self.members.items()
@@ -91,34 +104,41 @@
         return chosen
 
     def next_sequence(self) -> int:
-        """A sequence number for a ping; probes and relays share them."""
+        """Return the sequence number of a new ping; probes and relays share one series."""
         self.last_sequence = (self.last_sequence + 1) % SEQUENCE_NUMBERS
         return self.last_sequence
 
     def compose(self, now_ns: int, kind: MessageKind, sequence: int = 0, target: int = 0) -> Message:
-        """A message from this member; those of a probe carry queued updates (piggybacking)."""
+        """Return a message from this member; those of a probe carry queued updates (SWIM's piggybacking).
+
+        Args:
+            now_ns: Monotonic time, for the ages of suspicions.
+            kind: What the message is for.
+            sequence: As the kind defines it.
+            target: A member's number or a bucket's index, as the kind defines it.
+        """
         updates: tuple[MemberUpdate, ...] = ()
         if kind in PIGGYBACK_KINDS:
             updates = self.broadcasts.take(MAX_UPDATES, self.fleet_size, now_ns)
         return Message(kind, self.local.boot, self.local.incarnation, sequence, target, updates=updates)
 
     def compose_gossip(self, now_ns: int, updates: tuple[MemberUpdate, ...]) -> Message:
-        """A message that carries these updates alone."""
+        """Return a GOSSIP with these updates and no others."""
         return self.compose(now_ns, MessageKind.GOSSIP)._replace(updates=updates)
 
     def answer_with(self, now_ns: int, recipient: int, update: MemberUpdate) -> Outgoing:
-        """A message to one member with one update."""
+        """Return a GOSSIP with one update for one member, which may have to refute it."""
         return Outgoing(recipient, self.compose_gossip(now_ns, (update,)))
 
     def expedite_gossip(self, now_ns: int) -> None:
-        """Gossip soon, as an update decides whether somebody is taken for dead."""
+        """Bring the next round forward, as a refutation must arrive before the suspicion expires."""
         self.schedule.bring_forward(Timer.GOSSIP, now_ns + self.config.urgent_gossip_interval_ns)
 
     def record_event(self, event: MembershipEvent) -> None:
-        """Add to the bounded list of events."""
+        """Add an event; beyond MAX_EVENTS the oldest is dropped."""
         self.events.append(event)
         del self.events[:-MAX_EVENTS]
 
     def view(self) -> MembershipView:
-        """The current view; the same object until something changes."""
+        """Return the current view; the same object until something changes."""
         return self.views.current(self.local.member, self.members, self.fleet_size, self.health)
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -1,7 +1,8 @@
-"""Applies updates about members: who is alive, suspect or dead (memberlist's aliveNode and its like).
+"""Applies updates about members, as memberlist's aliveNode, suspectNode, deadNode and refute do.
 
-Nobody believes another member's DEAD: it counts as one more report of a suspicion, and each member lets the
-suspicion expire by its own time. So a faulty member alone can't shorten its victim's time to refute.
+A DEAD from another member is not adopted. It counts as one more confirmation of a suspicion, and each member
+declares the death when the suspicion expires by its own clock. So one faulty member can't shorten the time in
+which its victim may refute.
 """
 
 from __future__ import annotations
@@ -32,25 +33,34 @@
 
 
 class UpdateProcessor:
-    """The rules by which a member's state changes."""
+    """The only place where a member's state changes."""
 
     def __init__(self, state: ProtocolState, probe_order: ProbeOrder) -> None:
         self._state = state
         self._probe_order = probe_order
 
     def apply(self, now_ns: int, update: MemberUpdate) -> None:
-        """Apply an update, whoever it comes from; one that is superseded changes nothing."""
+        """Apply an update from whichever member; one that is superseded changes nothing.
+
+        Args:
+            now_ns: Monotonic time.
+            update: About a member of the fleet, this one included; its number and boot are checked.
+        """
         if update.member == self._state.local.member:
             self._refute(now_ns, update)
         elif update.state in (MemberState.SUSPECT, MemberState.DEAD):
-            self._report_suspicion(now_ns, update)
+            self._apply_suspicion(now_ns, update)
         else:
             current = self._state.members.get(update.member)
             if current is None or supersedes(update, current):
-                self._record(now_ns, update)
+                self._set_state(now_ns, update)
 
     def expire_suspicions(self, now_ns: int) -> None:
-        """Declare members dead whose suspicion has expired; all of one moment are one change of the view."""
+        """Declare the members dead whose suspicion has expired.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         for member in state.suspicions.expired(now_ns):
             suspicion = state.suspicions.get(member)
@@ -62,10 +72,10 @@
                 state=MemberState.DEAD,
                 reporter=state.local.member,
             )
-            self._record(now_ns, dead)
+            self._set_state(now_ns, dead)
 
     def _refute(self, now_ns: int, received: MemberUpdate) -> None:
-        """An update about this member itself: announce a higher incarnation if it would supersede ours."""
+        """Announce a higher incarnation of this member if the update would supersede the current one."""
         state = self._state
         answer = refutation(state.local, received)
         if answer is None:
@@ -76,11 +86,11 @@
         state.stats.refutations += 1
         state.record_event(SuspicionRefuted(answer.incarnation))
         state.expedite_gossip(now_ns)
-        state.health.degrade()
+        state.health.degrade()  # Lifeguard: a refuted suspicion suggests that this member answered too late
         state.broadcasts.add(answer)
 
-    def _report_suspicion(self, now_ns: int, report: MemberUpdate) -> None:
-        """One more reporter of a suspicion, or the first."""
+    def _apply_suspicion(self, now_ns: int, report: MemberUpdate) -> None:
+        """Begin a suspicion, or count its reporter as one more confirmation."""
         state = self._state
         current = state.members.get(report.member)
         if current is None:
@@ -92,27 +102,26 @@
             return
         suspicion = state.suspicions.get(report.member)
         if suspicion is None or suspicion.incarnation_key < reported:
-            suspicion = self._suspect(now_ns, report)
+            suspicion = self._begin_suspicion(now_ns, report)
         max_reporters = state.config.confirmations + 2
         if report.reporter not in suspicion.reporters and len(suspicion.reporters) < max_reporters:
             suspicion.reporters.add(report.reporter)
             state.broadcasts.add(report._replace(state=MemberState.SUSPECT), suspicion.suspected_at_ns)
             state.expedite_gossip(now_ns)
 
-    def _suspect(self, now_ns: int, report: MemberUpdate) -> Suspicion:
-        """Begin a suspicion, of the reported age up to a bound."""
+    def _begin_suspicion(self, now_ns: int, report: MemberUpdate) -> Suspicion:
+        """Date the suspicion back by the reported age, which is bounded as the reporter may be faulty."""
         state = self._state
-        age_ns = min(
-            report.suspicion_age_units * SUSPICION_AGE_UNIT_NS, state.config.max_reported_suspicion_age_ns
-        )
+        reported_age_ns = report.suspicion_age_units * SUSPICION_AGE_UNIT_NS
+        age_ns = min(reported_age_ns, state.config.max_reported_suspicion_age_ns)
         suspicion = state.suspicions.open(report.member, report.incarnation_key, now_ns - age_ns)
-        self._record(now_ns, report._replace(state=MemberState.SUSPECT))
+        self._set_state(now_ns, report._replace(state=MemberState.SUSPECT))
         state.record_event(MemberSuspected(report.member, report.reporter))
-        self._maybe_probe_soon(now_ns, report)
+        self._maybe_probe_next(now_ns, report)
         return suspicion
 
-    def _maybe_probe_soon(self, now_ns: int, report: MemberUpdate) -> None:
-        """Some members probe the suspect at once, as many as it takes to confirm: no waiting for chance."""
+    def _maybe_probe_next(self, now_ns: int, report: MemberUpdate) -> None:
+        """Probe the suspect next on a few random members, as its turn in their rounds may be far away."""
         state = self._state
         if state.suspicions.is_widespread or report.reporter == state.local.member:
             return
@@ -120,8 +129,8 @@
             self._probe_order.put_first(report.member)
             state.schedule.bring_forward(Timer.PROBE, now_ns)
 
-    def _record(self, now_ns: int, update: MemberUpdate) -> None:
-        """Take over an update as the member's current state."""
+    def _set_state(self, now_ns: int, update: MemberUpdate) -> None:
+        """Replace the member's current update; queue it, and record a change of the view."""
         state = self._state
         previous = state.members.get(update.member)
         state.members[update.member] = update
@@ -151,6 +160,6 @@
 
 
 def _is_still_alive(previous: MemberUpdate, update: MemberUpdate) -> bool:
-    """Whether the member was and is alive with the same boot: a new incarnation alone is no change."""
+    """Return whether only the incarnation of a live member differs, which is no change of the view."""
     both_alive = previous.state is MemberState.ALIVE and update.state is MemberState.ALIVE
     return both_alive and previous.boot == update.boot
