--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -1,4 +1,8 @@
-"""Gossip: queued updates to a few random members each round, sooner while an update is urgent."""
+"""Gossip rounds: queued updates to a few random members, more often while an update is urgent.
+
+memberlist's gossip: beside the updates that probes carry (SWIM's piggybacking), so that an update spreads
+faster than one probe interval a hop.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +10,20 @@
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
-LONG_QUEUE_INTERVAL_FACTOR = 2  # rounds of a long queue, relative to those of an urgent one
+LONG_QUEUE_INTERVAL_FACTOR = 2  # on the urgent interval, while the queue exceeds one datagram
 
 
 def gossip(state: ProtocolState, now_ns: int) -> list[Outgoing]:
-    """One round."""
+    """Return the messages of one round; the timer calls it, and a start or resumption.
+
+    Args:
+        state: Its queue is consumed, and the timer brought forward where another round is urgent.
+        now_ns: Monotonic time.
+    """
     queue = state.broadcasts
     if not queue:
         return []
-    # Where many die at once their updates wait for one another, longer than suspicions take to expire.
+    # After many deaths the updates fill several rounds: at the ordinary interval suspicions expire first.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
         interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
--- a/anisespool/membership/local_health.py
+++ b/anisespool/membership/local_health.py
@@ -1,7 +1,8 @@
-"""How far a member trusts its own observations: one in poor health suspects others later.
+"""Local health: a member whose own probes fail without confirmation lengthens its timeouts.
 
-Lifeguard's local health multiplier (Dadgar, Phillips, Currey, "Lifeguard", 2018; memberlist's awareness), and
-whether this member may itself be the one that is cut off: how many of its last probes failed.
+Lifeguard's local health multiplier (Dadgar, Phillips, Currey, "Lifeguard", 2018; memberlist's awareness):
+a slow member must not suspect others for answers that it received too late. Beside it, from the share of
+failed probes, whether this member may itself be isolated.
 """
 
 from __future__ import annotations
@@ -9,54 +10,62 @@
 from collections import deque
 from typing import NamedTuple
 
-WINDOW_PROBES = 8
+WINDOW_PROBES = 8  # the last ones, from which isolation is judged
 ISOLATED_SHARE = 0.6  # of the window, failed
 MAX_SCORE_LEVEL = 8  # Lifeguard's local health multiplier saturates at 8 as well
 MAX_TIMEOUT_INCREASE_SHARE = 0.5  # of a timeout, at the highest score
 
 
 class FailedProbes(NamedTuple):
-    """Probes of the window without an answer, and all of it."""
+    """Failed probes of the window, and all in it; at most WINDOW_PROBES."""
 
     failed: int
     total: int
 
 
 class LocalHealth:
-    """`score` 0 is healthy; each step lengthens timeouts, up to half as long again."""
+    """The health score and the outcomes of the last probes.
+
+    Attributes:
+        score: Level from 0 (healthy) to MAX_SCORE_LEVEL.
+    """
 
     def __init__(self) -> None:
         self.score = 0
         self._answered: deque[bool] = deque(maxlen=WINDOW_PROBES)
 
-    def record_probe(self, answered: bool, confirmed: bool) -> None:
-        """A probe ended. `confirmed`: others could not reach the member either, so the fault is not here."""
-        self._answered.append(answered)
-        if answered:
-            self.improve()
-        elif not confirmed:
-            self.degrade()
+    def record_success(self) -> None:
+        """Count a probe that was acknowledged, which improves the score by one level."""
+        self._answered.append(True)
+        self.score = max(0, self.score - 1)
 
-    def degrade(self, steps: int = 1) -> None:
-        """Trust own observations less."""
-        self.score = min(MAX_SCORE_LEVEL, self.score + steps)
+    def record_failure(self, is_fault_remote: bool) -> None:
+        """Count a probe that failed.
 
-    def improve(self) -> None:
-        """Trust own observations more."""
-        self.score = max(0, self.score - 1)
+        Args:
+            is_fault_remote: A helper's NACK, or many suspects, show that the fault is not in this member; the
+                score then stays.
+        """
+        self._answered.append(False)
+        if not is_fault_remote:
+            self.degrade()
+
+    def degrade(self, levels: int = 1) -> None:
+        """Raise the score by some levels, as an event suggests that this member is slow itself."""
+        self.score = min(MAX_SCORE_LEVEL, self.score + levels)
 
     @property
     def timeout_multiplier(self) -> float:
-        """What own timeouts are multiplied by, 1.0 to 1.5."""
+        """Factor on this member's own timeouts: 1.0 when healthy, 1.5 at the highest score."""
         return 1.0 + MAX_TIMEOUT_INCREASE_SHARE * self.score / MAX_SCORE_LEVEL
 
     @property
     def failed_probes(self) -> FailedProbes:
-        """Of the last WINDOW_PROBES probes."""
+        """Outcome of the last WINDOW_PROBES probes."""
         return FailedProbes(sum(not answered for answered in self._answered), len(self._answered))
 
     @property
     def is_isolated(self) -> bool:
-        """Whether so many of a full window failed that this member may be the one cut off."""
+        """Whether the window is full and at least ISOLATED_SHARE of it failed."""
         failed, total = self.failed_probes
         return total == WINDOW_PROBES and failed >= ISOLATED_SHARE * total
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -12,31 +12,31 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_INCARNATION = 2**16 - 1  # beyond it a member takes a new boot
-MAX_BOOT = 2**40 - 1
-NOBODY = -1
+MAX_INCARNATION = 2**16 - 1  # two bytes of a datagram; beyond it a member takes a higher boot
+MAX_BOOT = 2**40 - 1  # five bytes of a datagram
+NOBODY = -1  # in the place of a reporter
 SUSPICION_AGE_UNIT_NS = 20_000_000  # a suspicion's age takes one byte of a datagram
 MAX_SUSPICION_AGE_NS = 255 * SUSPICION_AGE_UNIT_NS
 
 
 class MemberState(IntEnum):
-    """In order of precedence. `LEFT`: the member announced its own shutdown."""
+    """States in the order of precedence; the values are those of the datagram."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3
+    LEFT = 3  # it announced its own shutdown
 
 
 class IncarnationKey(NamedTuple):
-    """Which incarnation of a member is meant: ordered by boot, then by the incarnation of that boot."""
+    """Identifies one incarnation of a member; ordered by boot, then by incarnation."""
 
     boot: int
     incarnation: int
 
 
 class Precedence(NamedTuple):
-    """The total order of updates about one member."""
+    """The sort key of updates about one member: a total order."""
 
     boot: int
     incarnation: int
@@ -44,7 +44,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What one member reports about another, or about itself.
+    """The state of a member as one member reports it, or as it announces it itself.
 
     A NamedTuple because thousands are built each second where a large fleet changes.
 
@@ -66,32 +66,40 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The place of this update in the order of updates about the member."""
+        """Sort key of this update among those about the member."""
         return Precedence(self.boot, self.incarnation, self.state)
 
     @property
     def incarnation_key(self) -> IncarnationKey:
-        """The incarnation that the update is about, and that a refutation has to exceed."""
+        """The incarnation that the update is about; a refutation has to exceed it."""
         return IncarnationKey(self.boot, self.incarnation)
 
 
 def suspicion_age_units(age_ns: int) -> int:
-    """Return a suspicion's age in the units of an update, within what an update can carry."""
+    """Return a suspicion's age in units of SUSPICION_AGE_UNIT_NS, within what one byte holds.
+
+    Args:
+        age_ns: Below 0 counts as 0.
+    """
     return min(MAX_SUSPICION_AGE_NS, max(0, age_ns)) // SUSPICION_AGE_UNIT_NS
 
 
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
-    """Whether the update replaces the current one; both are about one member."""
+    """Return whether `update` replaces `current`; both are about one member."""
     # Plain tuples: thousands are compared a second, and building a Precedence each costs thrice as much.
     received = (update.boot, update.incarnation, update.state)
     return received > (current.boot, current.incarnation, current.state)
 
 
 def refutation(local: MemberUpdate, received: MemberUpdate) -> MemberUpdate | None:
-    """The live member's answer to an update about itself, or None if none is due.
+    """Return what a live member announces after an update about itself, or None if it need not refute.
+
+    An update may name a higher boot than the member has: its clock was set back across a restart, or a faulty
+    member sent it. That must not exclude the member permanently, so the answer exceeds that boot too.
 
-    An update may name a boot that the member never had: its clock was set back across a restart, or somebody
-    lies. It must not exclude the member permanently, so the answer exceeds that boot too.
+    Args:
+        local: The member's own state.
+        received: An update about the same member.
     """
     if received.boot < local.boot or received.precedence <= local.precedence:
         return None
--- a/anisespool/membership/messages.py
+++ b/anisespool/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members, as values; `codec.py` turns them into datagrams."""
+"""Messages between members as values; `codec.py` encodes them as datagrams."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class MessageKind(IntEnum):
-    """Values as on the wire."""
+    """Kinds of messages; the values are those of the datagram."""
 
-    PING = 1  # answer with an ACK
-    ACK = 2  # `target` has answered the ping `sequence`
-    PING_REQ = 3  # ping `target` on my behalf
-    NACK = 4  # I have pinged `target` on your behalf and have no answer so far
-    GOSSIP = 5  # updates alone
-    BUCKET_DIGEST = 6  # digest of my states in bucket `target`: send yours if it differs
-    BUCKET_STATE = 7  # my states in bucket `target`; `sequence` is a BucketStateSequence
+    PING = 1  # the receiver `target` answers with an ACK of the same `sequence`
+    ACK = 2  # `target` has acknowledged the ping `sequence`
+    PING_REQ = 3  # the receiver pings `target` and relays its ACK: SWIM's indirect probe
+    NACK = 4  # a helper has pinged `target` for the receiver, without an ACK so far (Lifeguard)
+    GOSSIP = 5  # updates and nothing else
+    BUCKET_DIGEST = 6  # of bucket `target`; a receiver whose digest differs answers with its states
+    BUCKET_STATE = 7  # the sender's states in bucket `target`; `sequence` is a BucketStateSequence
 
 
 class BucketStateSequence(IntEnum):
     """What the `sequence` of a BUCKET_STATE means, as it matches no probe."""
 
-    FIRST = 0  # the receiver answers with the states that are newer there
+    FIRST = 0  # the receiver answers with its states that supersede these
     ANSWER = 1  # not answered again
 
 
 class Message(NamedTuple):
-    """One datagram's content.
+    """The content of one datagram; each shows by boot and incarnation that its sender is alive.
 
     Attributes:
         kind: What the message is for.
-        boot: The sender's, so that each datagram shows who is alive.
+        boot: The sender's.
         incarnation: The sender's.
         sequence: Matches an ACK or a NACK with its probe.
-        target: A member's number, or a bucket's.
-        digest: Of the bucket, in a BUCKET_DIGEST.
+        target: A member's number or a bucket's index.
+        digest: CRC-32 of the bucket's states, in a BUCKET_DIGEST.
         updates: About any members.
         payload: Opaque bytes of the balancer; dropped where the updates leave no room for them.
     """
@@ -54,7 +54,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent."""
+    """A message to be sent to the member with number `recipient`."""
 
     recipient: int
     message: Message
--- a/anisespool/membership/probe_order.py
+++ b/anisespool/membership/probe_order.py
@@ -1,6 +1,6 @@
-"""The order in which members are probed: rounds, each shuffled anew (SWIM, section 4.3).
+"""The order in which members are probed: round-robin, shuffled anew each round (SWIM, section 4.3).
 
-Nobody waits longer than two rounds for its probe.
+It bounds the time until a fault is detected: a member is probed at the latest after two rounds.
 """
 
 from __future__ import annotations
@@ -9,10 +9,7 @@
 
 
 class ProbeOrder:
-    """Members still to be probed in this round.
-
-    `is_candidate`: whether a member may be probed at all now; `is_skipped`: whether its turn passes it over.
-    """
+    """The members that are still to be probed in this round."""
 
     def __init__(
         self,
@@ -22,19 +19,28 @@
         is_candidate: Callable[[int], bool],
         is_skipped: Callable[[int], bool],
     ) -> None:
+        """Create an empty round; the first `next` fills it.
+
+        Args:
+            fleet_size: Members by the settings; their numbers run from 0.
+            local_member: This member's number, which is never probed.
+            random_below: Takes n, returns a random integer from 0 to n - 1.
+            is_candidate: Whether a member is alive or suspect; checked when a round begins and at its turn.
+            is_skipped: Whether a member's turn is skipped, as this member suspects it already.
+        """
         self._fleet_size = fleet_size
         self._local_member = local_member
         self._random_below = random_below
         self._is_candidate = is_candidate
         self._is_skipped = is_skipped
-        self._round: list[int] = []  # the next is the last
+        self._round: list[int] = []  # the last is probed next
 
     def put_first(self, member: int) -> None:
-        """Probe that member next, beside its turn in the round."""
+        """Probe a member next, in addition to its turn in the round."""
         self._round.append(member)
 
     def next(self) -> int | None:
-        """The next member to probe, if there is one."""
+        """Return the next member to probe, or None if there is no candidate."""
         for _ in range(2):
             while self._round:
                 member = self._round.pop()
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -206,14 +206,14 @@
             self._state.reached_indirectly.discard(probe.target)
         else:
             self._state.reached_indirectly.add(probe.target)
-        self._state.health.record_probe(answered=True, confirmed=False)
+        self._state.health.record_success()
 
     def _fail(self, now_ns: int, probe: Probe) -> None:
         state = self._state
         del self._probes[probe.sequence]
         state.reached_indirectly.discard(probe.target)
-        # Where many are silent the network is cut or they are down: to suspect later would help nobody.
-        state.health.record_probe(False, confirmed=probe.nack_received or state.suspicions.is_widespread)
+        # With many suspects the network is cut or they are dead, and longer timeouts prevent nothing.
+        state.health.record_failure(is_fault_remote=probe.nack_received or state.suspicions.is_widespread)
         current = state.members.get(probe.target)
         if current and current.state < MemberState.DEAD and now_ns >= state.suspicions.allowed_at_ns:
             state.stats.accusations += 1
--- a/anisespool/membership/schedule.py
+++ b/anisespool/membership/schedule.py
@@ -1,4 +1,4 @@
-"""When each of the protocol's periodic jobs is due next. Times are in ns."""
+"""When each of the protocol's periodic jobs is due next. Times are monotonic ns."""
 
 from __future__ import annotations
 
@@ -16,30 +16,40 @@
 
 
 class Schedule:
-    """The next time of each timer."""
+    """The next due time of each timer."""
 
     def __init__(self) -> None:
         self._due_at_ns = dict.fromkeys(Timer, 0)
 
     def restart(self, now_ns: int, spread_ns: int, random_below: Callable[[int], int]) -> None:
-        """Set each timer to a random time within `spread`, so that members don't act in step."""
+        """Set each timer to a random time, so that members that start together do not send together.
+
+        Args:
+            now_ns: The present.
+            spread_ns: The times lie within so much after it.
+            random_below: Takes n, returns a random integer from 0 to n - 1; called once a timer, in order.
+        """
         for timer in Timer:
             self._due_at_ns[timer] = now_ns + random_below(max(1, spread_ns))
 
     def set(self, timer: Timer, at_ns: int) -> None:
-        """Set the timer's next time."""
+        """Set a timer's next due time."""
         self._due_at_ns[timer] = at_ns
 
     def bring_forward(self, timer: Timer, at_ns: int) -> None:
-        """Let the timer be due by `at`, or sooner if it is already."""
+        """Make a timer due at `at_ns`, unless it is due sooner."""
         self._due_at_ns[timer] = min(self._due_at_ns[timer], at_ns)
 
     def is_due(self, timer: Timer, now_ns: int) -> bool:
-        """Whether the timer's time has come."""
+        """Return whether a timer is due."""
         return now_ns >= self._due_at_ns[timer]
 
     def due_times(self, is_gossip_pending: bool) -> Iterator[int]:
-        """The next times; gossip counts only while there is something to send, not to wake for nothing."""
+        """Yield the next due times.
+
+        Args:
+            is_gossip_pending: Whether updates are queued; without any, gossip needs no wake-up.
+        """
         for timer, at_ns in self._due_at_ns.items():
             if timer is not Timer.GOSSIP or is_gossip_pending:
                 yield at_ns
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -1,4 +1,8 @@
-"""Suspicions and when they expire: the more independent members confirm one, the sooner (Lifeguard, IV-B)."""
+"""Suspicions and when they expire: the more independent members confirm one, the sooner (Lifeguard, IV-B).
+
+Without confirmation a suspicion lasts for the maximum, in which a live suspect can refute it. Confirmations
+show that the fault is not in one member's path, and bring the time down to the minimum.
+"""
 
 from __future__ import annotations
 
@@ -9,19 +13,17 @@
 from anisespool.membership.local_health import LocalHealth
 from anisespool.membership.member_state import IncarnationKey
 
-WIDESPREAD_MEMBERS = (
-    8  # suspected at a time: from here on a fault of the network is likelier than single deaths
-)
+WIDESPREAD_MEMBERS = 8  # with so many suspects a fault of the network is likelier than single deaths
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one incarnation of a member.
+    """The suspicion of one incarnation of a member.
 
     Attributes:
-        incarnation_key: The boot and incarnation suspected.
-        suspected_at_ns: When the first failed probe was sent (ns).
-        reporters: Members that suspect it, this one among them if it does.
+        incarnation_key: The suspected incarnation; a higher one ends the suspicion.
+        suspected_at_ns: When the first failed probe was sent, as far as its reported age counts.
+        reporters: Members that reported it; all but the first are confirmations.
     """
 
     incarnation_key: IncarnationKey
@@ -29,7 +31,12 @@
     reporters: set[int] = field(default_factory=set)
 
     def expires_at_ns(self, config: MembershipConfig, multiplier: float) -> int:
-        """From the maximum down to the minimum by the logarithm of the confirmations (ns)."""
+        """Return when the suspicion expires: from the maximum down to the minimum by log(confirmations).
+
+        Args:
+            config: Minimum, maximum and the confirmations that bring the time down to the minimum.
+            multiplier: Local health multiplier, 1.0 or more; it lengthens what exceeds the minimum.
+        """
         confirmations = min(max(0, len(self.reporters) - 1), config.confirmations)
         share = log(confirmations + 1) / log(config.confirmations + 1)
         extra_ns = (config.suspicion_max_ns - config.suspicion_min_ns) * (1 - share) * multiplier
@@ -37,10 +44,10 @@
 
 
 class SuspicionTable:
-    """Members under suspicion, as this member sees them.
+    """Suspicions by member. Times are monotonic ns.
 
     Attributes:
-        allowed_at_ns: Before this time this member suspects nobody by itself and lets nothing expire.
+        allowed_at_ns: Before this instant this member raises no suspicion, and none expires.
     """
 
     def __init__(self, config: MembershipConfig, health: LocalHealth, local_member: int) -> None:
@@ -54,42 +61,49 @@
         return len(self._suspicions)
 
     def get(self, member: int) -> Suspicion | None:
-        """The suspicion of that member, if there is one."""
+        """Return the suspicion of a member, or None."""
         return self._suspicions.get(member)
 
     def open(self, member: int, incarnation_key: IncarnationKey, suspected_at_ns: int) -> Suspicion:
-        """A new suspicion, in the place of one of an earlier incarnation."""
+        """Begin a suspicion and return it; one of an earlier incarnation is replaced."""
         suspicion = Suspicion(incarnation_key, suspected_at_ns)
         self._suspicions[member] = suspicion
         return suspicion
 
     def close(self, member: int) -> None:
-        """End the suspicion of that member, if there is one."""
+        """End the suspicion of a member, if there is one."""
         self._suspicions.pop(member, None)
 
     @property
     def is_widespread(self) -> bool:
-        """Whether so many are suspected that a network fault is likelier than single deaths."""
+        """Whether at least WIDESPREAD_MEMBERS are suspected."""
         return len(self._suspicions) >= WIDESPREAD_MEMBERS
 
     def is_reported_locally(self, member: int) -> bool:
-        """Whether this member itself has reported that one."""
+        """Return whether this member is among the reporters of a suspicion."""
         suspicion = self._suspicions.get(member)
         return suspicion is not None and self._local_member in suspicion.reporters
 
     @property
     def next_expiry_at_ns(self) -> int | None:
-        """When the first suspicion expires (ns)."""
+        """When the first suspicion expires, or None without one."""
         return min(map(self._expires_at_ns, self._suspicions), default=None)
 
     def expired(self, now_ns: int) -> list[int]:
-        """Members whose suspicion has expired."""
+        """Return the members whose suspicion has expired; none before `allowed_at_ns`."""
         if now_ns < self.allowed_at_ns:
             return []
         return [member for member in self._suspicions if self._expires_at_ns(member) <= now_ns]
 
     def postpone(self, now_ns: int, pause_ns: int) -> None:
-        """Resume after this process was paused: the pause does not count against anybody."""
+        """Move all suspicions after a pause of this process, as refutations sent meanwhile were not received.
+
+        Each keeps at least the grace period before its expiry.
+
+        Args:
+            now_ns: When the process resumed.
+            pause_ns: How long it did not run.
+        """
         earliest_at_ns = now_ns - self._config.suspicion_max_ns + self._config.pause_grace_ns
         for suspicion in self._suspicions.values():
             suspicion.suspected_at_ns = max(suspicion.suspected_at_ns + pause_ns, earliest_at_ns)
