--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -1,7 +1,8 @@
-"""Failure detection: direct pings, indirect ones through other members, and pings on behalf of others.
+"""Failure detection: direct pings, then indirect ones through helpers, and pings on behalf of others.
 
-After SWIM, section 4.1, with Lifeguard's NACK: a helper without an answer says so, which shows that the fault
-is not in the path to the member that probes.
+SWIM, section 3.1, with Lifeguard's NACK: a helper without an ACK sends one, which shows that the fault is not
+in the member that probes. And with its buddy system: a ping to a suspect carries the suspicion, so that the
+suspect can refute it at once.
 """
 
 from __future__ import annotations
@@ -18,6 +19,7 @@
 )
 from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind, Outgoing
 from anisespool.membership.probe_order import ProbeOrder
+from anisespool.membership.relays import Relay, RelayTable
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.updates import UpdateProcessor
@@ -27,16 +29,16 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in flight; times are in ns.
+    """A probe in flight; times are monotonic ns.
 
     Attributes:
         target: The member probed.
-        sequence: Of its pings.
+        sequence: Sequence number of its pings.
         sent_at_ns: When the first ping was sent.
-        indirect_at_ns: When indirect probes begin.
-        fails_at_ns: When it has failed without an ack.
-        indirect: Indirect probes have begun.
-        nack_received: One of the helpers has no ack either.
+        indirect_at_ns: When ping-reqs are sent to helpers.
+        fails_at_ns: When the target is suspected, unless an ACK has arrived.
+        is_indirect: Ping-reqs have been sent.
+        nack_received: A helper has sent a NACK.
     """
 
     target: int
@@ -44,45 +46,48 @@
     sent_at_ns: int
     indirect_at_ns: int
     fails_at_ns: int
-    indirect: bool = False
+    is_indirect: bool = False
     nack_received: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class Relay:
-    """A ping on behalf of another member, under that member's own sequence number; it expires (ns)."""
-
-    requester: int
-    sequence: int
-    target: int
-    expires_at_ns: int
-
-
 class Prober:
-    """Own probes and relayed ones."""
+    """This member's own probes, and its part as a helper in those of others.
+
+    Attributes:
+        relays: Pings in flight on behalf of others.
+    """
 
     def __init__(self, state: ProtocolState, updates: UpdateProcessor, order: ProbeOrder) -> None:
+        self.relays = RelayTable(state.config)
         self._state = state
         self._updates = updates
         self._order = order
         self._probes: dict[int, Probe] = {}  # by sequence
-        self._relays: dict[int, Relay] = {}  # by sequence
 
     def due_times(self) -> Iterator[int]:
-        """When each probe in flight needs something done."""
+        """Yield when each probe in flight sends ping-reqs or fails."""
         for probe in self._probes.values():
-            yield probe.fails_at_ns if probe.indirect else probe.indirect_at_ns
+            yield probe.fails_at_ns if probe.is_indirect else probe.indirect_at_ns
 
     def abandon(self) -> None:
-        """Forget all that is in flight, without judging anybody by it."""
+        """Drop all probes in flight without a suspicion, as ACKs were missed in a pause."""
         self._probes.clear()
-        self._relays.clear()
+        self.relays.clear()
 
     def tick(self, now_ns: int) -> list[Outgoing]:
-        """Continue the probes in flight, and begin one if it is time."""
+        """Advance the probes in flight, and begin one if the timer is due.
+
+        A target whose probe fails is suspected, and pinged once more with the suspicion.
+
+        Args:
+            now_ns: Monotonic time.
+
+        Returns:
+            Pings and ping-reqs.
+        """
         out: list[Outgoing] = []
         for probe in list(self._probes.values()):
-            if not probe.indirect and now_ns >= probe.indirect_at_ns:
+            if not probe.is_indirect and now_ns >= probe.indirect_at_ns:
                 out += self._probe_indirectly(now_ns, probe)
             if now_ns >= probe.fails_at_ns:
                 self._fail(now_ns, probe)
@@ -95,7 +100,13 @@
         return out
 
     def reconnect(self, now_ns: int) -> list[Outgoing]:
-        """Ping some members that are dead or unknown: a partition may have ended, or a member be late."""
+        """Return pings for random members that are dead or without an update; the timer calls it.
+
+        As Serf's reconnect does: after a partition nothing else makes its sides contact each other.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         absent = [
             member
@@ -110,47 +121,69 @@
             target = absent[state.random_below(len(absent))]
             ping = state.compose(now_ns, MessageKind.PING, target=target)
             current = state.members.get(target)
-            updates = (current,) if current else ()  # its state as known here, which it can refute
+            updates = (current,) if current else ()  # a live member refutes its own DEAD
             out.append(Outgoing(target, ping._replace(updates=updates)))
         return out
 
     def receive_ping(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Answer a ping that is for this member."""
+        """Return the ACK of a ping; none if another member is its target.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that pinged.
+            message: A PING.
+        """
         if message.target != self._state.local.member:
             return []
         ack = self._state.compose(now_ns, MessageKind.ACK, message.sequence, message.target)
         return [Outgoing(sender, ack)]
 
     def receive_ping_req(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Ping another member for the sender.
+        """Return a ping for the target and a NACK for the sender; none beyond the highest number of relays.
 
-        The NACK goes out with the ping: it shows that the path to the sender works, whatever follows.
+        The NACK is sent with the ping, not after a timeout as in Lifeguard: it shows at once that the path
+        between sender and helper works.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that requests the ping.
+            message: A PING_REQ.
         """
         state = self._state
         target = message.target
         if target == state.local.member or not 0 <= target < state.fleet_size:
             return []
-        self._expire_relays(now_ns)
-        if len(self._relays) >= state.config.max_relays:
+        if not self.relays.has_capacity(now_ns):
             return []
         sequence = state.next_sequence()
-        expires_at_ns = now_ns + state.config.probe_interval_ns
-        self._relays[sequence] = Relay(sender, message.sequence, target, expires_at_ns)
+        relay = Relay(
+            requester=sender,
+            requester_sequence=message.sequence,
+            target=target,
+            expires_at_ns=now_ns + state.config.probe_interval_ns,
+        )
+        self.relays.add(sequence, relay)
         ping = state.compose(now_ns, MessageKind.PING, sequence, target)
         nack = state.compose(now_ns, MessageKind.NACK, message.sequence, target)
         return [Outgoing(target, ping), Outgoing(sender, nack)]
 
     def receive_ack(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """The end of an own probe, or of a relayed ping, whose ACK is passed on."""
+        """Complete a probe of this member, or return the relayed ACK of a ping for another.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the ACK: the target or a helper.
+            message: An ACK.
+        """
         self._succeed(sender, message)
-        relay = self._relays.pop(message.sequence, None)
-        if relay is None or relay.target != sender:
+        relay = self.relays.complete(message.sequence, sender)
+        if relay is None:
             return []
-        ack = self._state.compose(now_ns, MessageKind.ACK, relay.sequence, relay.target)
+        ack = self._state.compose(now_ns, MessageKind.ACK, relay.requester_sequence, relay.target)
         return [Outgoing(relay.requester, ack)]
 
     def receive_nack(self, message: Message) -> None:
-        """Another member pings the target as well, and the path to that member works."""
+        """Record on the probe that a helper answered, so that the fault is not in this member."""
         probe = self._probes.get(message.sequence)
         if probe:
             probe.nack_received = True
@@ -172,7 +205,7 @@
         return [self._ping(now_ns, sequence, target)]
 
     def _ping(self, now_ns: int, sequence: int, target: int) -> Outgoing:
-        """A ping; to a suspect with the suspicion first, as only it can refute that (Lifeguard's buddy)."""
+        """Return a ping; to a suspect with the suspicion as its first update (Lifeguard's buddy system)."""
         ping = self._state.compose(now_ns, MessageKind.PING, sequence, target)
         suspicion = self._state.suspicions.get(target)
         if suspicion is None:
@@ -188,10 +221,10 @@
 
     def _probe_indirectly(self, now_ns: int, probe: Probe) -> list[Outgoing]:
         state = self._state
-        probe.indirect = True
+        probe.is_indirect = True
         ping_req = state.compose(now_ns, MessageKind.PING_REQ, probe.sequence, probe.target)
-        # Where many are silent, helpers for each probe would make most of the traffic, and the delays it
-        # causes would look like more silence.
+        # With many suspects, the helpers of all probes would send most of the fleet's datagrams, and the
+        # delay that they cause would fail more probes.
         helpers = 1 if state.suspicions.is_widespread else state.config.indirect_probes
         out = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
         out.append(self._ping(now_ns, probe.sequence, probe.target))
@@ -223,8 +256,3 @@
                 suspicion_age_units=suspicion_age_units(now_ns - probe.sent_at_ns),
             )
             self._updates.apply(now_ns, suspect)
-
-    def _expire_relays(self, now_ns: int) -> None:
-        expired = [sequence for sequence, relay in self._relays.items() if relay.expires_at_ns <= now_ns]
-        for sequence in expired:
-            del self._relays[sequence]
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -24,6 +24,7 @@
 from anisespool.membership.messages import Message, MessageKind, Outgoing
 from anisespool.membership.probe_order import ProbeOrder
 from anisespool.membership.probing import Prober
+from anisespool.membership.relays import RelayTable
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState, ProtocolStats, RandomBelow
 from anisespool.membership.suspicion import SuspicionTable
@@ -89,6 +90,16 @@
         """Updates on their way to the fleet."""
         return self._state.broadcasts
 
+    @property
+    def suspicions(self) -> SuspicionTable:
+        """Members under suspicion."""
+        return self._state.suspicions
+
+    @property
+    def relays(self) -> RelayTable:
+        """Pings in flight on behalf of other members."""
+        return self._prober.relays
+
     @property
     def health(self) -> LocalHealth:
         """How far this member trusts its own observations."""
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from math import log
 
@@ -60,6 +61,9 @@
     def __len__(self) -> int:
         return len(self._suspicions)
 
+    def __iter__(self) -> Iterator[Suspicion]:
+        return iter(self._suspicions.values())
+
     def get(self, member: int) -> Suspicion | None:
         """Return the suspicion of a member, or None."""
         return self._suspicions.get(member)
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -161,13 +161,13 @@
         ]
         no_member = MemberUpdate(5000, 1, 0, MemberState.DEAD, reporter=1)
         protocol.receive(NS_PER_S, sender, gossip(*reports, no_member, boot=1))
-    assert len(protocol._prober._relays) <= 4
+    assert len(protocol.relays) <= 4
     assert len(protocol.broadcasts) <= 10
     assert protocol.broadcasts.dropped
     assert protocol.stats.ignored == 199
     assert len(protocol.members) <= 999
-    suspicions = protocol._state.suspicions._suspicions.values()
-    assert all(len(suspicion.reporters) <= config.confirmations + 2 for suspicion in suspicions)
+    assert len(protocol.suspicions) > 1
+    assert all(len(suspicion.reporters) <= config.confirmations + 2 for suspicion in protocol.suspicions)
 
 
 def test_datagrams_per_member_do_not_grow_with_the_fleet() -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -101,6 +101,7 @@
     "membership/probing.py",
     "membership/protocol.py",
     "membership/rate_limiter.py",
+    "membership/relays.py",
     "membership/schedule.py",
     "membership/state.py",
     "membership/suspicion.py",
