--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -1,9 +1,9 @@
-"""Messages as datagrams and back: at most 256 bytes, versioned, with a checksum. No sockets here.
+"""Encodes messages as datagrams and decodes them: at most 256 bytes, versioned, with a checksum.
 
     0 magic  1 version  2 kind  3 number of updates  4-8 boot  9-10 incarnation  11-12 sequence  13-14 target
     15-18 digest  19 length of the payload   updates of 13 bytes each   payload   CRC-32 of all before
 
-An update: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535: nobody), suspicion's age (1).
+An update: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535: none), suspicion's age (1).
 Numbers are big-endian; a boot is packed as its highest byte and four more.
 """
 
@@ -13,7 +13,7 @@
 from enum import Enum, IntEnum
 from zlib import crc32
 
-from anisespool.membership.member_state import NOBODY, MemberState, MemberUpdate
+from anisespool.membership.member_state import NO_REPORTER, MemberState, MemberUpdate
 from anisespool.membership.messages import Message, MessageKind
 
 MAX_BYTES = 256
@@ -33,7 +33,7 @@
 
 
 class InvalidReason(Enum):
-    """Why bytes are no datagram of this protocol; the values are names of counters."""
+    """Why bytes are no valid datagram; the values are names of counters on the control socket."""
 
     TOO_LONG = "too long"
     FOREIGN = "not ours"
@@ -43,7 +43,11 @@
 
 
 class InvalidDatagramError(ValueError):
-    """Bytes that no `encode` of this version made."""
+    """The sender's fault: bytes that are no datagram of this version.
+
+    Attributes:
+        reason: The first check that failed.
+    """
 
     def __init__(self, reason: InvalidReason) -> None:
         super().__init__(reason.value)
@@ -51,15 +55,18 @@
 
 
 def max_updates(payload_bytes: int) -> int:
-    """Updates that fit into a datagram beside such a payload."""
+    """Return how many updates fit into a datagram beside a payload of this length."""
     return (MAX_BYTES - HEADER.size - CHECKSUM.size - payload_bytes) // UPDATE.size
 
 
 def encode(message: Message) -> bytes:
-    """The message's datagram; a payload that does not fit beside the updates is left out.
+    """Return a message's datagram; a payload that does not fit beside the updates is left out.
+
+    Args:
+        message: Each number within the bytes that the format has for it.
 
     Raises:
-        ValueError: The updates alone do not fit.
+        ValueError: The caller's fault: the updates alone do not fit.
     """
     payload = message.payload if max_updates(len(message.payload)) >= len(message.updates) else b""
     count = len(message.updates)
@@ -96,10 +103,13 @@
 
 
 def decode(data: bytes) -> Message:
-    """The datagram's message.
+    """Return a datagram's message. Members, targets and boots are not checked against the fleet.
+
+    Args:
+        data: The complete datagram.
 
     Raises:
-        InvalidDatagramError: With the reason.
+        InvalidDatagramError: The first check that failed is its reason.
     """
     _check_envelope(data)
     fields = HEADER.unpack_from(data)
@@ -120,7 +130,7 @@
 
 
 def _check_envelope(data: bytes) -> None:
-    """Length, magic, version and checksum, in this order."""
+    """Check length, magic, version and checksum, in this order."""
     if len(data) > MAX_BYTES:
         raise InvalidDatagramError(InvalidReason.TOO_LONG)
     if len(data) < HEADER.size + CHECKSUM.size or data[0] != FixedValue.MAGIC:
@@ -140,6 +150,6 @@
         boot=boot_high << 32 | boot_low,
         incarnation=incarnation,
         state=MemberState(state),
-        reporter=NOBODY if reporter == FixedValue.NO_REPORTER else reporter,
+        reporter=NO_REPORTER if reporter == FixedValue.NO_REPORTER else reporter,
         suspicion_age_units=age_units,
     )
--- a/anisespool/membership/config.py
+++ b/anisespool/membership/config.py
@@ -1,4 +1,4 @@
-"""Parameters of the membership protocol; docs/membership.md explains what each guards against."""
+"""Parameters of the membership protocol; docs/membership.md gives the reason of each."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
     The operator's file sets most of them, under its own keys in ms: `service.py` converts them.
 
     Attributes:
-        probe_interval_ns: Between the starts of two probes.
-        ping_timeout_ns: For a direct ack, before indirect probes begin.
-        probe_timeout_ns: For any answer, before the member is suspected.
-        indirect_probes: Members that are sent a ping-req.
-        suspicion_min_ns: From the first failed probe to dead, with all `confirmations`.
-        suspicion_max_ns: The same with no confirmation.
+        probe_interval_ns: Between the starts of two probes; SWIM's protocol period.
+        ping_timeout_ns: For a direct ACK, before indirect probes begin.
+        probe_timeout_ns: For any ACK, before the target is suspected.
+        indirect_probes: Helpers that are sent a ping-req; SWIM's k.
+        suspicion_min_ns: From the start of the failed probe to DEAD, with all `confirmations`.
+        suspicion_max_ns: The same without confirmation.
         confirmations: Independent reporters beside the first that bring the time down to the minimum.
         max_reported_suspicion_age_ns: At most so much of the age counts that another member reports.
         gossip_interval_ns: Between two rounds of gossip.
         urgent_gossip_interval_ns: The same while a suspicion or a refutation is new.
-        fanout: Members that each round of gossip goes to.
-        retransmit_multiplier: Transmissions of an update, times the digits of the fleet's size.
+        fanout: Members that receive each round of gossip.
+        retransmit_multiplier: Transmissions of an update, times log10 of the fleet's size.
         anti_entropy_interval_ns: Between two comparisons of a bucket, while views are settled.
-        unsettled_period_ns: For so long after a change of the view it counts as unsettled.
-        reconnect_interval_ns: Between two attempts to reach a member that is dead or unknown.
-        pause_threshold_ns: A tick later than this means that this process itself was not running.
-        pause_grace_ns: After such a pause, before this member suspects anybody.
-        max_broadcasts: Updates that wait to be spread.
-        max_probes: Own probes in flight.
+        unsettled_period_ns: After a change of the view, in which comparisons are more frequent.
+        reconnect_interval_ns: Between two rounds of pings to members that are dead or without an update.
+        pause_threshold_ns: A tick later than this is a pause: this process itself did not run.
+        pause_grace_ns: After a pause, before this member raises a suspicion.
+        max_broadcasts: Updates in the queue.
+        max_probes: This member's own probes in flight.
         max_relays: Pings in flight on behalf of others.
     """
 
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -13,7 +13,7 @@
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.member_state import (
-    NOBODY,
+    NO_REPORTER,
     MemberState,
     MemberUpdate,
     supersedes,
@@ -25,7 +25,7 @@
 
 
 class BroadcastKey(NamedTuple):
-    """What a queued update is about; `reporter` is NOBODY unless it reports a suspicion."""
+    """What a queued update is about; `reporter` is NO_REPORTER unless it reports a suspicion."""
 
     member: int
     reporter: int
@@ -82,10 +82,10 @@
             update: Any state; of a SUSPECT the reporter counts.
             suspected_at_ns: When the suspicion began, sent along as its age; monotonic time.
         """
-        reporter = update.reporter if update.state is MemberState.SUSPECT else NOBODY
+        reporter = update.reporter if update.state is MemberState.SUSPECT else NO_REPORTER
         for other in list(self._reporters.get(update.member, ())):
             queued_key = BroadcastKey(update.member, other)
-            if reporter == NOBODY or supersedes(update, self._broadcasts[queued_key].update):
+            if reporter == NO_REPORTER or supersedes(update, self._broadcasts[queued_key].update):
                 self._remove(queued_key)
         key = BroadcastKey(update.member, reporter)
         if key not in self._broadcasts and len(self._broadcasts) >= self._config.max_broadcasts:
@@ -115,7 +115,7 @@
         return tuple(chosen)
 
     def _is_first_report(self, key: BroadcastKey) -> bool:
-        return key.reporter == NOBODY or key.reporter == next(iter(self._reporters[key.member]))
+        return key.reporter == NO_REPORTER or key.reporter == next(iter(self._reporters[key.member]))
 
     def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
         """Return the sort key of a queued update: about this member, least transmitted, then highest state.
--- a/anisespool/membership/events.py
+++ b/anisespool/membership/events.py
@@ -1,4 +1,4 @@
-"""What membership reports to the instance's event log. Field names are those of the log's JSON."""
+"""Events of membership for the instance's event log; field names are the keys of the log's JSON."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 
 class MembershipEvent(msgspec.Struct, frozen=True):
-    """Something that happened to a member, as this one observed it."""
+    """A change of a member's state, or of this member's protocol."""
 
     what: ClassVar[str]
-    """Name of the event in the JSON."""
+    """Value of the key `what` in the log's JSON."""
 
 
 class MemberJoined(MembershipEvent, frozen=True):
-    """A member is alive that was not known, or with a boot that was not."""
+    """The first update that a member, or a new boot of it, is alive."""
 
     what: ClassVar[str] = "joined"
     member: int
 
 
 class MemberRejoined(MembershipEvent, frozen=True):
-    """A member is alive again with the boot that was dead or had left."""
+    """A member that was dead or had left is alive with the same boot."""
 
     what: ClassVar[str] = "back"
     member: int
 
 
 class MemberSuspected(MembershipEvent, frozen=True):
-    """A member came under suspicion."""
+    """A suspicion of a member began."""
 
     what: ClassVar[str] = "suspected"
     member: int
     by: int
-    """The member that reported it first, as far as this one knows."""
+    """Reporter of the first report that arrived."""
 
 
 class MemberDied(MembershipEvent, frozen=True):
-    """The suspicion of a member expired."""
+    """A suspicion expired: this member declares the other dead."""
 
     what: ClassVar[str] = "dead"
     member: int
@@ -59,24 +59,26 @@
 
 
 class ProtocolPaused(MembershipEvent, frozen=True):
-    """The protocol did not run for a while, so that it missed what others sent."""
+    """A tick was later than the pause threshold: this process did not run."""
+
+    # `ms` is the length of the pause.
 
     what: ClassVar[str] = "paused"
     ms: int
 
 
 class NumberConflict(MembershipEvent, frozen=True):
-    """Somebody else has this member's own number, with a higher boot."""
+    """An update names a higher boot of this member's own number: another process, or a clock set back."""
 
     what: ClassVar[str] = "double"
     boot: int
 
 
 class ViewChanged(MembershipEvent, frozen=True):
-    """The sets of members by state are others."""
+    """The members by state have changed."""
 
     what: ClassVar[str] = "view"
     view: str
-    """Alive and suspect members, as ranges."""
+    """Alive and suspect members as ranges, such as `0-4,6`."""
     alive: int
-    """How many they are."""
+    """Count of the members in `view`."""
--- a/anisespool/membership/local_health.py
+++ b/anisespool/membership/local_health.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import NamedTuple
 
-WINDOW_PROBES = 8  # the last ones, from which isolation is judged
+WINDOW_PROBES = 8  # the last ones, from which isolation follows
 ISOLATED_SHARE = 0.6  # of the window, failed
 MAX_SCORE_LEVEL = 8  # Lifeguard's local health multiplier saturates at 8 as well
 MAX_TIMEOUT_INCREASE_SHARE = 0.5  # of a timeout, at the highest score
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -14,7 +14,7 @@
 
 MAX_INCARNATION = 2**16 - 1  # two bytes of a datagram; beyond it a member takes a higher boot
 MAX_BOOT = 2**40 - 1  # five bytes of a datagram
-NOBODY = -1  # in the place of a reporter
+NO_REPORTER = -1  # in the place of a reporter
 SUSPICION_AGE_UNIT_NS = 20_000_000  # a suspicion's age takes one byte of a datagram
 MAX_SUSPICION_AGE_NS = 255 * SUSPICION_AGE_UNIT_NS
 
@@ -53,7 +53,7 @@
         boot: Which start of that member; a later start has a higher number.
         incarnation: Of that boot; incremented by the member itself to refute a suspicion.
         state: The reported state.
-        reporter: Who suspects it or declared it dead; NOBODY otherwise.
+        reporter: Who suspects it or declared it dead; NO_REPORTER otherwise.
         suspicion_age_units: Age of the suspicion, in units of SUSPICION_AGE_UNIT_NS.
     """
 
@@ -61,7 +61,7 @@
     boot: int
     incarnation: int
     state: MemberState
-    reporter: int = NOBODY
+    reporter: int = NO_REPORTER
     suspicion_age_units: int = 0
 
     @property
@@ -87,8 +87,11 @@
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
     """Return whether `update` replaces `current`; both are about one member."""
     # Plain tuples: thousands are compared a second, and building a Precedence each costs thrice as much.
-    received = (update.boot, update.incarnation, update.state)
-    return received > (current.boot, current.incarnation, current.state)
+    return (update.boot, update.incarnation, update.state) > (
+        current.boot,
+        current.incarnation,
+        current.state,
+    )
 
 
 def refutation(local: MemberUpdate, received: MemberUpdate) -> MemberUpdate | None:
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -12,7 +12,7 @@
 
 from anisespool.membership.config import BUCKET_MEMBERS
 from anisespool.membership.member_state import (
-    NOBODY,
+    NO_REPORTER,
     MemberState,
     MemberUpdate,
     suspicion_age_units,
@@ -215,7 +215,7 @@
             boot=suspicion.incarnation_key.boot,
             incarnation=suspicion.incarnation_key.incarnation,
             state=MemberState.SUSPECT,
-            reporter=min(suspicion.reporters, default=NOBODY),
+            reporter=min(suspicion.reporters, default=NO_REPORTER),
         )
         return Outgoing(target, ping._replace(updates=(suspect, *ping.updates)[:MAX_UPDATES]))
 
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -2,12 +2,13 @@
 
 SWIM (Das, Gupta, Motivala 2002) with what Lifeguard (Dadgar, Phillips, Currey 2018) adds: probes in shuffled
 rounds, indirect probes, suspicions that expire the sooner the more members confirm them, refutation by
-incarnation, a health score that delays the suspicions of a member in poor health. Beside these: nobody
-believes another's DEAD (`updates.py`), and a member that was paused itself suspects nobody for what it
-missed.
+incarnation, a health score that delays the suspicions of a member in poor health. Beyond these papers, a DEAD
+from another member is not adopted (`updates.py`), and a member whose process was paused raises no suspicion
+for what it missed.
 
-The concerns are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
-Methods return the messages to be sent; `next_tick_at_ns` says when to call `tick`. Times are in ns.
+The parts are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
+Methods return the messages to be sent; the caller sends them, and calls `tick` at `next_tick_at_ns`. Times
+are monotonic ns.
 """
 
 from __future__ import annotations
@@ -31,13 +32,17 @@
 from anisespool.membership.updates import UpdateProcessor
 from anisespool.membership.view import MembershipView
 
-MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # clocks of two machines may differ by so much
-PAUSE_PENALTY_LEVEL = 2  # added to the health score
+MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # between the clocks of two machines
+PAUSE_PENALTY_LEVEL = 2  # added to the health score after a pause
 LEAVE_FANOUT_FACTOR = 2  # a member that leaves sends its announcement once only
 
 
 class MembershipProtocol:
-    """A member of a fleet whose numbers run from 0 to `fleet_size` - 1."""
+    """A member of a fleet whose numbers run from 0 to `fleet_size` - 1.
+
+    Attributes:
+        is_leaving: The shutdown was announced: nothing is sent or accepted any more.
+    """
 
     def __init__(
         self,
@@ -47,13 +52,13 @@
         random_below: RandomBelow,
         config: MembershipConfig | None = None,
     ) -> None:
-        """Prepare a member; `start` begins.
+        """Create a member that sends nothing before `start`.
 
         Args:
             member: Its number.
-            boot: Higher at each start of the process, in ms.
+            boot: Time of the process's start in ms, so that a later start has a higher boot.
             fleet_size: Members by the settings.
-            random_below: A random whole number below the given one.
+            random_below: Takes n, returns a random integer from 0 to n - 1.
             config: Parameters; None for the defaults.
         """
         self.is_leaving = False
@@ -82,12 +87,12 @@
 
     @property
     def members(self) -> dict[int, MemberUpdate]:
-        """States of the others, by number."""
+        """Current updates about the other members, by number."""
         return self._state.members
 
     @property
     def broadcasts(self) -> BroadcastQueue:
-        """Updates on their way to the fleet."""
+        """Updates that are being disseminated."""
         return self._state.broadcasts
 
     @property
@@ -102,7 +107,7 @@
 
     @property
     def health(self) -> LocalHealth:
-        """How far this member trusts its own observations."""
+        """Health score and outcomes of the last probes."""
         return self._state.health
 
     @property
@@ -112,21 +117,25 @@
 
     @property
     def reached_indirectly(self) -> set[int]:
-        """Members that answered their last probe through others alone."""
+        """Members whose last probe was acknowledged through helpers alone."""
         return self._state.reached_indirectly
 
     def take_events(self) -> list[MembershipEvent]:
-        """The events since the last call."""
+        """Return the events since the last call."""
         taken = list(self._state.events)
         self._state.events.clear()
         return taken
 
     def view(self) -> MembershipView:
-        """Members by state; the same object until something changes."""
+        """Return the members by state; the same object until something changes."""
         return self._state.view()
 
     def start(self, now_ns: int) -> list[Outgoing]:
-        """Announce this member to a few others, and begin to compare every bucket."""
+        """Start the timers and return the announcement of this member for a few others.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         self._restart_timers(now_ns)
         self._anti_entropy.start()
@@ -138,11 +147,20 @@
 
     @property
     def next_tick_at_ns(self) -> int:
-        """When `tick` has to be called next."""
+        """When `tick` is due next; any call of another method may change it."""
         return min(self._due_times())
 
     def tick(self, now_ns: int) -> list[Outgoing]:
-        """Do all that is due."""
+        """Run what is due: probes, expired suspicions, gossip, anti-entropy, reconnects.
+
+        A tick later than the pause threshold is treated as a pause of this process.
+
+        Args:
+            now_ns: Monotonic time.
+
+        Returns:
+            Messages to be sent.
+        """
         if self.is_leaving:
             return []
         pause_ns = now_ns - self.next_tick_at_ns
@@ -154,28 +172,43 @@
         return out
 
     def receive(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Handle a message; the transport identified its sender by the address."""
+        """Apply a message's updates and return the replies; an implausible one is counted and dropped.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: The member's number, by the address from which the datagram came.
+            message: Decoded, its numbers and boots unchecked.
+
+        Returns:
+            Messages to be sent.
+        """
         state = self._state
         max_boot = self._max_plausible_boot(now_ns)
         if not self._is_acceptable(sender, message, max_boot):
             state.stats.ignored += 1
             return []
-        known = state.members.get(sender)
-        if known and message.boot < known.boot:
-            # A late datagram of an earlier boot must not be taken for one of the new. But the sender may have
-            # started with its clock set back: it is notified, and takes a higher boot.
+        current = state.members.get(sender)
+        if current and message.boot < current.boot:
+            # Either a late datagram of an earlier boot, or the sender started with its clock set back. The
+            # answer makes it take a higher boot in the second case, and is superseded in the first.
             state.stats.ignored += 1
-            return [state.answer_with(now_ns, sender, known)]
+            return [state.answer_with(now_ns, sender, current)]
         local = state.local
         out = self._apply_sender(now_ns, sender, message)
         self._apply_updates(now_ns, message, max_boot)
-        if state.local is not local:  # a refutation reaches first whoever passed the suspicion on
+        if state.local is not local:  # refuted: the sender of the suspicion gets the refutation first
             out.append(state.answer_with(now_ns, sender, state.local))
         out += self._reply(now_ns, sender, message)
         return out
 
     def leave(self, now_ns: int) -> list[Outgoing]:
-        """Announce the shutdown to a few members, which pass it on. Nothing is sent after it."""
+        """Return the announcement of this member's shutdown for a few others, which disseminate it.
+
+        After it `tick` and `receive` return nothing.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         state.local = state.local._replace(state=MemberState.LEFT)
         announcement = state.compose_gossip(now_ns, (state.local,))
@@ -193,7 +226,7 @@
     def _run_timers(self, now_ns: int) -> list[Outgoing]:
         state = self._state
         out: list[Outgoing] = []
-        # Each job's next time is set before it runs, as it may choose an earlier one.
+        # A timer is set before its job runs, as the job may set an earlier time.
         if state.schedule.is_due(Timer.GOSSIP, now_ns):
             state.schedule.set(Timer.GOSSIP, now_ns + state.config.gossip_interval_ns)
             out += gossip(state, now_ns)
@@ -206,7 +239,7 @@
         return out
 
     def _resume(self, now_ns: int, pause_ns: int) -> list[Outgoing]:
-        """Continue after this process did not run: what it missed is nobody's fault."""
+        """Restart the timers after a pause, and suspect no member for messages missed in it."""
         state = self._state
         state.stats.pauses += 1
         state.record_event(ProtocolPaused(pause_ns // NS_PER_MS))
@@ -223,7 +256,7 @@
         state.schedule.restart(now_ns, state.config.gossip_interval_ns, state.random_below)
 
     def _max_plausible_boot(self, now_ns: int) -> int:
-        """Boots are counted in ms. One reported far ahead for a member would exclude it permanently."""
+        """Return the highest boot to accept: one far ahead of it would exclude its member permanently."""
         return (
             self._state.local.boot
             + max(0, now_ns - self._state.started_at_ns) // NS_PER_MS
@@ -236,7 +269,7 @@
         return not self.is_leaving and message.boot <= max_boot
 
     def _apply_sender(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """The message shows that its sender is alive; if others took it for dead, it is notified."""
+        """Apply that the sender is alive; return its DEAD state for it to refute, if that has precedence."""
         alive = MemberUpdate(sender, message.boot, message.incarnation, MemberState.ALIVE)
         self._updates.apply(now_ns, alive)
         current = self._state.members.get(sender)
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -1,4 +1,4 @@
-"""What the control socket answers to `GET /v1/peers`: membership as this sidecar sees it."""
+"""The control socket's answer to `GET /v1/peers`: this sidecar's view, counts of protocol and datagrams."""
 
 from __future__ import annotations
 
@@ -31,23 +31,27 @@
         "health_score": "health",
     },
 ):
-    """The answer's fields; `rename` maps our names to those on the socket.
+    """The answer's fields; `rename` maps these names to the keys on the socket.
 
     Attributes:
-        number: This member's.
-        boot: Which start of it.
+        number: This member's number in the fleet.
+        boot: Of this start of the process.
         incarnation: Of that boot.
-        view_version: Counts changes of the view.
-        age_ms: Since the view's last change.
-        alive: Members by state, here and in the next fields.
-        reached_indirectly: Active members that answered their last probe through others alone.
-        alive_min: At least so many are alive.
-        alive_max: At most so many are.
-        is_isolated: This member may be the one that is cut off.
-        failed_probes: How many of the last probes failed, and of how many.
+        view_version: Incremented with each change of the view.
+        age_ms: Since the last change of the view.
+        alive: Numbers of members by state, here and in the next fields.
+        suspect: Under suspicion.
+        dead: Declared dead.
+        reached_indirectly: Alive or suspect, and last acknowledged through helpers alone.
+        left: Announced their shutdown.
+        unknown: Without any update so far.
+        alive_min: Lower bound on the members alive.
+        alive_max: Upper bound on the members alive.
+        is_isolated: This member may itself be cut off from the others.
+        failed_probes: Of this member's last probes.
         health_score: 0 is healthy.
         stats: Counts of the protocol.
-        datagrams: Counts by what became of them.
+        datagrams: Counts by what became of them (`TransportCounter`, `InvalidReason`).
     """
 
     number: int
@@ -71,7 +75,13 @@
 
 
 def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now_ns: int) -> MembershipReport:
-    """The state of the protocol at `now` (monotonic, ns), with the transport's counts."""
+    """Return the present state of a protocol with the transport's counts.
+
+    Args:
+        protocol: This member's.
+        datagrams: Counts by the names on the control socket.
+        now_ns: Monotonic time.
+    """
     view = protocol.view()
     return MembershipReport(
         number=protocol.local.member,
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -1,4 +1,4 @@
-"""A sidecar's membership from start to shutdown: protocol, socket, timer, and what is published of it."""
+"""Runs the protocol in a sidecar, from start to shutdown: socket, timer, publication of events and views."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 BOOT_EPOCH_S = 1_700_000_000  # boots are milliseconds since then: 40 bits last for 34 years
 MIN_TICK_INTERVAL_S = 0.002
 RETRY_S = 0.5
-LINGER_S = 0.02  # after the last message, for it to leave
+LINGER_S = 0.02  # after the last message, for the socket's buffer to empty
 
 
 class MembershipService:
-    """Runs the protocol on the event loop. An error in it costs a line of the log, never a request.
+    """The protocol on the event loop. An error in it is logged and affects no request.
 
     Attributes:
         protocol: The protocol core.
@@ -40,11 +40,11 @@
         options: MembershipOptions,
         on_event: Callable[[MembershipEvent], None],
     ) -> None:
-        """Prepare the service; `start` begins.
+        """Create a service that opens nothing before `start`.
 
         Args:
             config: The platform's configuration; its file names the peers' addresses.
-            options: The operator's.
+            options: The operator's section `[peers]`.
             on_event: Called with each event, for the instance's event log.
 
         Raises:
@@ -66,9 +66,12 @@
         self._published_version = -1
 
     def start(self, is_retry: bool = False) -> None:
-        """Bind the address and begin, or retry until it is free.
+        """Bind the address and start the protocol, or log the failure once and retry each RETRY_S.
 
-        At a restart the previous process may still hold the address, and requests must not wait for it.
+        At a restart the previous process may still have the address, and requests must not wait for it.
+
+        Args:
+            is_retry: The failure was logged already.
         """
         try:
             self._transport = UdpTransport(
@@ -84,7 +87,7 @@
         self._schedule_tick()
 
     async def stop(self) -> None:
-        """Announce the shutdown to other members and close the socket."""
+        """Announce the shutdown to other members, and close the socket after LINGER_S."""
         if self._timer:
             self._timer.cancel()
         if self._transport:
@@ -93,14 +96,14 @@
         self.close()
 
     def close(self) -> None:
-        """Stop at once, without an announcement."""
+        """Close the socket without an announcement; a second call does nothing."""
         if self._timer:
             self._timer.cancel()
         if self._transport:
             self._transport.close()
 
     def describe(self) -> JsonObject:
-        """The answer to `GET /v1/peers`, for `anisespool peers`."""
+        """Return the answer to `GET /v1/peers`, which `anisespool peers` reads."""
         counts = self._transport.counts if self._transport else {}
         datagrams = {counter.value: count for counter, count in counts.items()}
         return to_json_object(build_report(self.protocol, datagrams, time.monotonic_ns()))
@@ -132,7 +135,7 @@
         self._publish()
 
     def _publish(self) -> None:
-        """Pass on what has happened since the last call, and a new version of the view."""
+        """Publish the events since the last call, and the view if its version is new."""
         for event in self.protocol.take_events():
             self._on_event(event)
         view = self.protocol.view()
@@ -155,7 +158,7 @@
 
 
 def _protocol_config(options: MembershipOptions) -> MembershipConfig:
-    """The operator's options in ns; the other parameters have their defaults."""
+    """Convert the operator's options from ms to ns; other parameters have their defaults."""
     return MembershipConfig(
         probe_interval_ns=int(options.probe_interval_ms * NS_PER_MS),
         ping_timeout_ns=int(options.ping_timeout_ms * NS_PER_MS),
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -87,7 +87,7 @@
 
         Args:
             count: At most so many.
-            excluded: Members that are not chosen.
+            excluded: Members never returned.
         """
         active = [
             member
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -17,7 +17,7 @@
     SuspicionRefuted,
 )
 from anisespool.membership.member_state import (
-    NOBODY,
+    NO_REPORTER,
     SUSPICION_AGE_UNIT_NS,
     MemberState,
     MemberUpdate,
@@ -94,7 +94,7 @@
         state = self._state
         current = state.members.get(report.member)
         if current is None:
-            current = report._replace(state=MemberState.ALIVE, reporter=NOBODY)
+            current = report._replace(state=MemberState.ALIVE, reporter=NO_REPORTER)
             state.members[report.member] = current
         reported = report.incarnation_key
         is_same = reported == current.incarnation_key
--- a/anisespool/membership/view.py
+++ b/anisespool/membership/view.py
@@ -1,4 +1,4 @@
-"""What the rest of the sidecar sees of membership: an immutable view with a version and a time."""
+"""The view that the rest of the sidecar reads: immutable, with a version and the time of the last change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def format_ranges(numbers: Iterable[int]) -> str:
-    """Numbers as `0-4,6`, so that a view of two hundred members takes a few bytes."""
+    """Return numbers as ranges such as `0-4,6`, which keeps log entries of large fleets short.
+
+    Args:
+        numbers: Distinct, in any order.
+    """
     parts: list[str] = []
     last = None
     for number in sorted(numbers):
@@ -23,19 +27,19 @@
 
 
 class MembershipView(NamedTuple):
-    """Members by state, each number in exactly one of the sets.
+    """Members by state; each number is in exactly one of the sets.
 
     Attributes:
-        version: Counts changes of the sets.
-        changed_at_ns: When they last changed (monotonic, ns).
-        alive: This member among them.
-        suspect: Suspected, and not yet taken for dead.
-        dead: Their suspicion expired.
+        version: Incremented with each change of the sets.
+        changed_at_ns: When the sets last changed; monotonic.
+        alive: Alive, this member included.
+        suspect: Under suspicion.
+        dead: Declared dead, as their suspicion expired.
         left: Announced their shutdown.
-        unknown: No update about them was received yet.
-        is_isolated: This member may be the one that the others don't reach.
-        failed_probes: The evidence for that.
-        health_score: Of this member; 0 is healthy.
+        unknown: Without any update so far.
+        is_isolated: This member may itself be cut off from the others.
+        failed_probes: Of this member's last probes, from which `is_isolated` follows.
+        health_score: This member's; 0 is healthy.
     """
 
     version: int
@@ -51,17 +55,22 @@
 
     @property
     def alive_min(self) -> int:
-        """At least so many are alive, as far as this member knows."""
+        """Lower bound on the members alive: suspects and unknown ones count as dead."""
         return len(self.alive)
 
     @property
     def alive_max(self) -> int:
-        """At most so many are alive."""
+        """Upper bound on the members alive: suspects and unknown ones count as alive."""
         return len(self.alive) + len(self.suspect) + len(self.unknown)
 
 
 class ViewCache:
-    """The last view built, and its version."""
+    """The last view built, and its version.
+
+    Attributes:
+        version: Of the next view.
+        changed_at_ns: When a member's state last changed; monotonic.
+    """
 
     def __init__(self) -> None:
         self.version = 0
@@ -69,7 +78,11 @@
         self._view: MembershipView | None = None
 
     def mark_changed(self, now_ns: int) -> None:
-        """A member changed its state: the next view is a new version."""
+        """Discard the cached view after a change of a member's state.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         self.version += 1
         self.changed_at_ns = now_ns
         self._view = None
@@ -77,10 +90,17 @@
     def current(
         self, local_member: int, members: Mapping[int, MemberUpdate], fleet_size: int, health: LocalHealth
     ) -> MembershipView:
-        """The view of this state, built only if something has changed."""
+        """Return the view of a state, built anew only after a change.
+
+        Args:
+            local_member: This member's number.
+            members: Current updates about the others.
+            fleet_size: Members by the settings.
+            health: This member's.
+        """
         view = self._view or self._build(local_member, members, fleet_size, health)
         failed_probes = health.failed_probes
-        # Whether this member is isolated follows from its failed probes.
+        # These change without a change of the sets, and make no new version.
         if view.failed_probes != failed_probes or view.health_score != health.score:
             view = view._replace(
                 is_isolated=health.is_isolated, failed_probes=failed_probes, health_score=health.score
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -6,14 +6,14 @@
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.dissemination import BroadcastQueue
-from anisespool.membership.member_state import NOBODY, MemberState, MemberUpdate
+from anisespool.membership.member_state import NO_REPORTER, MemberState, MemberUpdate
 
 
 def test_updates_are_sent_a_limited_number_of_times_own_and_new_ones_first() -> None:
     queue = BroadcastQueue(MembershipConfig(retransmit_multiplier=2), local_member=9)
     for member in (1, 2, 3):
         state = MemberState.SUSPECT if member == 2 else MemberState.ALIVE
-        queue.add(MemberUpdate(member, 1, 0, state, NOBODY))
+        queue.add(MemberUpdate(member, 1, 0, state, NO_REPORTER))
     queue.add(MemberUpdate(9, 1, 1, MemberState.ALIVE))
     assert [update.member for update in queue.take(2, 50, 0)] == [9, 2]  # 50 members: four times each
     sent = Counter(update.member for _ in range(30) for update in queue.take(2, 50, 0))
