--- a/anisespool/membership/relays.py
+++ b/anisespool/membership/relays.py
@@ -15,7 +15,7 @@
         requester: Member that sent the ping-req.
         requester_sequence: The requester's sequence number, under which the ACK is relayed.
         target: The member pinged.
-        expires_at_ns: From this instant a late ACK is not relayed; monotonic.
+        expires_at_ns: From this instant the relay is removed once another is requested; monotonic.
     """
 
     requester: int
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Protocol cores on one virtual clock, with a network that delays, loses and cuts."""
+"""Protocol cores on one virtual clock, with a network that delays and loses messages and cuts paths."""
 
 from __future__ import annotations
 
@@ -14,6 +14,15 @@
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
 
+DELAY_MS = 1.0, 3.0  # bounds of a message's delay
+
+
+class NetworkPath(NamedTuple):
+    """A direction in which messages travel."""
+
+    sender: int
+    recipient: int
+
 
 class Death(NamedTuple):
     """One member declared another dead."""
@@ -23,6 +32,15 @@
     member: int
 
 
+class ScheduledCall(NamedTuple):
+    """A call due at an instant; `order` ranks those of one instant."""
+
+    at_ns: int
+    order: int
+    call: Callable[..., None]
+    arguments: tuple[Any, ...]
+
+
 class SimulatedFleet:
     """Members that can be killed, started, paused and cut off. Times are in ns unless named otherwise.
 
@@ -30,7 +48,6 @@
         members: Running members by number.
         paused_until_ns: By member; its messages wait so long.
         loss: Share of messages lost.
-        delay_ms: Bounds of a message's delay.
         is_cut: Whether messages from the first member to the second are lost.
         sent: Messages by member.
         deaths: Declarations of death.
@@ -45,12 +62,11 @@
         self.members: dict[int, MembershipProtocol] = {}
         self.paused_until_ns: dict[int, int] = {}
         self.loss = 0.0
-        self.delay_ms = (1.0, 3.0)
         self.is_cut: Callable[[int, int], bool] = lambda sender, recipient: False
         self.sent: Counter[int] = Counter()
         self.deaths: list[Death] = []
         self._order = count()
-        self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._queue: list[ScheduledCall] = []
         for member in range(size):
             self.start(member, 10)
 
@@ -62,19 +78,19 @@
         self._call_at(protocol.next_tick_at_ns, self._tick, member, protocol)
 
     def kill(self, member: int) -> None:
-        """End a member without a word."""
+        """End a member without an announcement."""
         del self.members[member]
 
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
         end_ns = self.now_ns + int(seconds * NS_PER_S)
-        while self._queue and self._queue[0][0] <= end_ns:
+        while self._queue and self._queue[0].at_ns <= end_ns:
             self.now_ns, _, call, arguments = heapq.heappop(self._queue)
             call(*arguments)
         self.now_ns = end_ns
 
     def emit(self, member: int, outgoing: list[Outgoing]) -> None:
-        """Note the member's events and deliver what it sends."""
+        """Record a member's declarations of death, and deliver what it sends."""
         for event in self.members[member].take_events():
             if isinstance(event, MemberDied):
                 self.deaths.append(Death(self.now_ns, member, event.member))
@@ -82,16 +98,16 @@
             self.sent[member] += 1
             assert len(message.updates) <= 17
             if not self.is_cut(member, recipient) and self.random.random() >= self.loss:
-                delay_ns = int(self.random.uniform(*self.delay_ms) * NS_PER_MS)
+                delay_ns = int(self.random.uniform(*DELAY_MS) * NS_PER_MS)
                 self._call_at(self.now_ns + delay_ns, self._deliver, member, recipient, message)
 
     def alive(self, member: int) -> frozenset[int]:
-        """Whom the member takes for alive."""
+        """Members that are alive or suspect in a member's view."""
         view = self.members[member].view()
         return view.alive | view.suspect
 
     def agree(self, members: set[int], alive: set[int]) -> bool:
-        """Whether all of `members` take exactly `alive` for alive."""
+        """Whether exactly `alive` are alive or suspect in the views of all `members`."""
         return all(self.alive(member) == alive for member in members)
 
     def run_until_agreed(self, members: set[int], alive: set[int], limit_s: float) -> float:
@@ -103,7 +119,7 @@
         return (self.now_ns - start_ns) / NS_PER_S
 
     def _call_at(self, at_ns: int, call: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self._queue, (at_ns, next(self._order), call, arguments))
+        heapq.heappush(self._queue, ScheduledCall(at_ns, next(self._order), call, arguments))
 
     def _tick(self, member: int, protocol: MembershipProtocol) -> None:
         if self.members.get(member) is not protocol:
@@ -130,7 +146,7 @@
 
 
 def agreed_fleet(size: int = 20, seed: int = 1) -> SimulatedFleet:
-    """A fleet in which everybody knows that everybody is alive."""
+    """A fleet in which all members are alive in all views."""
     fleet = SimulatedFleet(size, seed)
     fleet.run_until_agreed(set(range(size)), set(range(size)), 5)
     return fleet
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -10,7 +10,7 @@
 from anisespool.membership.member_state import MAX_BOOT, MemberState, MemberUpdate
 from anisespool.membership.messages import Message, MessageKind
 from anisespool.membership.protocol import MembershipProtocol
-from tests.membership.simulated_fleet import SimulatedFleet, agreed_fleet
+from tests.membership.simulated_fleet import NetworkPath, SimulatedFleet, agreed_fleet
 
 ALL = set(range(20))
 
@@ -79,11 +79,9 @@
     fleet.run_until_agreed(ALL, ALL, 5)
 
 
-@pytest.mark.parametrize("pair", [(0, 1), (1, 0), (7, 19)])
-def test_a_path_cut_in_one_direction_declares_nobody_dead(
-    fleet: SimulatedFleet, pair: tuple[int, int]
-) -> None:
-    fleet.is_cut = lambda sender, recipient: (sender, recipient) == pair
+@pytest.mark.parametrize("path", [NetworkPath(0, 1), NetworkPath(1, 0), NetworkPath(7, 19)])
+def test_a_path_cut_in_one_direction_declares_nobody_dead(fleet: SimulatedFleet, path: NetworkPath) -> None:
+    fleet.is_cut = lambda sender, recipient: NetworkPath(sender, recipient) == path
     fleet.run(60)
     assert not fleet.deaths
     assert fleet.agree(ALL, ALL)
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -23,15 +23,22 @@
         yield sock
 
 
-async def test_datagrams_are_counted_by_what_became_of_them() -> None:
+def free_address() -> Address:
+    with bound_udp_socket() as sock:
+        return Address(*sock.getsockname())
+
+
+def counts(transport: UdpTransport) -> dict[str, int]:
     """Under the names of the control socket."""
+    return {counter.value: count for counter, count in transport.counts.items()}
+
+
+async def test_received_datagrams_are_counted_and_invalid_ones_by_reason() -> None:
     received: list[tuple[int, Message]] = []
-    with bound_udp_socket() as peer, bound_udp_socket() as unknown, bound_udp_socket() as free:
-        listen = Address(*free.getsockname())
-        free.close()
-        transport = UdpTransport(
-            listen, [listen, Address(*peer.getsockname())], 1, lambda *call: received.append(call)
-        )
+    listen = free_address()
+    with bound_udp_socket() as peer, bound_udp_socket() as unknown:
+        peers = [listen, Address(*peer.getsockname())]
+        transport = UdpTransport(listen, peers, 1, lambda *call: received.append(call))
         data = codec.encode(PING)
         unknown.sendto(data, listen)
         peer.sendto(data[:-1] + b"x", listen)
@@ -40,19 +47,26 @@
         async with asyncio.timeout(5):
             while not received:
                 await asyncio.sleep(0.01)
-        for _ in range(2):
-            transport.send(1, PING)
         transport.close()
-        transport.close()
-        assert received == [(1, PING)]
-        assert peer.recv(300) == data
-    assert {counter.value: count for counter, count in transport.counts.items()} == {
+    assert received == [(1, PING)]
+    assert counts(transport) == {
         "stranger": 1,
         "checksum": 1,
         "too long": 1,
         "received": 1,
         "received_bytes": len(data),
-        "sent": 1,
-        "sent_bytes": len(data),
-        "over rate": 1,
     }
+
+
+async def test_sent_datagrams_are_counted_and_limited_in_rate() -> None:
+    listen = free_address()
+    with bound_udp_socket() as peer:
+        peers = [listen, Address(*peer.getsockname())]
+        transport = UdpTransport(listen, peers, 1, lambda *call: None)
+        for _ in range(2):
+            transport.send(1, PING)
+        transport.close()
+        transport.close()  # a second call does nothing
+        data = peer.recv(300)
+    assert codec.decode(data) == PING
+    assert counts(transport) == {"sent": 1, "sent_bytes": len(data), "over rate": 1}
