--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -12,7 +12,7 @@
 from anisespool.config.platform import ConfigError, PeerAddresses, PlatformConfig
 from anisespool.config.platform_loader import read_peer_addresses
 from anisespool.log import log_event
-from anisespool.membership.config import NS_PER_MS, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, NS_PER_S, MembershipConfig
 from anisespool.membership.events import MembershipEvent, ViewChanged
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
@@ -110,7 +110,7 @@
 
     def _schedule_tick(self, min_delay_s: float = MIN_TICK_INTERVAL_S) -> None:
         loop = asyncio.get_running_loop()
-        at_s = max(self.protocol.next_tick_at_ns / 1e9, loop.time() + min_delay_s)
+        at_s = max(self.protocol.next_tick_at_ns / NS_PER_S, loop.time() + min_delay_s)
         self._timer = loop.call_at(at_s, self._tick)
 
     def _tick(self) -> None:
