--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -32,6 +32,10 @@
     NO_REPORTER = 0xFFFF
 
 
+# A plain global, as each update of a datagram is compared with it.
+_ENCODED_NO_REPORTER = int(FixedValue.NO_REPORTER)
+
+
 class InvalidReason(Enum):
     """Why bytes are no valid datagram; the values are names of counters on the control socket."""
 
@@ -90,7 +94,7 @@
 
 
 def _encode_update(update: MemberUpdate) -> bytes:
-    reporter = update.reporter if update.reporter >= 0 else FixedValue.NO_REPORTER
+    reporter = update.reporter if update.reporter >= 0 else _ENCODED_NO_REPORTER
     return UPDATE.pack(
         update.member,
         update.boot >> 32,
@@ -150,6 +154,6 @@
         boot=boot_high << 32 | boot_low,
         incarnation=incarnation,
         state=MemberState(state),
-        reporter=NO_REPORTER if reporter == FixedValue.NO_REPORTER else reporter,
+        reporter=NO_REPORTER if reporter == _ENCODED_NO_REPORTER else reporter,
         suspicion_age_units=age_units,
     )
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -33,7 +33,7 @@
 
 
 class UpdateProcessor:
-    """The only place where a member's state changes."""
+    """The rules by which the state of a member changes; no other module changes that of another member."""
 
     def __init__(self, state: ProtocolState, probe_order: ProbeOrder) -> None:
         self._state = state
