--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -44,15 +44,15 @@
         initial = self._initial_buckets
         buckets = [initial.pop() for _ in range(min(INITIAL_DIGEST_DATAGRAMS, len(initial)))]
         buckets = buckets or [state.random_below(self._bucket_count)]
-        out = []
+        outgoing = []
         for bucket in buckets:
             for recipient in state.choose_members(1):
                 message = state.compose(now_ns, MessageKind.BUCKET_DIGEST, target=bucket)
-                out.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
+                outgoing.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
         if initial or now_ns - state.views.changed_at_ns < state.config.unsettled_period_ns:
             interval_ns = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
             state.schedule.set(Timer.ANTI_ENTROPY, now_ns + interval_ns)
-        return out
+        return outgoing
 
     def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Return all states of the bucket for the sender, in as many messages as it takes, if digests differ.
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -28,9 +28,9 @@
     if queue.is_urgent or is_long:
         interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
         state.schedule.set(Timer.GOSSIP, now_ns + min(state.config.gossip_interval_ns, interval_ns))
-    out = []
+    outgoing = []
     for recipient in state.choose_members(state.config.fanout):
         updates = queue.take(MAX_UPDATES, state.fleet_size, now_ns)
         if updates:
-            out.append(Outgoing(recipient, state.compose_gossip(now_ns, updates)))
-    return out
+            outgoing.append(Outgoing(recipient, state.compose_gossip(now_ns, updates)))
+    return outgoing
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -85,19 +85,19 @@
         Returns:
             Pings and ping-reqs.
         """
-        out: list[Outgoing] = []
+        outgoing: list[Outgoing] = []
         for probe in list(self._probes.values()):
             if not probe.is_indirect and now_ns >= probe.indirect_at_ns:
-                out += self._probe_indirectly(now_ns, probe)
+                outgoing += self._probe_indirectly(now_ns, probe)
             if now_ns >= probe.fails_at_ns:
                 self._fail(now_ns, probe)
-                out.append(self._ping(now_ns, probe.sequence, probe.target))
+                outgoing.append(self._ping(now_ns, probe.sequence, probe.target))
         if self._state.schedule.is_due(Timer.PROBE, now_ns):
             interval_ns = int(self._state.config.probe_interval_ns * self._state.health.timeout_multiplier)
             self._state.schedule.set(Timer.PROBE, now_ns + interval_ns)
             if len(self._probes) < self._state.config.max_probes:
-                out += self._begin(now_ns)
-        return out
+                outgoing += self._begin(now_ns)
+        return outgoing
 
     def reconnect(self, now_ns: int) -> list[Outgoing]:
         """Return pings for random members that are dead or without an update; the timer calls it.
@@ -116,14 +116,14 @@
         ]
         if not absent:
             return []
-        out = []
+        outgoing = []
         for _ in range(min(MAX_RECONNECT_PROBES, 1 + len(absent) // BUCKET_MEMBERS)):
             target = absent[state.random_below(len(absent))]
             ping = state.compose(now_ns, MessageKind.PING, target=target)
             current = state.members.get(target)
             updates = (current,) if current else ()  # a live member refutes its own DEAD
-            out.append(Outgoing(target, ping._replace(updates=updates)))
-        return out
+            outgoing.append(Outgoing(target, ping._replace(updates=updates)))
+        return outgoing
 
     def receive_ping(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Return the ACK of a ping; none if another member is its target.
@@ -226,9 +226,9 @@
         # With many suspects, the helpers of all probes would send most of the fleet's datagrams, and the
         # delay that they cause would fail more probes.
         helpers = 1 if state.suspicions.is_widespread else state.config.indirect_probes
-        out = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
-        out.append(self._ping(now_ns, probe.sequence, probe.target))
-        return out
+        outgoing = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
+        outgoing.append(self._ping(now_ns, probe.sequence, probe.target))
+        return outgoing
 
     def _succeed(self, sender: int, message: Message) -> None:
         probe = self._probes.get(message.sequence)
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -166,10 +166,10 @@
         pause_ns = now_ns - self.next_tick_at_ns
         if pause_ns > self._state.config.pause_threshold_ns:
             return self._resume(now_ns, pause_ns)
-        out = self._prober.tick(now_ns)
+        outgoing = self._prober.tick(now_ns)
         self._updates.expire_suspicions(now_ns)
-        out += self._run_timers(now_ns)
-        return out
+        outgoing += self._run_timers(now_ns)
+        return outgoing
 
     def receive(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         """Apply a message's updates and return the replies; an implausible one is counted and dropped.
@@ -194,12 +194,12 @@
             state.stats.ignored += 1
             return [state.answer_with(now_ns, sender, current)]
         local = state.local
-        out = self._apply_sender(now_ns, sender, message)
+        outgoing = self._apply_sender(now_ns, sender, message)
         self._apply_updates(now_ns, message, max_boot)
         if state.local is not local:  # refuted: the sender of the suspicion gets the refutation first
-            out.append(state.answer_with(now_ns, sender, state.local))
-        out += self._reply(now_ns, sender, message)
-        return out
+            outgoing.append(state.answer_with(now_ns, sender, state.local))
+        outgoing += self._reply(now_ns, sender, message)
+        return outgoing
 
     def leave(self, now_ns: int) -> list[Outgoing]:
         """Return the announcement of this member's shutdown for a few others, which disseminate it.
@@ -225,18 +225,18 @@
 
     def _run_timers(self, now_ns: int) -> list[Outgoing]:
         state = self._state
-        out: list[Outgoing] = []
+        outgoing: list[Outgoing] = []
         # A timer is set before its job runs, as the job may set an earlier time.
         if state.schedule.is_due(Timer.GOSSIP, now_ns):
             state.schedule.set(Timer.GOSSIP, now_ns + state.config.gossip_interval_ns)
-            out += gossip(state, now_ns)
+            outgoing += gossip(state, now_ns)
         if state.schedule.is_due(Timer.ANTI_ENTROPY, now_ns):
             state.schedule.set(Timer.ANTI_ENTROPY, now_ns + state.config.anti_entropy_interval_ns)
-            out += self._anti_entropy.compare(now_ns)
+            outgoing += self._anti_entropy.compare(now_ns)
         if state.schedule.is_due(Timer.RECONNECT, now_ns):
             state.schedule.set(Timer.RECONNECT, now_ns + state.config.reconnect_interval_ns)
-            out += self._prober.reconnect(now_ns)
-        return out
+            outgoing += self._prober.reconnect(now_ns)
+        return outgoing
 
     def _resume(self, now_ns: int, pause_ns: int) -> list[Outgoing]:
         """Restart the timers after a pause, and suspect no member for messages missed in it."""
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -97,7 +97,11 @@
         candidates = [member for member in active if self.members[member].state is MemberState.ALIVE]
         candidates = candidates or active
         if not candidates:
-            candidates = [n for n in range(self.fleet_size) if n != self.local.member and n not in excluded]
+            candidates = [
+                number
+                for number in range(self.fleet_size)
+                if number != self.local.member and number not in excluded
+            ]
         chosen = []
         for _ in range(min(count, len(candidates))):
             chosen.append(candidates.pop(self.random_below(len(candidates))))
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -91,13 +91,21 @@
     @property
     def next_expiry_at_ns(self) -> int | None:
         """When the first suspicion expires, or None without one."""
-        return min(map(self._expires_at_ns, self._suspicions), default=None)
+        return min(map(self._expires_at_ns, self._suspicions.values()), default=None)
 
-    def expired(self, now_ns: int) -> list[int]:
-        """Return the members whose suspicion has expired; none before `allowed_at_ns`."""
+    def expired(self, now_ns: int) -> dict[int, Suspicion]:
+        """Return the suspicions that have expired, by member; none before `allowed_at_ns`.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         if now_ns < self.allowed_at_ns:
-            return []
-        return [member for member in self._suspicions if self._expires_at_ns(member) <= now_ns]
+            return {}
+        return {
+            member: suspicion
+            for member, suspicion in self._suspicions.items()
+            if self._expires_at_ns(suspicion) <= now_ns
+        }
 
     def postpone(self, now_ns: int, pause_ns: int) -> None:
         """Move all suspicions after a pause of this process, as refutations sent meanwhile were not received.
@@ -112,8 +120,7 @@
         for suspicion in self._suspicions.values():
             suspicion.suspected_at_ns = max(suspicion.suspected_at_ns + pause_ns, earliest_at_ns)
 
-    def _expires_at_ns(self, member: int) -> int:
-        suspicion = self._suspicions[member]
+    def _expires_at_ns(self, suspicion: Suspicion) -> int:
         is_local = self._local_member in suspicion.reporters
         multiplier = self._health.timeout_multiplier if is_local else 1.0
         return max(suspicion.expires_at_ns(self._config, multiplier), self.allowed_at_ns)
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -62,9 +62,7 @@
             now_ns: Monotonic time.
         """
         state = self._state
-        for member in state.suspicions.expired(now_ns):
-            suspicion = state.suspicions.get(member)
-            assert suspicion
+        for member, suspicion in state.suspicions.expired(now_ns).items():
             dead = MemberUpdate(
                 member=member,
                 boot=suspicion.incarnation_key.boot,
