--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -1,82 +1,105 @@
-"""Anti-entropy: repairs what gossip missed by comparing digests of buckets of members with a random member.
+"""Anti-entropy: repairs what gossip missed, by comparing digests of buckets with a random member.
 
-Only a bucket that differs is sent. memberlist's push/pull does the same with the whole state.
+memberlist's push/pull exchanges the complete state. Here the members are divided into buckets by number, and
+only a bucket whose digest differs is sent.
 """
 
 from __future__ import annotations
 
 from zlib import crc32
 
-from anisespool.membership.config import BUCKET_SIZE
-from anisespool.membership.member_state import MemberUpdate
-from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind, Outgoing
+from anisespool.membership.config import BUCKET_MEMBERS
+from anisespool.membership.member_state import MemberState, MemberUpdate, Precedence
+from anisespool.membership.messages import MAX_UPDATES, BucketStateSequence, Message, MessageKind, Outgoing
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
-INITIAL_BUCKETS_AT_ONCE = 4
-UNSETTLED_SPEEDUP = 5  # how much more often buckets are compared while views change
-IS_ANSWER = 1  # the sequence of a bucket's states that is not answered again
-BELOW_ALL: tuple[int, int, int] = (-1, 0, 0)  # in precedence
+INITIAL_DIGEST_DATAGRAMS = 4  # a comparison, until each bucket was compared once after the start
+UNSETTLED_RATE_FACTOR = 5  # comparisons are so many times as frequent while views change
+# Of a member without an update.
+LOWEST_PRECEDENCE = Precedence(boot=-1, incarnation=0, state=MemberState.ALIVE)
 
 
 class AntiEntropy:
-    """Compares buckets: all of them at the start, then random ones."""
+    """Compares each bucket once after the start, then random ones."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
-        self._bucket_count = (state.fleet_size + BUCKET_SIZE - 1) // BUCKET_SIZE
+        self._bucket_count = (state.fleet_size + BUCKET_MEMBERS - 1) // BUCKET_MEMBERS
         self._initial_buckets: list[int] = []  # still to be compared after the start
 
     def start(self) -> None:
-        """Compare every bucket once, as a member that has just started knows nothing."""
+        """Queue every bucket for one comparison, as a member has no updates when it starts."""
         self._initial_buckets = list(range(self._bucket_count))
 
-    def compare(self, now: int) -> list[Outgoing]:
-        """Send digests of some buckets, each to a random member."""
+    def compare(self, now_ns: int) -> list[Outgoing]:
+        """Return digests of some buckets, each for a random member; the timer calls it.
+
+        The next comparison is sooner while buckets of the start are left, or a view has changed lately.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         initial = self._initial_buckets
-        buckets = [initial.pop() for _ in range(min(INITIAL_BUCKETS_AT_ONCE, len(initial)))]
+        buckets = [initial.pop() for _ in range(min(INITIAL_DIGEST_DATAGRAMS, len(initial)))]
         buckets = buckets or [state.random_below(self._bucket_count)]
-        out = []
+        outgoing = []
         for bucket in buckets:
             for recipient in state.choose_members(1):
-                message = state.compose(now, MessageKind.BUCKET_DIGEST, target=bucket)
-                out.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
-        if initial or now - state.views.changed_at < state.config.unsettled_period:
-            interval = state.config.anti_entropy_interval // UNSETTLED_SPEEDUP
-            state.schedule.set(Timer.ANTI_ENTROPY, now + interval)
-        return out
-
-    def receive_digest(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """Send all states of the bucket, in as many messages as it takes, if the digest differs."""
+                message = state.compose(now_ns, MessageKind.BUCKET_DIGEST, target=bucket)
+                outgoing.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
+        if initial or now_ns - state.views.changed_at_ns < state.config.unsettled_period_ns:
+            interval_ns = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
+            state.schedule.set(Timer.ANTI_ENTROPY, now_ns + interval_ns)
+        return outgoing
+
+    def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Return all states of the bucket for the sender, in as many messages as it takes, if digests differ.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the digest.
+            message: A BUCKET_DIGEST.
+        """
         bucket = message.target
         if not self._is_bucket(bucket) or message.digest == self.digest(bucket):
             return []
         updates = self._updates(bucket)
-        reply = self._state.compose(now, MessageKind.BUCKET_STATE, target=bucket)
+        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, BucketStateSequence.FIRST, bucket)
         return [
             Outgoing(sender, reply._replace(updates=tuple(updates[start : start + MAX_UPDATES])))
             for start in range(0, len(updates), MAX_UPDATES)
         ]
 
-    def receive_states(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """Answer a bucket's states, applied already, with those that are newer here."""
+    def receive_states(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Return the bucket's states that supersede the sender's; none if the message is itself an answer.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the states.
+            message: A BUCKET_STATE whose updates have been applied.
+        """
         bucket = message.target
-        if not self._is_bucket(bucket) or message.sequence:
+        if not self._is_bucket(bucket) or message.sequence != BucketStateSequence.FIRST:
             return []
         received = {update.member: update.precedence for update in message.updates}
         newer = [
             update
             for update in self._updates(bucket)
-            if update.precedence > received.get(update.member, BELOW_ALL)
+            if update.precedence > received.get(update.member, LOWEST_PRECEDENCE)
         ]
         if not newer:
             return []
-        reply = self._state.compose(now, MessageKind.BUCKET_STATE, IS_ANSWER, bucket)
+        reply = self._state.compose(now_ns, MessageKind.BUCKET_STATE, BucketStateSequence.ANSWER, bucket)
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
-        """CRC-32 of the states in the bucket, this member's among them; reporters don't count."""
+        """Return the CRC-32 of a bucket's states, this member's among them; reporters are left out.
+
+        Args:
+            bucket: Index of the bucket.
+        """
         text = ";".join(
             f"{update.member},{update.boot},{update.incarnation},{update.state:d}"
             for update in self._updates(bucket)
@@ -84,11 +107,12 @@
         return crc32(text.encode())
 
     def _is_bucket(self, bucket: int) -> bool:
-        return 0 <= bucket * BUCKET_SIZE < self._state.fleet_size
+        return 0 <= bucket * BUCKET_MEMBERS < self._state.fleet_size
 
     def _updates(self, bucket: int) -> list[MemberUpdate]:
         state = self._state
-        numbers = range(bucket * BUCKET_SIZE, min(state.fleet_size, (bucket + 1) * BUCKET_SIZE))
+        end = min(state.fleet_size, (bucket + 1) * BUCKET_MEMBERS)
+        numbers = range(bucket * BUCKET_MEMBERS, end)
         current = (
             state.local if number == state.local.member else state.members.get(number) for number in numbers
         )
--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -1,34 +1,43 @@
-"""Messages as datagrams and back: at most 256 bytes, versioned, with a checksum. No sockets here.
+"""Encodes messages as datagrams and decodes them: at most 256 bytes, versioned, with a checksum.
 
     0 magic  1 version  2 kind  3 number of updates  4-8 boot  9-10 incarnation  11-12 sequence  13-14 target
     15-18 digest  19 length of the payload   updates of 13 bytes each   payload   CRC-32 of all before
 
-An update: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535: nobody), suspicion's age (1).
+An update: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535: none), suspicion's age (1).
 Numbers are big-endian; a boot is packed as its highest byte and four more.
 """
 
 from __future__ import annotations
 
 import struct
-from enum import Enum
+from enum import Enum, IntEnum
 from zlib import crc32
 
-from anisespool.membership.member_state import NOBODY, MemberState, MemberUpdate
+from anisespool.membership.member_state import NO_REPORTER, MemberState, MemberUpdate
 from anisespool.membership.messages import Message, MessageKind
 
 MAX_BYTES = 256
-MAGIC = 0xA5
-VERSION = 1
 HEADER = struct.Struct("!BBBBBIHHHIB")
 UPDATE = struct.Struct("!HBIHBHB")
 CHECKSUM = struct.Struct("!I")
-NO_REPORTER = 0xFFFF
 KINDS = frozenset(MessageKind)
 STATES = frozenset(MemberState)
 
 
+class FixedValue(IntEnum):
+    """Values that the format prescribes."""
+
+    MAGIC = 0xA5
+    VERSION = 1
+    NO_REPORTER = 0xFFFF
+
+
+# A plain global, as each update of a datagram is compared with it.
+_ENCODED_NO_REPORTER = int(FixedValue.NO_REPORTER)
+
+
 class InvalidReason(Enum):
-    """Why bytes are no datagram of this protocol; the values are names of counters."""
+    """Why bytes are no valid datagram; the values are names of counters on the control socket."""
 
     TOO_LONG = "too long"
     FOREIGN = "not ours"
@@ -38,7 +47,11 @@
 
 
 class InvalidDatagramError(ValueError):
-    """Bytes that no `encode` of this version made."""
+    """The sender's fault: bytes that are no datagram of this version.
+
+    Attributes:
+        reason: The first check that failed.
+    """
 
     def __init__(self, reason: InvalidReason) -> None:
         super().__init__(reason.value)
@@ -46,23 +59,26 @@
 
 
 def max_updates(payload_bytes: int) -> int:
-    """Updates that fit into a datagram beside such a payload."""
+    """Return how many updates fit into a datagram beside a payload of this length."""
     return (MAX_BYTES - HEADER.size - CHECKSUM.size - payload_bytes) // UPDATE.size
 
 
 def encode(message: Message) -> bytes:
-    """The message's datagram; a payload that does not fit beside the updates is left out.
+    """Return a message's datagram; a payload that does not fit beside the updates is left out.
+
+    Args:
+        message: Each number within the bytes that the format has for it.
 
     Raises:
-        ValueError: The updates alone do not fit.
+        ValueError: The caller's fault: the updates alone do not fit.
     """
     payload = message.payload if max_updates(len(message.payload)) >= len(message.updates) else b""
     count = len(message.updates)
     if count > max_updates(len(payload)):
         raise ValueError(f"{count} updates beside {len(payload)} bytes, wanted at most 256 in all")
     header = HEADER.pack(
-        MAGIC,
-        VERSION,
+        FixedValue.MAGIC,
+        FixedValue.VERSION,
         message.kind,
         count,
         message.boot >> 32,
@@ -78,7 +94,7 @@
 
 
 def _encode_update(update: MemberUpdate) -> bytes:
-    reporter = update.reporter if update.reporter >= 0 else NO_REPORTER
+    reporter = update.reporter if update.reporter >= 0 else _ENCODED_NO_REPORTER
     return UPDATE.pack(
         update.member,
         update.boot >> 32,
@@ -86,15 +102,18 @@
         update.incarnation,
         update.state,
         reporter,
-        update.suspicion_age,
+        update.suspicion_age_units,
     )
 
 
 def decode(data: bytes) -> Message:
-    """The datagram's message.
+    """Return a datagram's message. Members, targets and boots are not checked against the fleet.
+
+    Args:
+        data: The complete datagram.
 
     Raises:
-        InvalidDatagramError: With the reason.
+        InvalidDatagramError: The first check that failed is its reason.
     """
     _check_envelope(data)
     fields = HEADER.unpack_from(data)
@@ -109,26 +128,25 @@
         sequence=sequence,
         target=target,
         digest=digest,
-        updates=tuple(_decode_update(*row) for row in UPDATE.iter_unpack(data[HEADER.size : updates_end])),
+        updates=tuple(_decode_update(row) for row in UPDATE.iter_unpack(data[HEADER.size : updates_end])),
         payload=data[updates_end : updates_end + payload_bytes],
     )
 
 
 def _check_envelope(data: bytes) -> None:
-    """Length, magic, version and checksum, in this order."""
+    """Check length, magic, version and checksum, in this order."""
     if len(data) > MAX_BYTES:
         raise InvalidDatagramError(InvalidReason.TOO_LONG)
-    if len(data) < HEADER.size + CHECKSUM.size or data[0] != MAGIC:
+    if len(data) < HEADER.size + CHECKSUM.size or data[0] != FixedValue.MAGIC:
         raise InvalidDatagramError(InvalidReason.FOREIGN)
-    if data[1] != VERSION:
+    if data[1] != FixedValue.VERSION:
         raise InvalidDatagramError(InvalidReason.VERSION)
     if CHECKSUM.unpack(data[-CHECKSUM.size :])[0] != crc32(data[: -CHECKSUM.size]):
         raise InvalidDatagramError(InvalidReason.CHECKSUM)
 
 
-def _decode_update(
-    member: int, boot_high: int, boot_low: int, incarnation: int, state: int, reporter: int, age: int
-) -> MemberUpdate:
+def _decode_update(packed: tuple[int, ...]) -> MemberUpdate:
+    member, boot_high, boot_low, incarnation, state, reporter, age_units = packed
     if state not in STATES:
         raise InvalidDatagramError(InvalidReason.MALFORMED)
     return MemberUpdate(
@@ -136,6 +154,6 @@
         boot=boot_high << 32 | boot_low,
         incarnation=incarnation,
         state=MemberState(state),
-        reporter=NOBODY if reporter == NO_REPORTER else reporter,
-        suspicion_age=age,
+        reporter=NO_REPORTER if reporter == _ENCODED_NO_REPORTER else reporter,
+        suspicion_age_units=age_units,
     )
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -1,6 +1,7 @@
-"""Updates on their way to the whole fleet: a bounded queue, each sent a limited number of times.
+"""Dissemination: the bounded queue of updates that gossip and probes carry to the fleet.
 
-Least transmitted first, then the higher state first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
+Each update is sent a limited number of times that grows with the logarithm of the fleet's size; the least
+transmitted goes first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
 """
 
 from __future__ import annotations
@@ -8,33 +9,45 @@
 from dataclasses import dataclass
 from heapq import nsmallest
 from math import ceil, log10
+from typing import NamedTuple
 
 from anisespool.membership.config import MembershipConfig
 from anisespool.membership.member_state import (
-    MAX_SUSPICION_AGE,
-    NOBODY,
-    SUSPICION_AGE_UNIT,
+    NO_REPORTER,
     MemberState,
     MemberUpdate,
+    supersedes,
+    suspicion_age_units,
 )
 
-URGENT_TRANSMISSIONS = 3  # of a suspicion or a refutation, sent without waiting for the next round
-CONFIRMATION_TRANSMISSIONS = 4  # of a further report: where many die, these are most of the updates
+URGENT_UPDATE_DATAGRAMS = 3  # carry a suspicion or a refutation before it waits for ordinary rounds
+CONFIRMATION_DATAGRAMS = 4  # carry a further report of a suspicion: after many deaths most updates are such
 
-Key = tuple[int, int]  # member, reporter
+
+class BroadcastKey(NamedTuple):
+    """What a queued update is about; `reporter` is NO_REPORTER unless it reports a suspicion."""
+
+    member: int
+    reporter: int
 
 
 @dataclass(slots=True)
 class _Broadcast:
-    """An update with its transmissions so far, and when its suspicion began (ns)."""
+    """A queued update.
+
+    Attributes:
+        update: As it was added.
+        suspected_at_ns: When the suspicion that it reports began; unused for other states.
+        transmissions: Datagrams that carried it so far.
+    """
 
     update: MemberUpdate
-    suspected_since: int
+    suspected_at_ns: int
     transmissions: int = 0
 
 
 class BroadcastQueue:
-    """One update a member, replaced by a newer one; of a suspicion one a reporter, as each confirms it.
+    """One update a member, and of a suspicion one a reporter, as each report confirms it.
 
     Attributes:
         dropped: Updates that left the full queue before their last transmission.
@@ -44,8 +57,8 @@
         self.dropped = 0
         self._config = config
         self._local_member = local_member
-        self._broadcasts: dict[Key, _Broadcast] = {}
-        self._reporters: dict[int, dict[int, None]] = {}  # by member, in order of arrival
+        self._broadcasts: dict[BroadcastKey, _Broadcast] = {}
+        self._reporters: dict[int, dict[int, None]] = {}  # by member; a dict as a set in order of arrival
 
     def __bool__(self) -> bool:
         return bool(self._broadcasts)
@@ -55,71 +68,85 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a suspicion, or an update that refutes one, has reached only a few members yet."""
+        """Whether a suspicion, or an update that refutes one, was sent in a few datagrams only."""
         return any(
-            broadcast.transmissions < URGENT_TRANSMISSIONS
+            broadcast.transmissions < URGENT_UPDATE_DATAGRAMS
             and (broadcast.update.state is MemberState.SUSPECT or broadcast.update.incarnation)
             for broadcast in self._broadcasts.values()
         )
 
-    def add(self, update: MemberUpdate, suspected_since: int = 0) -> None:
-        """Queue an update. `suspected_since`: when its suspicion began (ns), sent along as an age."""
-        reporter = update.reporter if update.state is MemberState.SUSPECT else NOBODY
+    def add(self, update: MemberUpdate, suspected_at_ns: int = 0) -> None:
+        """Queue an update, in the place of those that it supersedes.
+
+        Args:
+            update: Any state; of a SUSPECT the reporter counts.
+            suspected_at_ns: When the suspicion began, sent along as its age; monotonic time.
+        """
+        reporter = update.reporter if update.state is MemberState.SUSPECT else NO_REPORTER
         for other in list(self._reporters.get(update.member, ())):
-            queued = self._broadcasts[update.member, other].update
-            if queued.precedence < update.precedence or reporter == NOBODY:
-                self._remove((update.member, other))
-        key = (update.member, reporter)
+            queued_key = BroadcastKey(update.member, other)
+            if reporter == NO_REPORTER or supersedes(update, self._broadcasts[queued_key].update):
+                self._remove(queued_key)
+        key = BroadcastKey(update.member, reporter)
         if key not in self._broadcasts and len(self._broadcasts) >= self._config.max_broadcasts:
-            self._drop_least_needed()
-        self._broadcasts[key] = _Broadcast(update, suspected_since)
+            self._drop_one()
+        self._broadcasts[key] = _Broadcast(update, suspected_at_ns)
         self._reporters.setdefault(update.member, {})[reporter] = None
 
-    def take(self, count: int, fleet_size: int, now: int) -> tuple[MemberUpdate, ...]:
-        """The next updates to send, at most `count`."""
+    def take(self, count: int, fleet_size: int, now_ns: int) -> tuple[MemberUpdate, ...]:
+        """Return the next updates for one datagram, and remove those that were sent often enough.
+
+        Args:
+            count: At most so many updates.
+            fleet_size: Members by the settings, from which the transmissions of an update follow.
+            now_ns: Monotonic time, for the ages of suspicions.
+        """
         if not self._broadcasts:
             return ()
         limit = self._config.retransmit_multiplier * max(1, ceil(log10(fleet_size + 1)))
-        confirmation_limit = min(limit, CONFIRMATION_TRANSMISSIONS)
+        confirmation_limit = min(limit, CONFIRMATION_DATAGRAMS)
         chosen = []
         for key in nsmallest(count, self._broadcasts, key=self._priority):
             broadcast = self._broadcasts[key]
-            chosen.append(_with_age(broadcast, now))
+            chosen.append(_with_age(broadcast, now_ns))
             broadcast.transmissions += 1
             if broadcast.transmissions >= (limit if self._is_first_report(key) else confirmation_limit):
                 self._remove(key)
         return tuple(chosen)
 
-    def _is_first_report(self, key: Key) -> bool:
-        member, reporter = key
-        return reporter == NOBODY or reporter == next(iter(self._reporters[member]))
+    def _is_first_report(self, key: BroadcastKey) -> bool:
+        return key.reporter == NO_REPORTER or key.reporter == next(iter(self._reporters[key.member]))
+
+    def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
+        """Return the sort key of a queued update: about this member, least transmitted, then highest state.
 
-    def _priority(self, key: Key) -> tuple[bool, int, int, Key]:
+        A plain tuple, as after many deaths hundreds are built for each datagram.
+        """
         broadcast = self._broadcasts[key]
         state = broadcast.update.state
-        urgency = -state if state != MemberState.LEFT else 0
-        return key[0] != self._local_member, broadcast.transmissions, urgency, key
+        state_rank = -state if state is not MemberState.LEFT else 0
+        return key.member != self._local_member, broadcast.transmissions, state_rank, key
 
-    def _drop_least_needed(self) -> None:
-        """Make room for a newer update; anti-entropy repairs what the dropped one was needed for."""
+    def _drop_one(self) -> None:
+        """Drop the most transmitted update about another member; anti-entropy repairs what it misses."""
         key = max(
             self._broadcasts,
-            key=lambda key: (key[0] != self._local_member, self._broadcasts[key].transmissions, key),
+            key=lambda key: (key.member != self._local_member, self._broadcasts[key].transmissions, key),
         )
         self._remove(key)
         self.dropped += 1
 
-    def _remove(self, key: Key) -> None:
-        member, reporter = key
+    def _remove(self, key: BroadcastKey) -> None:
         del self._broadcasts[key]
-        self._reporters[member].pop(reporter, None)
-        if not self._reporters[member]:
-            del self._reporters[member]
+        reporters = self._reporters[key.member]
+        reporters.pop(key.reporter, None)
+        if not reporters:
+            del self._reporters[key.member]
 
 
-def _with_age(broadcast: _Broadcast, now: int) -> MemberUpdate:
-    """The update as sent now, with the suspicion's age."""
-    age = 0
+def _with_age(broadcast: _Broadcast, now_ns: int) -> MemberUpdate:
+    """Return the update as it is sent now: a suspicion with its age."""
+    age_units = 0
     if broadcast.update.state is MemberState.SUSPECT:
-        age = min(MAX_SUSPICION_AGE, max(0, now - broadcast.suspected_since) // SUSPICION_AGE_UNIT)
-    return broadcast.update._replace(suspicion_age=age)
+        age_units = suspicion_age_units(now_ns - broadcast.suspected_at_ns)
+    return broadcast.update._replace(suspicion_age_units=age_units)
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -1,4 +1,8 @@
-"""Gossip: queued updates to a few random members each round, sooner while an update is urgent."""
+"""Gossip rounds: queued updates to a few random members, more often while an update is urgent.
+
+memberlist's gossip: beside the updates that probes carry (SWIM's piggybacking), so that an update spreads
+faster than one probe interval a hop.
+"""
 
 from __future__ import annotations
 
@@ -6,20 +10,27 @@
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
+LONG_QUEUE_INTERVAL_FACTOR = 2  # on the urgent interval, while the queue exceeds one datagram
+
+
+def gossip(state: ProtocolState, now_ns: int) -> list[Outgoing]:
+    """Return the messages of one round; the timer calls it, and a start or resumption.
 
-def gossip(state: ProtocolState, now: int) -> list[Outgoing]:
-    """One round."""
+    Args:
+        state: Its queue is consumed, and the timer brought forward where another round is urgent.
+        now_ns: Monotonic time.
+    """
     queue = state.broadcasts
     if not queue:
         return []
-    # Where many die at once their updates wait for one another, longer than suspicions take to expire.
+    # After many deaths the updates fill several rounds: at the ordinary interval suspicions expire first.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
-        interval = state.config.urgent_gossip_interval * (2 if is_long else 1)
-        state.schedule.set(Timer.GOSSIP, now + min(state.config.gossip_interval, interval))
-    out = []
+        interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
+        state.schedule.set(Timer.GOSSIP, now_ns + min(state.config.gossip_interval_ns, interval_ns))
+    outgoing = []
     for recipient in state.choose_members(state.config.fanout):
-        updates = queue.take(MAX_UPDATES, state.fleet_size, now)
+        updates = queue.take(MAX_UPDATES, state.fleet_size, now_ns)
         if updates:
-            out.append(Outgoing(recipient, state.compose_gossip(now, updates)))
-    return out
+            outgoing.append(Outgoing(recipient, state.compose_gossip(now_ns, updates)))
+    return outgoing
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -1,7 +1,8 @@
-"""Failure detection: direct pings, indirect ones through other members, and pings on behalf of others.
+"""Failure detection: direct pings, then indirect ones through helpers, and pings on behalf of others.
 
-After SWIM, section 4.1, with Lifeguard's NACK: a helper without an answer says so, which shows that the fault
-is not in the path to the member that probes.
+SWIM, section 3.1, with Lifeguard's NACK: a helper without an ACK sends one, which shows that the fault is not
+in the member that probes. And with its buddy system: a ping to a suspect carries the suspicion, so that the
+suspect can refute it at once.
 """
 
 from __future__ import annotations
@@ -9,94 +10,103 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from anisespool.membership.config import BUCKET_SIZE
+from anisespool.membership.config import BUCKET_MEMBERS
 from anisespool.membership.member_state import (
-    MAX_SUSPICION_AGE,
-    NOBODY,
-    SUSPICION_AGE_UNIT,
+    NO_REPORTER,
     MemberState,
     MemberUpdate,
+    suspicion_age_units,
 )
 from anisespool.membership.messages import MAX_UPDATES, Message, MessageKind, Outgoing
 from anisespool.membership.probe_order import ProbeOrder
+from anisespool.membership.relays import Relay, RelayTable
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.updates import UpdateProcessor
 
-MAX_RECONNECTS = 4  # pings at a time to members that are dead or unknown
+MAX_RECONNECT_PROBES = 4  # at a time, of members that are dead or unknown
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in flight; times are in ns.
+    """A probe in flight; times are monotonic ns.
 
     Attributes:
         target: The member probed.
-        sequence: Of its pings.
-        sent_at: When the first ping was sent.
-        indirect_at: When indirect probes begin.
-        deadline: When it has failed.
-        indirect: Indirect probes have begun.
-        nack_received: One of the helpers has no ack either.
+        sequence: Sequence number of its pings.
+        sent_at_ns: When the first ping was sent.
+        indirect_at_ns: When ping-reqs are sent to helpers.
+        fails_at_ns: When the target is suspected, unless an ACK has arrived.
+        is_indirect: Ping-reqs have been sent.
+        nack_received: A helper has sent a NACK.
     """
 
     target: int
     sequence: int
-    sent_at: int
-    indirect_at: int
-    deadline: int
-    indirect: bool = False
+    sent_at_ns: int
+    indirect_at_ns: int
+    fails_at_ns: int
+    is_indirect: bool = False
     nack_received: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class Relay:
-    """A ping on behalf of another member, under that member's own sequence number; it expires (ns)."""
-
-    requester: int
-    sequence: int
-    target: int
-    expires_at: int
-
-
 class Prober:
-    """Own probes and relayed ones."""
+    """This member's own probes, and its part as a helper in those of others.
+
+    Attributes:
+        relays: Pings in flight on behalf of others.
+    """
 
     def __init__(self, state: ProtocolState, updates: UpdateProcessor, order: ProbeOrder) -> None:
+        self.relays = RelayTable(state.config)
         self._state = state
         self._updates = updates
         self._order = order
         self._probes: dict[int, Probe] = {}  # by sequence
-        self._relays: dict[int, Relay] = {}  # by sequence
 
-    def times(self) -> Iterator[int]:
-        """When each probe in flight needs something done."""
+    def due_times(self) -> Iterator[int]:
+        """Yield when each probe in flight sends ping-reqs or fails."""
         for probe in self._probes.values():
-            yield probe.deadline if probe.indirect else probe.indirect_at
+            yield probe.fails_at_ns if probe.is_indirect else probe.indirect_at_ns
 
     def abandon(self) -> None:
-        """Forget all that is in flight, without judging anybody by it."""
+        """Drop all probes in flight without a suspicion, as ACKs were missed in a pause."""
         self._probes.clear()
-        self._relays.clear()
+        self.relays.clear()
+
+    def tick(self, now_ns: int) -> list[Outgoing]:
+        """Advance the probes in flight, and begin one if the timer is due.
 
-    def tick(self, now: int) -> list[Outgoing]:
-        """Continue the probes in flight, and begin one if it is time."""
-        out: list[Outgoing] = []
+        A target whose probe fails is suspected, and pinged once more with the suspicion.
+
+        Args:
+            now_ns: Monotonic time.
+
+        Returns:
+            Pings and ping-reqs.
+        """
+        outgoing: list[Outgoing] = []
         for probe in list(self._probes.values()):
-            if not probe.indirect and now >= probe.indirect_at:
-                out += self._probe_indirectly(now, probe)
-            if now >= probe.deadline:
-                self._fail(now, probe)
-                out.append(self._ping(now, probe.sequence, probe.target))
-        if self._state.schedule.is_due(Timer.PROBE, now):
-            interval = int(self._state.config.probe_interval * self._state.health.timeout_multiplier)
-            self._state.schedule.set(Timer.PROBE, now + interval)
+            if not probe.is_indirect and now_ns >= probe.indirect_at_ns:
+                outgoing += self._probe_indirectly(now_ns, probe)
+            if now_ns >= probe.fails_at_ns:
+                self._fail(now_ns, probe)
+                outgoing.append(self._ping(now_ns, probe.sequence, probe.target))
+        if self._state.schedule.is_due(Timer.PROBE, now_ns):
+            interval_ns = int(self._state.config.probe_interval_ns * self._state.health.timeout_multiplier)
+            self._state.schedule.set(Timer.PROBE, now_ns + interval_ns)
             if len(self._probes) < self._state.config.max_probes:
-                out += self._begin(now)
-        return out
+                outgoing += self._begin(now_ns)
+        return outgoing
 
-    def reconnect(self, now: int) -> list[Outgoing]:
-        """Ping some members that are dead or unknown: a partition may have ended, or a member be late."""
+    def reconnect(self, now_ns: int) -> list[Outgoing]:
+        """Return pings for random members that are dead or without an update; the timer calls it.
+
+        As Serf's reconnect does: after a partition nothing else makes its sides contact each other.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         absent = [
             member
@@ -106,57 +116,79 @@
         ]
         if not absent:
             return []
-        out = []
-        for _ in range(min(MAX_RECONNECTS, 1 + len(absent) // BUCKET_SIZE)):
+        outgoing = []
+        for _ in range(min(MAX_RECONNECT_PROBES, 1 + len(absent) // BUCKET_MEMBERS)):
             target = absent[state.random_below(len(absent))]
-            ping = state.compose(now, MessageKind.PING, target=target)
+            ping = state.compose(now_ns, MessageKind.PING, target=target)
             current = state.members.get(target)
-            updates = (current,) if current else ()  # its state as known here, which it can refute
-            out.append(Outgoing(target, ping._replace(updates=updates)))
-        return out
+            updates = (current,) if current else ()  # a live member refutes its own DEAD
+            outgoing.append(Outgoing(target, ping._replace(updates=updates)))
+        return outgoing
 
-    def receive_ping(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """Answer a ping that is for this member."""
+    def receive_ping(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Return the ACK of a ping; none if another member is its target.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that pinged.
+            message: A PING.
+        """
         if message.target != self._state.local.member:
             return []
-        ack = self._state.compose(now, MessageKind.ACK, message.sequence, message.target)
+        ack = self._state.compose(now_ns, MessageKind.ACK, message.sequence, message.target)
         return [Outgoing(sender, ack)]
 
-    def receive_ping_req(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """Ping another member for the sender.
+    def receive_ping_req(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Return a ping for the target and a NACK for the sender; none beyond the highest number of relays.
+
+        The NACK is sent with the ping, not after a timeout as in Lifeguard: it shows at once that the path
+        between sender and helper works.
 
-        The NACK goes out with the ping: it shows that the path to the sender works, whatever follows.
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that requests the ping.
+            message: A PING_REQ.
         """
         state = self._state
         target = message.target
         if target == state.local.member or not 0 <= target < state.fleet_size:
             return []
-        self._expire_relays(now)
-        if len(self._relays) >= state.config.max_relays:
+        if not self.relays.has_capacity(now_ns):
             return []
         sequence = state.next_sequence()
-        expires_at = now + state.config.probe_interval
-        self._relays[sequence] = Relay(sender, message.sequence, target, expires_at)
-        ping = state.compose(now, MessageKind.PING, sequence, target)
-        nack = state.compose(now, MessageKind.NACK, message.sequence, target)
+        relay = Relay(
+            requester=sender,
+            requester_sequence=message.sequence,
+            target=target,
+            expires_at_ns=now_ns + state.config.probe_interval_ns,
+        )
+        self.relays.add(sequence, relay)
+        ping = state.compose(now_ns, MessageKind.PING, sequence, target)
+        nack = state.compose(now_ns, MessageKind.NACK, message.sequence, target)
         return [Outgoing(target, ping), Outgoing(sender, nack)]
 
-    def receive_ack(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """The end of an own probe, or of a relayed ping, whose ACK is passed on."""
+    def receive_ack(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Complete a probe of this member, or return the relayed ACK of a ping for another.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: Number of the member that sent the ACK: the target or a helper.
+            message: An ACK.
+        """
         self._succeed(sender, message)
-        relay = self._relays.pop(message.sequence, None)
-        if relay is None or relay.target != sender:
+        relay = self.relays.complete(message.sequence, sender)
+        if relay is None:
             return []
-        ack = self._state.compose(now, MessageKind.ACK, relay.sequence, relay.target)
+        ack = self._state.compose(now_ns, MessageKind.ACK, relay.requester_sequence, relay.target)
         return [Outgoing(relay.requester, ack)]
 
     def receive_nack(self, message: Message) -> None:
-        """Another member pings the target as well, and the path to that member works."""
+        """Record on the probe that a helper answered, so that the fault is not in this member."""
         probe = self._probes.get(message.sequence)
         if probe:
             probe.nack_received = True
 
-    def _begin(self, now: int) -> list[Outgoing]:
+    def _begin(self, now_ns: int) -> list[Outgoing]:
         state = self._state
         target = self._order.next()
         if target is None or any(probe.target == target for probe in self._probes.values()):
@@ -166,33 +198,37 @@
         self._probes[sequence] = Probe(
             target,
             sequence,
-            sent_at=now,
-            indirect_at=now + int(state.config.ping_timeout * multiplier),
-            deadline=now + int(state.config.probe_timeout * multiplier),
+            sent_at_ns=now_ns,
+            indirect_at_ns=now_ns + int(state.config.ping_timeout_ns * multiplier),
+            fails_at_ns=now_ns + int(state.config.probe_timeout_ns * multiplier),
         )
-        return [self._ping(now, sequence, target)]
+        return [self._ping(now_ns, sequence, target)]
 
-    def _ping(self, now: int, sequence: int, target: int) -> Outgoing:
-        """A ping; to a suspect with the suspicion first, as only it can refute that (Lifeguard's buddy)."""
-        ping = self._state.compose(now, MessageKind.PING, sequence, target)
+    def _ping(self, now_ns: int, sequence: int, target: int) -> Outgoing:
+        """Return a ping; to a suspect with the suspicion as its first update (Lifeguard's buddy system)."""
+        ping = self._state.compose(now_ns, MessageKind.PING, sequence, target)
         suspicion = self._state.suspicions.get(target)
         if suspicion is None:
             return Outgoing(target, ping)
-        boot, incarnation = suspicion.incarnation_key
-        reporter = min(suspicion.reporters, default=NOBODY)
-        suspect = MemberUpdate(target, boot, incarnation, MemberState.SUSPECT, reporter)
+        suspect = MemberUpdate(
+            member=target,
+            boot=suspicion.incarnation_key.boot,
+            incarnation=suspicion.incarnation_key.incarnation,
+            state=MemberState.SUSPECT,
+            reporter=min(suspicion.reporters, default=NO_REPORTER),
+        )
         return Outgoing(target, ping._replace(updates=(suspect, *ping.updates)[:MAX_UPDATES]))
 
-    def _probe_indirectly(self, now: int, probe: Probe) -> list[Outgoing]:
+    def _probe_indirectly(self, now_ns: int, probe: Probe) -> list[Outgoing]:
         state = self._state
-        probe.indirect = True
-        ping_req = state.compose(now, MessageKind.PING_REQ, probe.sequence, probe.target)
-        # Where many are silent, helpers for each probe would make most of the traffic, and the delays it
-        # causes would look like more silence.
+        probe.is_indirect = True
+        ping_req = state.compose(now_ns, MessageKind.PING_REQ, probe.sequence, probe.target)
+        # With many suspects, the helpers of all probes would send most of the fleet's datagrams, and the
+        # delay that they cause would fail more probes.
         helpers = 1 if state.suspicions.is_widespread else state.config.indirect_probes
-        out = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
-        out.append(self._ping(now, probe.sequence, probe.target))
-        return out
+        outgoing = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
+        outgoing.append(self._ping(now_ns, probe.sequence, probe.target))
+        return outgoing
 
     def _succeed(self, sender: int, message: Message) -> None:
         probe = self._probes.get(message.sequence)
@@ -203,24 +239,20 @@
             self._state.reached_indirectly.discard(probe.target)
         else:
             self._state.reached_indirectly.add(probe.target)
-        self._state.health.record_probe(answered=True, confirmed=False)
+        self._state.health.record_success()
 
-    def _fail(self, now: int, probe: Probe) -> None:
+    def _fail(self, now_ns: int, probe: Probe) -> None:
         state = self._state
         del self._probes[probe.sequence]
         state.reached_indirectly.discard(probe.target)
-        # Where many are silent the network is cut or they are down: to suspect later would help nobody.
-        state.health.record_probe(False, confirmed=probe.nack_received or state.suspicions.is_widespread)
+        # With many suspects the network is cut or they are dead, and longer timeouts prevent nothing.
+        state.health.record_failure(is_fault_remote=probe.nack_received or state.suspicions.is_widespread)
         current = state.members.get(probe.target)
-        if current and current.state < MemberState.DEAD and now >= state.suspicions.allowed_from:
+        if current and current.state < MemberState.DEAD and now_ns >= state.suspicions.allowed_at_ns:
             state.stats.accusations += 1
-            age = min(MAX_SUSPICION_AGE, (now - probe.sent_at) // SUSPICION_AGE_UNIT)
             suspect = current._replace(
-                state=MemberState.SUSPECT, reporter=state.local.member, suspicion_age=age
+                state=MemberState.SUSPECT,
+                reporter=state.local.member,
+                suspicion_age_units=suspicion_age_units(now_ns - probe.sent_at_ns),
             )
-            self._updates.apply(now, suspect)
-
-    def _expire_relays(self, now: int) -> None:
-        expired = [sequence for sequence, relay in self._relays.items() if relay.expires_at <= now]
-        for sequence in expired:
-            del self._relays[sequence]
+            self._updates.apply(now_ns, suspect)
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -2,12 +2,13 @@
 
 SWIM (Das, Gupta, Motivala 2002) with what Lifeguard (Dadgar, Phillips, Currey 2018) adds: probes in shuffled
 rounds, indirect probes, suspicions that expire the sooner the more members confirm them, refutation by
-incarnation, a health score that delays the suspicions of a member in poor health. Beside these: nobody
-believes another's DEAD (`updates.py`), and a member that was paused itself suspects nobody for what it
-missed.
+incarnation, a health score that delays the suspicions of a member in poor health. Beyond these papers, a DEAD
+from another member is not adopted (`updates.py`), and a member whose process was paused raises no suspicion
+for what it missed.
 
-The concerns are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
-Methods return the messages to be sent; `next_tick_at` says when to call `tick`. Times are in ns.
+The parts are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
+Methods return the messages to be sent; the caller sends them, and calls `tick` at `next_tick_at_ns`. Times
+are monotonic ns.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from collections.abc import Iterator
 
 from anisespool.membership.anti_entropy import AntiEntropy
-from anisespool.membership.config import MS, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, MembershipConfig
 from anisespool.membership.dissemination import BroadcastQueue
 from anisespool.membership.events import MembershipEvent, ProtocolPaused
 from anisespool.membership.gossip import gossip
@@ -24,18 +25,24 @@
 from anisespool.membership.messages import Message, MessageKind, Outgoing
 from anisespool.membership.probe_order import ProbeOrder
 from anisespool.membership.probing import Prober
+from anisespool.membership.relays import RelayTable
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState, ProtocolStats, RandomBelow
 from anisespool.membership.suspicion import SuspicionTable
 from anisespool.membership.updates import UpdateProcessor
 from anisespool.membership.view import MembershipView
 
-MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # clocks of two machines may differ by so much
-HEALTH_STEPS_OF_PAUSE = 2
+MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # between the clocks of two machines
+PAUSE_PENALTY_LEVEL = 2  # added to the health score after a pause
+LEAVE_FANOUT_FACTOR = 2  # a member that leaves sends its announcement once only
 
 
 class MembershipProtocol:
-    """A member of a fleet whose numbers run from 0 to `fleet_size` - 1."""
+    """A member of a fleet whose numbers run from 0 to `fleet_size` - 1.
+
+    Attributes:
+        is_leaving: The shutdown was announced: nothing is sent or accepted any more.
+    """
 
     def __init__(
         self,
@@ -45,13 +52,13 @@
         random_below: RandomBelow,
         config: MembershipConfig | None = None,
     ) -> None:
-        """Prepare a member; `start` begins.
+        """Create a member that sends nothing before `start`.
 
         Args:
             member: Its number.
-            boot: Higher at each start of the process, in ms.
+            boot: Time of the process's start in ms, so that a later start has a higher boot.
             fleet_size: Members by the settings.
-            random_below: A random whole number below the given one.
+            random_below: Takes n, returns a random integer from 0 to n - 1.
             config: Parameters; None for the defaults.
         """
         self.is_leaving = False
@@ -80,17 +87,27 @@
 
     @property
     def members(self) -> dict[int, MemberUpdate]:
-        """States of the others, by number."""
+        """Current updates about the other members, by number."""
         return self._state.members
 
     @property
     def broadcasts(self) -> BroadcastQueue:
-        """Updates on their way to the fleet."""
+        """Updates that are being disseminated."""
         return self._state.broadcasts
 
+    @property
+    def suspicions(self) -> SuspicionTable:
+        """Members under suspicion."""
+        return self._state.suspicions
+
+    @property
+    def relays(self) -> RelayTable:
+        """Pings in flight on behalf of other members."""
+        return self._prober.relays
+
     @property
     def health(self) -> LocalHealth:
-        """How far this member trusts its own observations."""
+        """Health score and outcomes of the last probes."""
         return self._state.health
 
     @property
@@ -100,155 +117,187 @@
 
     @property
     def reached_indirectly(self) -> set[int]:
-        """Members that answered their last probe through others alone."""
+        """Members whose last probe was acknowledged through helpers alone."""
         return self._state.reached_indirectly
 
     def take_events(self) -> list[MembershipEvent]:
-        """The events since the last call."""
+        """Return the events since the last call."""
         taken = list(self._state.events)
         self._state.events.clear()
         return taken
 
     def view(self) -> MembershipView:
-        """Members by state; the same object until something changes."""
+        """Return the members by state; the same object until something changes."""
         return self._state.view()
 
-    def start(self, now: int) -> list[Outgoing]:
-        """Announce this member to a few others, and begin to compare every bucket."""
+    def start(self, now_ns: int) -> list[Outgoing]:
+        """Start the timers and return the announcement of this member for a few others.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
-        self._restart_timers(now)
+        self._restart_timers(now_ns)
         self._anti_entropy.start()
-        state.suspicions.allowed_from = now + state.config.probe_interval
-        state.views.changed_at = now
-        state.started_at = now
+        state.suspicions.allowed_at_ns = now_ns + state.config.probe_interval_ns
+        state.views.changed_at_ns = now_ns
+        state.started_at_ns = now_ns
         state.broadcasts.add(state.local)
-        return gossip(state, now)
+        return gossip(state, now_ns)
 
     @property
-    def next_tick_at(self) -> int:
-        """When `tick` has to be called next."""
-        return min(self._times())
+    def next_tick_at_ns(self) -> int:
+        """When `tick` is due next; any call of another method may change it."""
+        return min(self._due_times())
+
+    def tick(self, now_ns: int) -> list[Outgoing]:
+        """Run what is due: probes, expired suspicions, gossip, anti-entropy, reconnects.
+
+        A tick later than the pause threshold is treated as a pause of this process.
 
-    def tick(self, now: int) -> list[Outgoing]:
-        """Do all that is due."""
+        Args:
+            now_ns: Monotonic time.
+
+        Returns:
+            Messages to be sent.
+        """
         if self.is_leaving:
             return []
-        pause = now - self.next_tick_at
-        if pause > self._state.config.pause_threshold:
-            return self._resume(now, pause)
-        out = self._prober.tick(now)
-        self._updates.expire_suspicions(now)
-        out += self._run_timers(now)
-        return out
-
-    def receive(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """Handle a message; the transport identified its sender by the address."""
+        pause_ns = now_ns - self.next_tick_at_ns
+        if pause_ns > self._state.config.pause_threshold_ns:
+            return self._resume(now_ns, pause_ns)
+        outgoing = self._prober.tick(now_ns)
+        self._updates.expire_suspicions(now_ns)
+        outgoing += self._run_timers(now_ns)
+        return outgoing
+
+    def receive(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Apply a message's updates and return the replies; an implausible one is counted and dropped.
+
+        Args:
+            now_ns: Monotonic time.
+            sender: The member's number, by the address from which the datagram came.
+            message: Decoded, its numbers and boots unchecked.
+
+        Returns:
+            Messages to be sent.
+        """
         state = self._state
-        max_boot = self._max_plausible_boot(now)
+        max_boot = self._max_plausible_boot(now_ns)
         if not self._is_acceptable(sender, message, max_boot):
             state.stats.ignored += 1
             return []
-        known = state.members.get(sender)
-        if known and message.boot < known.boot:
-            # A late datagram of an earlier boot must not be taken for one of the new. But the sender may have
-            # started with its clock set back: it is notified, and takes a higher boot.
+        current = state.members.get(sender)
+        if current and message.boot < current.boot:
+            # Either a late datagram of an earlier boot, or the sender started with its clock set back. The
+            # answer makes it take a higher boot in the second case, and is superseded in the first.
             state.stats.ignored += 1
-            return [state.answer_with(now, sender, known)]
+            return [state.answer_with(now_ns, sender, current)]
         local = state.local
-        out = self._apply_sender(now, sender, message)
-        self._apply_updates(now, message, max_boot)
-        if state.local is not local:  # a refutation reaches first whoever passed the suspicion on
-            out.append(state.answer_with(now, sender, state.local))
-        out += self._reply(now, sender, message)
-        return out
-
-    def leave(self, now: int) -> list[Outgoing]:
-        """Announce the shutdown to a few members, which pass it on. Nothing is sent after it."""
+        outgoing = self._apply_sender(now_ns, sender, message)
+        self._apply_updates(now_ns, message, max_boot)
+        if state.local is not local:  # refuted: the sender of the suspicion gets the refutation first
+            outgoing.append(state.answer_with(now_ns, sender, state.local))
+        outgoing += self._reply(now_ns, sender, message)
+        return outgoing
+
+    def leave(self, now_ns: int) -> list[Outgoing]:
+        """Return the announcement of this member's shutdown for a few others, which disseminate it.
+
+        After it `tick` and `receive` return nothing.
+
+        Args:
+            now_ns: Monotonic time.
+        """
         state = self._state
         state.local = state.local._replace(state=MemberState.LEFT)
-        announcement = state.compose_gossip(now, (state.local,))
-        recipients = state.choose_members(2 * state.config.fanout)
+        announcement = state.compose_gossip(now_ns, (state.local,))
+        recipients = state.choose_members(LEAVE_FANOUT_FACTOR * state.config.fanout)
         self.is_leaving = True
         return [Outgoing(recipient, announcement) for recipient in recipients]
 
-    def _times(self) -> Iterator[int]:
-        yield from self._state.schedule.times(is_gossip_pending=bool(self._state.broadcasts))
-        yield from self._prober.times()
-        expiry = self._state.suspicions.next_expiry
+    def _due_times(self) -> Iterator[int]:
+        yield from self._state.schedule.due_times(is_gossip_pending=bool(self._state.broadcasts))
+        yield from self._prober.due_times()
+        expiry = self._state.suspicions.next_expiry_at_ns
         if expiry is not None:
             yield expiry
 
-    def _run_timers(self, now: int) -> list[Outgoing]:
+    def _run_timers(self, now_ns: int) -> list[Outgoing]:
         state = self._state
-        out: list[Outgoing] = []
-        # Each job's next time is set before it runs, as it may choose an earlier one.
-        if state.schedule.is_due(Timer.GOSSIP, now):
-            state.schedule.set(Timer.GOSSIP, now + state.config.gossip_interval)
-            out += gossip(state, now)
-        if state.schedule.is_due(Timer.ANTI_ENTROPY, now):
-            state.schedule.set(Timer.ANTI_ENTROPY, now + state.config.anti_entropy_interval)
-            out += self._anti_entropy.compare(now)
-        if state.schedule.is_due(Timer.RECONNECT, now):
-            state.schedule.set(Timer.RECONNECT, now + state.config.reconnect_interval)
-            out += self._prober.reconnect(now)
-        return out
-
-    def _resume(self, now: int, pause: int) -> list[Outgoing]:
-        """Continue after this process did not run: what it missed is nobody's fault."""
+        outgoing: list[Outgoing] = []
+        # A timer is set before its job runs, as the job may set an earlier time.
+        if state.schedule.is_due(Timer.GOSSIP, now_ns):
+            state.schedule.set(Timer.GOSSIP, now_ns + state.config.gossip_interval_ns)
+            outgoing += gossip(state, now_ns)
+        if state.schedule.is_due(Timer.ANTI_ENTROPY, now_ns):
+            state.schedule.set(Timer.ANTI_ENTROPY, now_ns + state.config.anti_entropy_interval_ns)
+            outgoing += self._anti_entropy.compare(now_ns)
+        if state.schedule.is_due(Timer.RECONNECT, now_ns):
+            state.schedule.set(Timer.RECONNECT, now_ns + state.config.reconnect_interval_ns)
+            outgoing += self._prober.reconnect(now_ns)
+        return outgoing
+
+    def _resume(self, now_ns: int, pause_ns: int) -> list[Outgoing]:
+        """Restart the timers after a pause, and suspect no member for messages missed in it."""
         state = self._state
         state.stats.pauses += 1
-        state.record_event(ProtocolPaused(pause // MS))
+        state.record_event(ProtocolPaused(pause_ns // NS_PER_MS))
         self._prober.abandon()
-        state.health.degrade(HEALTH_STEPS_OF_PAUSE)
-        state.suspicions.allowed_from = now + state.config.pause_grace
-        state.suspicions.postpone(now, pause)
-        self._restart_timers(now)
+        state.health.degrade(PAUSE_PENALTY_LEVEL)
+        state.suspicions.allowed_at_ns = now_ns + state.config.pause_grace_ns
+        state.suspicions.postpone(now_ns, pause_ns)
+        self._restart_timers(now_ns)
         state.broadcasts.add(state.local)
-        return gossip(state, now) + self._anti_entropy.compare(now)
+        return gossip(state, now_ns) + self._anti_entropy.compare(now_ns)
 
-    def _restart_timers(self, now: int) -> None:
+    def _restart_timers(self, now_ns: int) -> None:
         state = self._state
-        state.schedule.restart(now, state.config.gossip_interval, state.random_below)
-
-    def _max_plausible_boot(self, now: int) -> int:
-        """Boots are counted in ms. One reported far ahead for a member would exclude it permanently."""
-        return self._state.local.boot + max(0, now - self._state.started_at) // MS + MAX_BOOT_SKEW_MS
+        state.schedule.restart(now_ns, state.config.gossip_interval_ns, state.random_below)
+
+    def _max_plausible_boot(self, now_ns: int) -> int:
+        """Return the highest boot to accept: one far ahead of it would exclude its member permanently."""
+        return (
+            self._state.local.boot
+            + max(0, now_ns - self._state.started_at_ns) // NS_PER_MS
+            + MAX_BOOT_SKEW_MS
+        )
 
     def _is_acceptable(self, sender: int, message: Message, max_boot: int) -> bool:
         if sender == self._state.local.member or not 0 <= sender < self._state.fleet_size:
             return False
         return not self.is_leaving and message.boot <= max_boot
 
-    def _apply_sender(self, now: int, sender: int, message: Message) -> list[Outgoing]:
-        """The message shows that its sender is alive; if others took it for dead, it is notified."""
+    def _apply_sender(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
+        """Apply that the sender is alive; return its DEAD state for it to refute, if that has precedence."""
         alive = MemberUpdate(sender, message.boot, message.incarnation, MemberState.ALIVE)
-        self._updates.apply(now, alive)
+        self._updates.apply(now_ns, alive)
         current = self._state.members.get(sender)
         if current and current.state is MemberState.DEAD:
-            return [self._state.answer_with(now, sender, current)]
+            return [self._state.answer_with(now_ns, sender, current)]
         return []
 
-    def _apply_updates(self, now: int, message: Message, max_boot: int) -> None:
+    def _apply_updates(self, now_ns: int, message: Message, max_boot: int) -> None:
         for update in message.updates:
             if 0 <= update.member < self._state.fleet_size and update.boot <= max_boot:
-                self._updates.apply(now, update)
+                self._updates.apply(now_ns, update)
             else:
                 self._state.stats.ignored += 1
 
-    def _reply(self, now: int, sender: int, message: Message) -> list[Outgoing]:
+    def _reply(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
         match message.kind:
             case MessageKind.PING:
-                return self._prober.receive_ping(now, sender, message)
+                return self._prober.receive_ping(now_ns, sender, message)
             case MessageKind.ACK:
-                return self._prober.receive_ack(now, sender, message)
+                return self._prober.receive_ack(now_ns, sender, message)
             case MessageKind.PING_REQ:
-                return self._prober.receive_ping_req(now, sender, message)
+                return self._prober.receive_ping_req(now_ns, sender, message)
             case MessageKind.NACK:
                 self._prober.receive_nack(message)
             case MessageKind.BUCKET_DIGEST:
-                return self._anti_entropy.receive_digest(now, sender, message)
+                return self._anti_entropy.receive_digest(now_ns, sender, message)
             case MessageKind.BUCKET_STATE:
-                return self._anti_entropy.receive_states(now, sender, message)
+                return self._anti_entropy.receive_states(now_ns, sender, message)
         return []
 
 
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -1,13 +1,18 @@
-"""What the control socket answers to `GET /v1/peers`: membership as this sidecar sees it."""
+"""The control socket's answer to `GET /v1/peers`: this sidecar's view, counts of protocol and datagrams."""
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
 import msgspec
 
-from anisespool.membership.config import MS
+from anisespool.membership.config import NS_PER_MS
+from anisespool.membership.local_health import FailedProbes
 from anisespool.membership.protocol import MembershipProtocol
+from anisespool.membership.state import ProtocolStats
+
+JsonObject = dict[str, Any]
 
 
 class MembershipReport(
@@ -26,23 +31,27 @@
         "health_score": "health",
     },
 ):
-    """The answer's fields; `rename` maps our names to those on the socket.
+    """The answer's fields; `rename` maps these names to the keys on the socket.
 
     Attributes:
-        number: This member's.
-        boot: Which start of it.
+        number: This member's number in the fleet.
+        boot: Of this start of the process.
         incarnation: Of that boot.
-        view_version: Counts changes of the view.
-        age_ms: Since the view's last change.
-        alive: Members by state, here and in the next fields.
-        reached_indirectly: Active members that answered their last probe through others alone.
-        alive_min: At least so many are alive.
-        alive_max: At most so many are.
-        is_isolated: This member may be the one that is cut off.
-        failed_probes: How many of the last probes failed, and of how many.
+        view_version: Incremented with each change of the view.
+        age_ms: Since the last change of the view.
+        alive: Numbers of members by state, here and in the next fields.
+        suspect: Under suspicion.
+        dead: Declared dead.
+        reached_indirectly: Alive or suspect, and last acknowledged through helpers alone.
+        left: Announced their shutdown.
+        unknown: Without any update so far.
+        alive_min: Lower bound on the members alive.
+        alive_max: Upper bound on the members alive.
+        is_isolated: This member may itself be cut off from the others.
+        failed_probes: Of this member's last probes.
         health_score: 0 is healthy.
         stats: Counts of the protocol.
-        datagrams: Counts by what became of them.
+        datagrams: Counts by what became of them (`TransportCounter`, `InvalidReason`).
     """
 
     number: int
@@ -59,22 +68,27 @@
     alive_min: int
     alive_max: int
     is_isolated: bool
-    failed_probes: tuple[int, int]
+    failed_probes: FailedProbes
     health_score: int
-    stats: dict[str, int]
+    stats: ProtocolStats
     datagrams: dict[str, int]
 
 
-def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now: int) -> MembershipReport:
-    """The state of the protocol at `now` (monotonic, ns), with the transport's counts."""
+def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now_ns: int) -> MembershipReport:
+    """Return the present state of a protocol with the transport's counts.
+
+    Args:
+        protocol: This member's.
+        datagrams: Counts by the names on the control socket.
+        now_ns: Monotonic time.
+    """
     view = protocol.view()
-    stats = protocol.stats
     return MembershipReport(
         number=protocol.local.member,
         boot=protocol.local.boot,
         incarnation=protocol.local.incarnation,
         view_version=view.version,
-        age_ms=(now - view.changed_at) // MS,
+        age_ms=(now_ns - view.changed_at_ns) // NS_PER_MS,
         alive=sorted(view.alive),
         suspect=sorted(view.suspect),
         dead=sorted(view.dead),
@@ -84,19 +98,14 @@
         alive_min=view.alive_min,
         alive_max=view.alive_max,
         is_isolated=view.is_isolated,
-        failed_probes=(view.failed_probes.failed, view.failed_probes.total),
+        failed_probes=view.failed_probes,
         health_score=view.health_score,
-        stats={
-            "accusations": stats.accusations,
-            "refutations": stats.refutations,
-            "pauses": stats.pauses,
-            "ignored": stats.ignored,
-        },
+        stats=replace(protocol.stats),
         datagrams=datagrams,
     )
 
 
-def to_json_object(report: MembershipReport) -> dict[str, Any]:
-    """The report as the control socket's JSON object."""
-    built: dict[str, Any] = msgspec.to_builtins(report)
+def to_json_object(report: MembershipReport) -> JsonObject:
+    """Return the report under the names that it has on the control socket."""
+    built: JsonObject = msgspec.to_builtins(report)
     return built
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -1,4 +1,4 @@
-"""A sidecar's membership from start to shutdown: protocol, socket, timer, and what is published of it."""
+"""Runs the protocol in a sidecar, from start to shutdown: socket, timer, publication of events and views."""
 
 from __future__ import annotations
 
@@ -6,29 +6,28 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any
 
 from anisespool.config.clock import wall_ns
 from anisespool.config.operator import MembershipOptions
 from anisespool.config.platform import ConfigError, PeerAddresses, PlatformConfig
 from anisespool.config.platform_loader import read_peer_addresses
 from anisespool.log import log_event
-from anisespool.membership.config import MS, MembershipConfig
+from anisespool.membership.config import NS_PER_MS, NS_PER_S, MembershipConfig
 from anisespool.membership.events import MembershipEvent, ViewChanged
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
-from anisespool.membership.report import build_report, to_json_object
+from anisespool.membership.report import JsonObject, build_report, to_json_object
 from anisespool.membership.transport import UdpTransport
 from anisespool.membership.view import MembershipView, format_ranges
 
 BOOT_EPOCH_S = 1_700_000_000  # boots are milliseconds since then: 40 bits last for 34 years
 MIN_TICK_INTERVAL_S = 0.002
 RETRY_S = 0.5
-LINGER_S = 0.02  # after the last message, for it to leave
+LINGER_S = 0.02  # after the last message, for the socket's buffer to empty
 
 
 class MembershipService:
-    """Runs the protocol on the event loop. An error in it costs a line of the log, never a request.
+    """The protocol on the event loop. An error in it is logged and affects no request.
 
     Attributes:
         protocol: The protocol core.
@@ -41,11 +40,11 @@
         options: MembershipOptions,
         on_event: Callable[[MembershipEvent], None],
     ) -> None:
-        """Prepare the service; `start` begins.
+        """Create a service that opens nothing before `start`.
 
         Args:
             config: The platform's configuration; its file names the peers' addresses.
-            options: The operator's.
+            options: The operator's section `[peers]`.
             on_event: Called with each event, for the instance's event log.
 
         Raises:
@@ -56,7 +55,7 @@
         self._on_event = on_event
         self.protocol = MembershipProtocol(
             config.settings.self_index,
-            boot=max(1, wall_ns() // MS - BOOT_EPOCH_S * 1000),
+            boot=max(1, wall_ns() // NS_PER_MS - BOOT_EPOCH_S * 1000),
             fleet_size=len(self._addresses.peers),
             random_below=random.Random(f"{config.seed}-{wall_ns()}").randrange,
             config=_protocol_config(options),
@@ -67,9 +66,12 @@
         self._published_version = -1
 
     def start(self, is_retry: bool = False) -> None:
-        """Bind the address and begin, or retry until it is free.
+        """Bind the address and start the protocol, or log the failure once and retry each RETRY_S.
 
-        At a restart the previous process may still hold the address, and requests must not wait for it.
+        At a restart the previous process may still have the address, and requests must not wait for it.
+
+        Args:
+            is_retry: The failure was logged already.
         """
         try:
             self._transport = UdpTransport(
@@ -85,7 +87,7 @@
         self._schedule_tick()
 
     async def stop(self) -> None:
-        """Announce the shutdown to other members and close the socket."""
+        """Announce the shutdown to other members, and close the socket after LINGER_S."""
         if self._timer:
             self._timer.cancel()
         if self._transport:
@@ -94,20 +96,21 @@
         self.close()
 
     def close(self) -> None:
-        """Stop at once, without an announcement."""
+        """Close the socket without an announcement; a second call does nothing."""
         if self._timer:
             self._timer.cancel()
         if self._transport:
             self._transport.close()
 
-    def describe(self) -> dict[str, Any]:
-        """The answer to `GET /v1/peers`, for `anisespool peers`."""
-        datagrams = dict(self._transport.counts) if self._transport else {}
+    def describe(self) -> JsonObject:
+        """Return the answer to `GET /v1/peers`, which `anisespool peers` reads."""
+        counts = self._transport.counts if self._transport else {}
+        datagrams = {counter.value: count for counter, count in counts.items()}
         return to_json_object(build_report(self.protocol, datagrams, time.monotonic_ns()))
 
     def _schedule_tick(self, min_delay_s: float = MIN_TICK_INTERVAL_S) -> None:
         loop = asyncio.get_running_loop()
-        at_s = max(self.protocol.next_tick_at / 1e9, loop.time() + min_delay_s)
+        at_s = max(self.protocol.next_tick_at_ns / NS_PER_S, loop.time() + min_delay_s)
         self._timer = loop.call_at(at_s, self._tick)
 
     def _tick(self) -> None:
@@ -132,7 +135,7 @@
         self._publish()
 
     def _publish(self) -> None:
-        """Pass on what has happened since the last call, and a new version of the view."""
+        """Publish the events since the last call, and the view if its version is new."""
         for event in self.protocol.take_events():
             self._on_event(event)
         view = self.protocol.view()
@@ -155,19 +158,19 @@
 
 
 def _protocol_config(options: MembershipOptions) -> MembershipConfig:
-    """The operator's options in ns; the other parameters have their defaults."""
+    """Convert the operator's options from ms to ns; other parameters have their defaults."""
     return MembershipConfig(
-        probe_interval=int(options.probe_interval_ms * MS),
-        ping_timeout=int(options.ping_timeout_ms * MS),
-        probe_timeout=int(options.probe_timeout_ms * MS),
+        probe_interval_ns=int(options.probe_interval_ms * NS_PER_MS),
+        ping_timeout_ns=int(options.ping_timeout_ms * NS_PER_MS),
+        probe_timeout_ns=int(options.probe_timeout_ms * NS_PER_MS),
         indirect_probes=options.indirect_probes,
-        suspicion_min=int(options.suspicion_min_ms * MS),
-        suspicion_max=int(options.suspicion_max_ms * MS),
+        suspicion_min_ns=int(options.suspicion_min_ms * NS_PER_MS),
+        suspicion_max_ns=int(options.suspicion_max_ms * NS_PER_MS),
         confirmations=options.confirmations,
-        gossip_interval=int(options.gossip_interval_ms * MS),
+        gossip_interval_ns=int(options.gossip_interval_ms * NS_PER_MS),
         fanout=options.fanout,
-        pause_threshold=int(options.pause_threshold_ms * MS),
-        pause_grace=int(options.pause_grace_ms * MS),
-        anti_entropy_interval=int(options.anti_entropy_interval_ms * MS),
-        reconnect_interval=int(options.reconnect_interval_ms * MS),
+        pause_threshold_ns=int(options.pause_threshold_ms * NS_PER_MS),
+        pause_grace_ns=int(options.pause_grace_ms * NS_PER_MS),
+        anti_entropy_interval_ns=int(options.anti_entropy_interval_ms * NS_PER_MS),
+        reconnect_interval_ns=int(options.reconnect_interval_ms * NS_PER_MS),
     )
