--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import traceback
 from collections.abc import Callable
+from random import Random
 from typing import Any, NamedTuple
 
+from anisespool.backoff import Backoff
 from anisespool.balancer import Settings
 from anisespool.balancer.interface import DiscoveryMode
 from anisespool.codec import http1
@@ -90,7 +91,7 @@
         self._revision = revision
         self._on_update = on_update
         self._timing = timing
-        self._backoff_s = INITIAL_BACKOFF_S
+        self._backoff = Backoff(INITIAL_BACKOFF_S, timing.max_backoff_s, Random())
         self._attempt: asyncio.Task[None] | None = None
         # Why an update could not be applied, in this attempt and in the previous one; empty: all were.
         self._fault = ""
@@ -108,7 +109,7 @@
             return
         log_event("endpoint_list_watch_moved", address="{}:{}".format(*address))
         self._address = address
-        self._backoff_s = INITIAL_BACKOFF_S
+        self._backoff.reset()
         self._revision = 0
         if self._attempt:
             self._attempt.cancel()
@@ -139,18 +140,11 @@
             traceback.print_exc()
         self.first_attempt_done.set()
         self._previous_fault = self._fault
-        delay_s = self._next_delay_s()
+        delay_s = self._backoff.next_delay_s(INVALID_UPDATE_BACKOFF_S if self._fault else None)
         if failure:
             self._log_failure(failure, delay_s)
         await asyncio.sleep(delay_s)
 
-    def _next_delay_s(self) -> float:
-        """Exponential backoff with jitter, as all sidecars lose discovery at the same moment."""
-        max_backoff_s = INVALID_UPDATE_BACKOFF_S if self._fault else self._timing.max_backoff_s
-        backoff_s = min(self._backoff_s, max_backoff_s)
-        self._backoff_s = min(2 * self._backoff_s, max_backoff_s)
-        return backoff_s * random.uniform(0.5, 1.0)
-
     async def _watch_once(self) -> None:
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self._timing.connect_timeout_s) as timeout:
@@ -195,7 +189,7 @@
         for document in documents:
             self._apply_update(document)
         if documents and not self._fault:
-            self._backoff_s = INITIAL_BACKOFF_S
+            self._backoff.reset()
         return bool(documents or line_ends)
 
     def _apply_update(self, document: Any) -> None:
--- a/anisespool/fakes/record_soak.py
+++ b/anisespool/fakes/record_soak.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import NamedTuple
 
+from anisespool.backoff import Backoff
 from anisespool.config.operator import RecordOptions
 from anisespool.fakes.syslog.parser import Message
 from anisespool.fakes.syslog.receiver import MAX_READ_BYTES, Receiver, ReceiverOptions
-from anisespool.records.backoff import Backoff
 from anisespool.records.encoder import RecordEncoder
 from anisespool.records.outcome import Outcome
 from anisespool.records.recorder import Recorder
--- a/anisespool/records/recorder.py
+++ b/anisespool/records/recorder.py
@@ -8,13 +8,13 @@
 from random import Random
 from zlib import crc32
 
+from anisespool.backoff import Backoff
 from anisespool.codec import http1
 from anisespool.config.clock import wall_ns
 from anisespool.config.operator import ClassSampling, RecordOptions, SamplingOptions
 from anisespool.log import log_event
 from anisespool.proxy.call import FinalResponse
 from anisespool.records.accounting import RecordCounts
-from anisespool.records.backoff import Backoff
 from anisespool.records.buffer import DropPolicy, QueuedRecord, RecordQueue
 from anisespool.records.encoder import RecordEncoder
 from anisespool.records.outcome import Outcome
--- a/anisespool/records/sender.py
+++ b/anisespool/records/sender.py
@@ -8,10 +8,10 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
+from anisespool.backoff import Backoff
 from anisespool.config.clock import wall_ns
 from anisespool.log import log_event
 from anisespool.records.accounting import RecordCounts, UnconfirmedRecords
-from anisespool.records.backoff import Backoff
 from anisespool.records.buffer import DropReason, QueuedRecord, RecordQueue
 from anisespool.records.encoder import RecordEncoder
 from anisespool.records.reports import NEVER_S, StatusRecord, StatusReports
--- a/tests/records/support.py
+++ b/tests/records/support.py
@@ -12,11 +12,11 @@
 import msgspec
 import trustme
 
+from anisespool.backoff import Backoff
 from anisespool.config import operator
 from anisespool.config.operator import RecordOptions
 from anisespool.fakes.record_soak import create_recorder
 from anisespool.fakes.syslog import Receiver, ReceiverOptions
-from anisespool.records.backoff import Backoff
 from anisespool.records.factory import channel_opener
 from anisespool.records.recorder import Recorder
 
