--- /dev/null
+++ b/anisespool/discovery/update_stream.py
@@ -0,0 +1,97 @@
+"""One connection to the discovery service: a long HTTP response of JSON documents, each a list update.
+
+What an update holds, and when another connection follows, is decided by `watch`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any
+
+from anisespool.codec import http1
+from anisespool.codec.json_stream import JsonStreamParser
+from anisespool.config.platform import Address
+from anisespool.discovery import timeouts
+from anisespool.discovery.timeouts import WatchTiming
+
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # of one update
+READ_BYTES = 65536
+NO_STATUS = 0  # of a response whose head is not complete
+
+ApplyUpdates = Callable[[list[Any]], bool]
+
+
+class UpdateStream:
+    """One attempt to receive updates: from connecting to the end of the response."""
+
+    def __init__(
+        self, address: Address, revision: int, timing: WatchTiming, apply_updates: ApplyUpdates
+    ) -> None:
+        """Prepare the attempt; `run` makes it.
+
+        Args:
+            address: Of the discovery service.
+            revision: Updates after it are requested; 0: the complete list.
+            timing: Timeouts of the attempt.
+            apply_updates: Takes the JSON documents that arrived together, in order. Returns whether to
+                continue.
+        """
+        self._address = address
+        self._revision = revision
+        self._timing = timing
+        self._apply_updates = apply_updates
+        self._body = bytearray()  # received and not yet parsed as JSON
+        self._documents = JsonStreamParser(MAX_DOCUMENT_BYTES)
+
+    async def run(self) -> None:
+        """Receive updates until the response ends, is no stream of updates, or `apply_updates` ends it.
+
+        Raises:
+            OSError: The connection failed.
+            TimeoutError: Discovery did not respond, or was silent for SILENCE_TIMEOUT_S.
+            JsonStreamError: The response is not JSON.
+        """
+        loop = asyncio.get_running_loop()
+        async with asyncio.timeout(self._timing.connect_timeout_s) as deadline:
+            reader, writer = await asyncio.open_connection(*self._address)
+            deadline.reschedule(loop.time() + self._timing.response_timeout_s)
+            try:
+                writer.write(self._encode_request())
+                await self._read_updates(reader, deadline)
+            finally:
+                writer.transport.abort()
+
+    def _encode_request(self) -> bytes:
+        target = b"/v1/servers?stream=1&index=%d" % self._revision
+        request = http1.Request(b"GET", target, {}, b"", True)
+        host = "{}:{}".format(*self._address).encode()
+        return http1.encode_request(request, host, {})
+
+    async def _read_updates(self, reader: asyncio.StreamReader, deadline: asyncio.Timeout) -> None:
+        loop = asyncio.get_running_loop()
+        parser = http1.ResponseParser(self._body.extend)
+        is_accepted = False
+        try:
+            while data := await reader.read(READ_BYTES):
+                parser.feed(data)
+                received = self._documents.feed(bytes(self._body))
+                self._body.clear()
+                may_continue = not received.documents or self._apply_updates(received.documents)
+                # Only complete documents and empty lines keep the watch open: bytes that never complete a
+                # document don't.
+                is_head = parser.status == HTTPStatus.OK and not is_accepted
+                if received.documents or received.line_ends or is_head:
+                    is_accepted = True
+                    deadline.reschedule(loop.time() + timeouts.SILENCE_TIMEOUT_S)
+                if not may_continue or _has_ended(parser):
+                    return
+        finally:
+            parser.close()
+
+
+def _has_ended(parser: http1.ResponseParser) -> bool:
+    """Return whether the response is complete, or is none that can bring updates."""
+    is_error = parser.status not in (NO_STATUS, HTTPStatus.OK)
+    return parser.failed or parser.response is not None or is_error
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -11,7 +11,8 @@
 from anisespool.balancer.interface import DiscoveryMode, EndpointListKind
 from anisespool.config.platform import Address, ConfigError, PlatformConfig, PlatformConfigError
 from anisespool.config.platform_loader import read_discovery_address
-from anisespool.discovery.watch import EndpointWatch, watch_timing
+from anisespool.discovery.timeouts import watch_timing
+from anisespool.discovery.watch import EndpointWatch
 from anisespool.listener.server import Server
 from anisespool.log import log_event
 from anisespool.proxy.proxy import Proxy
--- a/tests/discovery/test_drains.py
+++ b/tests/discovery/test_drains.py
@@ -46,7 +46,7 @@
 
 
 def test_the_number_of_remembered_drains_is_bounded_and_the_oldest_is_dropped_first() -> None:
-    tracker = DrainTracker(max_entries=2)
+    tracker = DrainTracker(max_endpoints=2)
     for name in ("a", "b", "a", "c"):
         tracker.resolve(0, name, 5, GONE, 50)
     assert [tracker.resolve(1, name, 5, READY, 1) for name in ("a", "b", "c")] == [DRAINING, READY, DRAINING]
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -14,7 +14,8 @@
 
 from anisespool.config.platform import Address, EndpointList
 from anisespool.config.platform_loader import load_platform_config
-from anisespool.discovery import watch as discovery
+from anisespool.discovery import timeouts
+from anisespool.discovery.watch import EndpointWatch
 from anisespool.fakes import http1
 from anisespool.fakes.discovery import ScriptedDiscovery
 from anisespool.fakes.endpoint import Endpoint
@@ -27,7 +28,7 @@
 from tests.harness.waiting import wait_until
 from tests.support import SECOND, settings
 
-PUSHED = discovery.watch_timing(settings())
+PUSHED = timeouts.watch_timing(settings())
 ROW = member("s-0", Address("127.0.0.1", 7001))
 
 
@@ -52,7 +53,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """Behind each bad update, on its connection and in the same write, a valid one with a later revision."""
-    monkeypatch.setattr(discovery, "INVALID_UPDATE_BACKOFF_S", 0.02)
+    monkeypatch.setattr(timeouts, "INVALID_UPDATE_BACKOFF_S", 0.02)
     bad = [*INVALID_JSON, *(json.dumps(raw).encode() for raw in INVALID_UPDATES)]
     async with Endpoint().serve() as old, running_sidecar(tmp_path, old) as sidecar:
         watch = sidecar.discovery
@@ -98,10 +99,10 @@
 
 @asynccontextmanager
 async def watching(
-    folder: Path, address: Address, on_update: Callable[[EndpointList], None], timing: discovery.WatchTiming
-) -> AsyncIterator[discovery.EndpointWatch]:
+    folder: Path, address: Address, on_update: Callable[[EndpointList], None], timing: timeouts.WatchTiming
+) -> AsyncIterator[EndpointWatch]:
     names = load_platform_config(write_config(folder, address, [])).names
-    watch = discovery.EndpointWatch(address, names, 1, on_update, timing)
+    watch = EndpointWatch(address, names, 1, on_update, timing)
     task = asyncio.create_task(watch.run())
     try:
         yield watch
@@ -132,9 +133,9 @@
 
 @pytest.mark.parametrize("grace_s", [0.1, 0.25, 0.5, 1.0])
 def test_the_watch_reconnects_to_an_agent_within_the_drain_grace_period(grace_s: float) -> None:
-    timing = discovery.watch_timing(settings(guarantees__drain_grace_ns=int(grace_s * SECOND)))
-    assert timing.connect_timeout_s + timing.max_backoff_s <= max(grace_s, 2 * discovery.MIN_TIMEOUT_S)
-    assert discovery.watch_timing(settings(discovery="ask")) is discovery.POLL_TIMING
+    timing = timeouts.watch_timing(settings(guarantees__drain_grace_ns=int(grace_s * SECOND)))
+    assert timing.connect_timeout_s + timing.max_backoff_s <= max(grace_s, 2 * timeouts.MIN_TIMEOUT_S)
+    assert timeouts.watch_timing(settings(discovery="ask")) is timeouts.POLL_TIMING
 
 
 async def test_connecting_times_out_sooner_than_waiting_for_a_response(
@@ -151,7 +152,7 @@
 
     seen: list[int] = []
     monkeypatch.setattr(asyncio, "open_connection", connect_at_the_sixth_attempt)
-    timing = discovery.WatchTiming(0.01, 3600.0, 0.01)
+    timing = timeouts.WatchTiming(0.01, 3600.0, 0.01)
     async with (
         ScriptedDiscovery().serve() as service,
         watching(tmp_path, service.address, lambda update: seen.append(1), timing),
@@ -197,18 +198,18 @@
 
 
 @pytest.mark.parametrize("how", ["head", "nothing", "drips"])
-@pytest.mark.parametrize("timing", [PUSHED, discovery.POLL_TIMING])
+@pytest.mark.parametrize("timing", [PUSHED, timeouts.POLL_TIMING])
 async def test_an_update_arrives_in_time_although_the_second_watch_is_silent_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str, timing: discovery.WatchTiming
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str, timing: timeouts.WatchTiming
 ) -> None:
     """Calculated from the watch's timeouts, then run with a twentieth of each."""
     delivered_s = 6.0
     # The second watch gets the head of a response and no more, or nothing.
-    second_s = max(discovery.SILENCE_TIMEOUT_S, timing.connect_timeout_s + timing.response_timeout_s)
-    worst_s = discovery.SILENCE_TIMEOUT_S + second_s + 3 * discovery.INITIAL_BACKOFF_S
+    second_s = max(timeouts.SILENCE_TIMEOUT_S, timing.connect_timeout_s + timing.response_timeout_s)
+    worst_s = timeouts.SILENCE_TIMEOUT_S + second_s + 3 * timeouts.INITIAL_BACKOFF_S
     assert worst_s <= (1 - SPARE_FRACTION / 2) * delivered_s
-    assert discovery.SILENCE_TIMEOUT_S > 2.0
-    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", discovery.SILENCE_TIMEOUT_S / 20)
+    assert timeouts.SILENCE_TIMEOUT_S > 2.0
+    monkeypatch.setattr(timeouts, "SILENCE_TIMEOUT_S", timeouts.SILENCE_TIMEOUT_S / 20)
     seen: list[int] = []
     fast = timing._replace(response_timeout_s=timing.response_timeout_s / 20)
     silent = SilentDiscovery(how)
@@ -219,7 +220,7 @@
 
 async def test_a_silent_watch_is_opened_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A discovery that is cut off keeps its connection open; only its silence shows it."""
-    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(timeouts, "SILENCE_TIMEOUT_S", 0.1)
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         await wait_until(lambda: len(sidecar.discovery.connections) >= 2)
         assert (await sidecar.discovery.connections[0].reader.read()) == b""  # the old one is given up
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -15,7 +15,7 @@
 import pytest
 
 from anisespool.config.platform import Address
-from anisespool.discovery.watch import INITIAL_BACKOFF_S
+from anisespool.discovery.timeouts import INITIAL_BACKOFF_S
 from anisespool.fakes.endpoint import OK, Endpoint
 from anisespool.fakes.http1 import read_response
 from anisespool.fakes.platform import free_port, member
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -13,7 +13,7 @@
 import pytest
 
 from anisespool.config.platform import Address
-from anisespool.discovery import watch as discovery
+from anisespool.discovery import timeouts
 from anisespool.discovery.drains import DrainTracker
 from anisespool.fakes.discovery import ScriptedDiscovery
 from anisespool.fakes.endpoint import Endpoint
@@ -107,8 +107,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The failures of the old address have made the backoff longer than the endpoint list may be late."""
-    monkeypatch.setattr(discovery, "INITIAL_BACKOFF_S", 60.0)
-    monkeypatch.setattr(composition, "watch_timing", lambda settings: discovery.WatchTiming(60.0, 60.0, 60.0))
+    monkeypatch.setattr(timeouts, "INITIAL_BACKOFF_S", 60.0)
+    monkeypatch.setattr(composition, "watch_timing", lambda settings: timeouts.WatchTiming(60.0, 60.0, 60.0))
     new_list = ScriptedDiscovery()
     async with (
         Endpoint().serve() as endpoint,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -8,7 +8,7 @@
 import pytest
 
 from anisespool.backoff import Backoff
-from anisespool.discovery import watch
+from anisespool.discovery import timeouts
 from anisespool.records import recorder
 
 FAILURES = 12
@@ -65,15 +65,16 @@
         assert backoff.next_delay_s() == next(expected_s)
 
 
-@pytest.mark.parametrize("max_backoff_s", [0.05, 0.2, watch.POLL_TIMING.max_backoff_s, 60.0])
+@pytest.mark.parametrize("max_backoff_s", [0.05, 0.2, timeouts.POLL_TIMING.max_backoff_s, 60.0])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_endpoint_watch_has_its_bounds_to_the_digit(seed: int, max_backoff_s: float) -> None:
     """Also where updates that can't be applied, which have another maximum, come in between."""
     draws = Random(seed + 1000)
     invalid = [draws.random() < 0.5 for _ in range(FAILURES)]
     max_by_attempt_s = [2.0 if is_invalid else max_backoff_s for is_invalid in invalid]
-    backoff = Backoff(watch.INITIAL_BACKOFF_S, max_backoff_s, Random(seed))
+    backoff = Backoff(timeouts.INITIAL_BACKOFF_S, max_backoff_s, Random(seed))
     delays_s = [
-        backoff.next_delay_s(watch.INVALID_UPDATE_BACKOFF_S if is_invalid else None) for is_invalid in invalid
+        backoff.next_delay_s(timeouts.INVALID_UPDATE_BACKOFF_S if is_invalid else None)
+        for is_invalid in invalid
     ]
     assert delays_s == list(watch_delays_s(Random(seed), max_by_attempt_s))
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -89,6 +89,8 @@
     "balancer/timers.py",
     "control/generations.py",
     "discovery/drains.py",
+    "discovery/repeat_limit.py",
+    "discovery/timeouts.py",
     "listener/keepalive.py",
     "membership/anti_entropy.py",
     "membership/codec.py",
