--- a/anisespool/control/config_updater.py
+++ b/anisespool/control/config_updater.py
@@ -9,7 +9,7 @@
 from anisespool.config import operator
 from anisespool.config.operator import LiveConfig, OperatorConfig
 from anisespool.config.platform import Address, ConfigError, PlatformConfig
-from anisespool.control.errors import InvalidDocumentError, UpdateRejectedError
+from anisespool.control.errors import DamagedUpdateError, InvalidDocumentError, UpdateRejectedError
 from anisespool.control.generations import AppliedConfig, ApplyDecision, decide
 from anisespool.control.operator_drains import OperatorDrains
 from anisespool.control.requests import ApplyRequest, ValidateRequest
@@ -70,7 +70,8 @@
 
         Raises:
             InvalidDocumentError: the content is no valid configuration for this instance.
-            UpdateRejectedError: the update does not follow on the applied configuration, or is damaged.
+            DamagedUpdateError: the content does not have the digest of the update.
+            UpdateRejectedError: the update does not follow on the applied configuration.
             LastEndpointError: it would leave no endpoint to send to.
         """
         live, effective = self._parse(request.content)
@@ -78,6 +79,8 @@
         decision = decide(self.applied, update, operator.digest(live))
         if decision is ApplyDecision.ALREADY_APPLIED:
             return False
+        if decision is ApplyDecision.DIGEST_MISMATCH:
+            raise DamagedUpdateError(update)
         if decision is not ApplyDecision.APPLY:
             raise UpdateRejectedError(decision, self.applied, update)
         drained = frozenset(effective.endpoints.drained)
--- a/anisespool/control/connection.py
+++ b/anisespool/control/connection.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from anisespool.codec import http1
+from anisespool.control.answers import Answer, error_answer
 from anisespool.control.errors import RequestFramingError
-from anisespool.control.router import Answer, error_answer
 
 MAX_UNREAD_BYTES = 1024 * 1024  # of answers that a client does not read
 READ_BYTES = 65536
--- a/anisespool/control/errors.py
+++ b/anisespool/control/errors.py
@@ -1,6 +1,6 @@
-"""Errors of the control socket: one exception class for each kind.
+"""Errors of the control socket: one exception class for each kind, grouped by whose fault it is.
 
-`str(error)` is the text for the operator; scripts read these texts. `router.error_answer` gives each kind of
+`str(error)` is the text for the operator; scripts read these texts. `answers.error_answer` gives each kind of
 RequestError its HTTP status and its code.
 """
 
@@ -9,18 +9,36 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate, explain
+from anisespool.config.platform import ConfigError
+from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate
 from anisespool.control.routes import Route
 
 MAX_TEXT_CHARACTERS = 200  # of an error that quotes its sender
 MAX_PATH_CHARACTERS = 80
 MAX_NAMED_ENDPOINTS = 4
+SHORT_DIGEST_CHARACTERS = 8
 
 
 class ControlError(Exception):
     """Base of the errors of this package."""
 
 
+@dataclass(eq=False)
+class DirectoryError(ConfigError):
+    """The operator's fault: a directory that the operator's file names can't hold what it is for.
+
+    Attributes:
+        key: The file's key that names it.
+        problem: What is wrong.
+    """
+
+    key: str
+    problem: str
+
+    def __str__(self) -> str:
+        return f"{self.key}: {self.problem}"
+
+
 @dataclass(eq=False)
 class AlreadyLockedError(ControlError):
     """Another living process holds the lock of the file `path`."""
@@ -42,16 +60,28 @@
 
 
 class RequestError(ControlError):
-    """A control request that is answered with an error."""
+    """A control request that is answered with an error. Raised by its subclasses only."""
+
+
+class InvalidRequestError(RequestError):
+    """The client's fault: the request is wrong, whatever state the instance is in."""
+
+
+class StateConflictError(RequestError):
+    """Nobody's fault: the request is valid, and contradicts the state that the instance is in."""
+
+
+class InstanceFaultError(RequestError):
+    """The instance's fault: the request may be valid, and could not be carried out."""
 
 
 @dataclass(eq=False)
-class RequestFramingError(RequestError):
+class RequestFramingError(InvalidRequestError):
     """The bytes received are no HTTP request, or one over the limits.
 
     Attributes:
-        status: the parser's verdict, 400 or 413.
-        max_body_bytes: the limit of a request's body.
+        status: 400, or 413 for a body over the limit.
+        max_body_bytes: Largest body of a request.
     """
 
     status: int
@@ -62,7 +92,7 @@
 
 
 @dataclass(eq=False)
-class MalformedBodyError(RequestError):
+class MalformedBodyError(InvalidRequestError):
     """The body is not a JSON object."""
 
     reason: str
@@ -72,7 +102,7 @@
 
 
 @dataclass(eq=False)
-class UnknownVerbError(RequestError):
+class UnknownVerbError(InvalidRequestError):
     """No handler for this method and path."""
 
     route: Route
@@ -84,7 +114,7 @@
 
 
 @dataclass(eq=False)
-class InvalidFieldError(RequestError):
+class InvalidFieldError(InvalidRequestError):
     """A field of the body is missing, of the wrong type or out of range.
 
     Attributes:
@@ -104,7 +134,7 @@
 
 
 @dataclass(eq=False)
-class InvalidDocumentError(RequestError):
+class InvalidDocumentError(InvalidRequestError):
     """The content of an update is no valid configuration for this instance."""
 
     reason: str
@@ -114,20 +144,47 @@
 
 
 @dataclass(eq=False)
-class UpdateRejectedError(RequestError):
-    """A valid update that does not follow on the applied configuration, or was damaged on its way."""
+class DamagedUpdateError(InvalidRequestError):
+    """The content of an update does not have the digest that its sender computed."""
+
+    update: ConfigUpdate
+
+    def __str__(self) -> str:
+        return f"the content does not match its digest {_short(self.update.digest)}"
+
+
+@dataclass(eq=False)
+class UpdateRejectedError(StateConflictError):
+    """A valid update that does not follow on the applied configuration.
+
+    Attributes:
+        decision: STALE, CONFLICT or BASE_MISMATCH.
+        applied: The configuration in force, which stays.
+        update: The rejected update.
+    """
 
     decision: ApplyDecision
     applied: AppliedConfig
     update: ConfigUpdate
 
     def __str__(self) -> str:
-        return explain(self.decision, self.applied, self.update)
+        current = f"has generation {self.applied.generation} ({_short(self.applied.digest)})"
+        match self.decision:
+            case ApplyDecision.STALE:
+                return f"{current}, generation {self.update.generation} is older"
+            case ApplyDecision.CONFLICT:
+                return f"{current}, another document of that generation was offered"
+            case _:
+                return f"{current}, the document was made for {_short(self.update.base)}"
 
 
 @dataclass(eq=False)
-class StaleDrainRevisionError(RequestError):
-    """The fleet's drains with a revision that is not newer than the applied one."""
+class StaleDrainRevisionError(StateConflictError):
+    """The fleet's drains with a revision that is not newer than the applied one.
+
+    Attributes:
+        revision: The applied one.
+    """
 
     revision: int
 
@@ -136,7 +193,7 @@
 
 
 @dataclass(eq=False)
-class LastEndpointError(RequestError):
+class LastEndpointError(StateConflictError):
     """Draining `endpoints` would leave none to send to, and `force` is not set."""
 
     endpoints: frozenset[str]
@@ -147,7 +204,7 @@
 
 
 @dataclass(eq=False)
-class TooManyDrainsError(RequestError):
+class TooManyDrainsError(StateConflictError):
     """More endpoints drained by hand than `limit`."""
 
     limit: int
@@ -157,12 +214,12 @@
 
 
 @dataclass(eq=False)
-class DrainedElsewhereError(RequestError):
+class DrainedElsewhereError(StateConflictError):
     """The endpoint can't be undrained by hand: the agent or the configuration drains it.
 
     Attributes:
         endpoint: its id.
-        source: who drains it.
+        source: What drains it, in words for the operator.
     """
 
     endpoint: str
@@ -172,8 +229,13 @@
         return f"{self.endpoint} is drained by {self.source}, not by hand here: end it there"
 
 
-class HandlerFailedError(RequestError):
+class HandlerFailedError(InstanceFaultError):
     """A handler raised an unexpected exception, which is in the log."""
 
     def __str__(self) -> str:
         return "see the instance's log"
+
+
+def _short(digest: str) -> str:
+    """Return the part of a digest that error texts have."""
+    return digest[:SHORT_DIGEST_CHARACTERS]
--- a/anisespool/control/generations.py
+++ b/anisespool/control/generations.py
@@ -11,7 +11,7 @@
 
 
 class AppliedConfig(NamedTuple):
-    """The configuration that an instance has applied (a tuple: the explorer hashes and sorts many).
+    """The configuration that an instance has applied (a tuple: the lab's explorer hashes and sorts many).
 
     Attributes:
         generation: 0 while it runs on its own file alone, as it was started.
@@ -23,7 +23,7 @@
 
 
 class ConfigUpdate(NamedTuple):
-    """A configuration update as its sender describes it, without the content.
+    """The header of a configuration update, without its content.
 
     Attributes:
         generation: the generation that applying it makes.
@@ -44,11 +44,17 @@
     STALE = "older"  # of a generation before the applied one
     CONFLICT = "conflict"  # another document under the applied generation
     BASE_MISMATCH = "base"  # made to replace another configuration than the applied one
-    DIGEST_MISMATCH = "damaged"  # the content is not what its digest says
+    DIGEST_MISMATCH = "damaged"  # the content has another digest than the sender computed
 
 
 def decide(applied: AppliedConfig, update: ConfigUpdate, computed_digest: str) -> ApplyDecision:
-    """Decide what to do with `update`, whose content as received has the digest `computed_digest`."""
+    """Decide what to do with an update.
+
+    Args:
+        applied: The configuration in force.
+        update: Header of the update.
+        computed_digest: Digest of its content as received.
+    """
     if update.digest != computed_digest:
         return ApplyDecision.DIGEST_MISMATCH
     if update.generation == applied.generation:
@@ -57,16 +63,3 @@
     if update.generation < applied.generation:
         return ApplyDecision.STALE
     return ApplyDecision.APPLY if update.base == applied.digest else ApplyDecision.BASE_MISMATCH
-
-
-def explain(decision: ApplyDecision, applied: AppliedConfig, update: ConfigUpdate) -> str:
-    """Return one line about `decision` for the sender of the update. Scripts read these texts."""
-    current = f"has generation {applied.generation} ({applied.digest[:8]})"
-    return {
-        ApplyDecision.APPLY: f"takes generation {update.generation}",
-        ApplyDecision.ALREADY_APPLIED: f"{current} already",
-        ApplyDecision.STALE: f"{current}, generation {update.generation} is older",
-        ApplyDecision.CONFLICT: f"{current}, another document of that generation was offered",
-        ApplyDecision.BASE_MISMATCH: f"{current}, the document was made for {update.base[:8]}",
-        ApplyDecision.DIGEST_MISMATCH: f"the content does not match its digest {update.digest[:8]}",
-    }[decision]
--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -15,6 +15,7 @@
 from anisespool.control.requests import RequestBody
 from anisespool.control.responses import Changed, JsonObject, Validated, json_object
 from anisespool.control.router import Handler
+from anisespool.control.routes import Route
 from anisespool.proxy.event_log import ShutdownRequested
 from anisespool.proxy.observed import ObservedProxy
 from anisespool.proxy.runtime_controls import RuntimeControls
@@ -24,7 +25,7 @@
     """The handlers of one instance.
 
     Attributes:
-        routes: handlers by method and path; other subsystems may add theirs.
+        routes: handlers by verb; other subsystems may add theirs.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._drains = OperatorDrains(proxy, frozenset(operator_config.endpoints.drained))
         self._config_updater = ConfigUpdater(config, operator_config, proxy, controls, self._drains)
         self._inspector = Inspector(config, proxy, controls, self._config_updater, self._drains)
-        self.routes: dict[tuple[str, str], Handler] = {
+        self.routes: dict[Route, Handler] = {
             routes.GET_STATE: self._get_state,
             routes.DESCRIBE: self._describe,
             routes.GET_EVENTS: self._get_events,
--- a/anisespool/sidecar/optional_features.py
+++ b/anisespool/sidecar/optional_features.py
@@ -70,6 +70,7 @@
             await self.recorder.close()
 
     def _start_control(self, controls: SidecarControls) -> list[asyncio.Task[None]]:
+        from anisespool.control import routes
         from anisespool.control.handlers import ControlHandlers
         from anisespool.control.server import serve
         from anisespool.control.socket_directory import prepare_directory
@@ -78,7 +79,7 @@
         handlers = ControlHandlers(self._config, self._operator_config, self.proxy, controls)
         membership = self._membership
         if membership:
-            handlers.routes["GET", "/v1/peers"] = lambda body: membership.describe()
+            handlers.routes[routes.LIST_MEMBERS] = lambda body: membership.describe()
         options = self._operator_config.control
         if options is None:
             return []
--- a/tests/control/test_router.py
+++ b/tests/control/test_router.py
@@ -6,15 +6,17 @@
 
 from anisespool.codec import http1
 from anisespool.control import errors
+from anisespool.control.answers import ERROR_CODES
 from anisespool.control.requests import RequestBody
 from anisespool.control.responses import JsonObject
-from anisespool.control.router import ERROR_CODES, respond
+from anisespool.control.router import respond
+from anisespool.control.routes import Route
 
 REQUEST = http1.Request(b"POST", b"/v1/verb?ignored=1", {}, b'{"key": 1}', keep_alive=True)
 
 
 def test_a_handler_gets_the_decoded_body_and_its_answer_starts_with_the_version() -> None:
-    status, answer = respond({("POST", "/v1/verb"): lambda body: {"body": body}}, REQUEST)
+    status, answer = respond({Route("POST", "/v1/verb"): lambda body: {"body": body}}, REQUEST)
     assert (status, list(answer.items())) == (200, [("version", 1), ("body", {"key": 1})])
 
 
@@ -22,7 +24,7 @@
     def fail(body: RequestBody) -> JsonObject:
         raise KeyError("key")
 
-    status, answer = respond({("POST", "/v1/verb"): fail}, REQUEST)
+    status, answer = respond({Route("POST", "/v1/verb"): fail}, REQUEST)
     assert status == 500
     assert answer == {"version": 1, "error": {"code": "fault", "text": "see the instance's log"}}
     lines = capsys.readouterr().err.splitlines()
@@ -32,4 +34,5 @@
 
 def test_every_error_has_a_status_and_a_code() -> None:
     by_instance = {errors.RequestFramingError, errors.UpdateRejectedError}  # depend on their fields
-    assert set(ERROR_CODES) | by_instance == set(errors.RequestError.__subclasses__())
+    groups = errors.RequestError.__subclasses__()
+    assert set(ERROR_CODES) | by_instance == {kind for group in groups for kind in group.__subclasses__()}
