--- a/anisespool/control/inspection.py
+++ b/anisespool/control/inspection.py
@@ -1,4 +1,4 @@
-"""What an instance shows of itself over the control socket. Nothing here changes anything."""
+"""State and description of an instance, as the control socket shows them. Read only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,6 @@
 
 from anisespool import __version__
 from anisespool.balancer.inspection import EndpointView, describe_settings
-from anisespool.balancer.interface import EndpointState
 from anisespool.config import operator
 from anisespool.config.clock import wall_ns
 from anisespool.config.platform import PlatformConfig
@@ -16,7 +15,9 @@
 from anisespool.control.operator_drains import OperatorDrains
 from anisespool.control.responses import (
     EndpointDescription,
+    EndpointStateName,
     InstanceDescription,
+    InstancePhase,
     InstanceState,
     JsonObject,
     json_object,
@@ -24,8 +25,9 @@
 from anisespool.proxy.observed import ObservedProxy
 from anisespool.proxy.runtime_controls import RuntimeControls
 
+BOOT_ID_CHARACTERS = 16
 MAX_DESCRIBED_ENDPOINTS = 256  # the others are only counted
-DESCRIPTION_MAX_AGE_NS = 100_000_000  # cached so long: a client that polls fast costs requests nothing
+DESCRIPTION_MAX_AGE_NS = 100_000_000  # of a cached one: a client that polls fast must not slow requests down
 
 
 class Inspector:
@@ -44,7 +46,7 @@
         drains: OperatorDrains,
     ) -> None:
         """Count the uptime from here."""
-        self.boot = uuid4().hex[:16]
+        self.boot = uuid4().hex[:BOOT_ID_CHARACTERS]
         self._config = config
         self._proxy = proxy
         self._controls = controls
@@ -66,7 +68,7 @@
             build=__version__,
             started_ms=self._started_ms,
             uptime_s=round((time.monotonic_ns() - self._started_ns) / 1e9, 3),
-            phase=self._controls.phase,
+            phase=InstancePhase(self._controls.phase),
             generation=self._config_updater.applied.generation,
             digest=self._config_updater.applied.digest,
             drained=sorted(drains.sources.all),
@@ -78,8 +80,8 @@
     def description(self) -> JsonObject:
         """Return InstanceDescription as JSON: cached for DESCRIPTION_MAX_AGE_NS, but not beyond a drain."""
         now_ns = time.monotonic_ns()
-        too_old = now_ns - self._described_ns >= DESCRIPTION_MAX_AGE_NS
-        if too_old or self._described_publication != self._drains.publications:
+        is_expired = now_ns - self._described_ns >= DESCRIPTION_MAX_AGE_NS
+        if is_expired or self._described_publication != self._drains.publications:
             self._description = json_object(self._describe(now_ns))
             self._described_ns = now_ns
             self._described_publication = self._drains.publications
@@ -113,8 +115,8 @@
         return EndpointDescription(
             id=endpoint_id,
             address=listed.address,
-            listed=listed.state,
-            state=EndpointState(view.state).name.lower(),
+            listed=EndpointStateName(listed.state),
+            state=EndpointStateName.of(view.state),
             drained_by="+".join(source.value for source in sources),
             weight=round(view.weight, 4),
             slowdown=round(view.slowdown, 3),
--- a/anisespool/control/operator_drains.py
+++ b/anisespool/control/operator_drains.py
@@ -1,4 +1,4 @@
-"""Which endpoints are drained by the operator, whoever asked for it."""
+"""Which endpoints the operator drains: by the configuration, by the agent, or by hand at this instance."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DrainSource(Enum):
-    """Who drains an endpoint. The values are shown on the control socket."""
+    """What drains an endpoint. The values are those on the control socket."""
 
     DOCUMENT = "document"
     FLEET = "fleet"
--- a/anisespool/control/responses.py
+++ b/anisespool/control/responses.py
@@ -5,11 +5,35 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
-JsonObject = dict[str, Any]
+from anisespool.balancer.interface import EndpointState
+
+JsonObject = dict[str, Any]  # JSON as it goes on the socket; nothing decides by it
+
+
+class InstancePhase(StrEnum):
+    """What an instance does at the moment. The values are those on the socket."""
+
+    STARTING = "starting"  # no endpoint list yet
+    SERVING = "serving"
+    DRAINING = "draining"  # graceful shutdown
+
+
+class EndpointStateName(StrEnum):
+    """The names that the socket has for the states of an endpoint (`balancer.interface.EndpointState`)."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+    @classmethod
+    def of(cls, state: int) -> EndpointStateName:
+        """Return the name of an EndpointState."""
+        return cls[EndpointState(state).name]
 
 
 class InstanceState(msgspec.Struct, frozen=True, kw_only=True):
@@ -21,10 +45,10 @@
     build: str
     started_ms: int  # Unix time
     uptime_s: float
-    phase: str  # `starting`, `serving` or `draining`
+    phase: InstancePhase
     generation: int
     digest: str
-    drained: list[str]  # endpoint ids, whoever drains them
+    drained: list[str]  # endpoint ids, by any source
     drained_by_hand: list[str] = msgspec.field(name="drained_here")
     drained_by_fleet: list[str] = msgspec.field(name="drained_fleet")
     drains_revision: int  # of the fleet's drains
@@ -35,12 +59,12 @@
 
     id: str
     address: str
-    listed: str  # state in the endpoint list as received
-    state: str  # state that the balancer works with
+    listed: EndpointStateName  # in the endpoint list as received
+    state: EndpointStateName  # in the balancer, with drains
     drained_by: str = msgspec.field(name="drained")  # sources joined by `+`; empty: not drained
-    weight: float = msgspec.field(name="odds")  # share of the next picks, 0 to 1
-    slowdown: float  # recent response time over the usual one
-    queue: float  # requests that wait there, by its last load report
+    weight: float = msgspec.field(name="odds")  # share of the next attempts, 0 to 1
+    slowdown: float  # ratio: recent latency over the typical one
+    queue: float  # requests queued there, by its last load report
     in_flight: int = msgspec.field(name="open")  # attempts of this sidecar
     warmup_left_s: float = msgspec.field(name="cold_s")
     idle: int  # connections
@@ -51,8 +75,8 @@
     """`GET /v1/describe`, after the fields of InstanceState."""
 
     listen: str
-    open_requests: int = msgspec.field(name="open")
-    queueing_ratio: float = msgspec.field(name="strain")
+    open_requests: int = msgspec.field(name="open")  # without a final response
+    queueing_ratio: float = msgspec.field(name="strain")  # 0 to 1
     clients: dict[str, int]  # connections of the application
     settings: JsonObject  # the platform's, as applied
     classes: dict[str, dict[str, int]]  # final answers by request class and outcome
--- a/tests/control/test_inspection.py
+++ b/tests/control/test_inspection.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+from anisespool.balancer.interface import EndpointState
+from anisespool.control.responses import EndpointStateName
 from anisespool.fakes import platform
 from anisespool.proxy import event_log
 from tests.control.conftest import StartSidecar
@@ -104,3 +106,8 @@
     assert (first["dropped"], len(first["events"]), first["next"]) == (50, 300, 350)
     assert events.after(first["next"])["dropped"] == 0
     assert events.after(10**9)["events"] == []
+
+
+def test_every_state_of_an_endpoint_has_its_name_on_the_socket() -> None:
+    names = [EndpointStateName.of(state) for state in EndpointState]
+    assert names == ["gone", "ready", "draining"]
