--- a/anisespool/control/server.py
+++ b/anisespool/control/server.py
@@ -20,22 +20,22 @@
 START_RETRY_S = 0.5
 
 
-async def serve(directory: Path, instance: str, settings: ControlOptions, routes: Routes) -> None:
+async def serve(directory: Path, instance: str, options: ControlOptions, routes: Routes) -> None:
     """Serve the control socket of `instance` in `directory` until cancelled.
 
-    At a restart the old process may still be draining under this name. Its end is waited for here;
-    requests of the application never wait for it.
+    At a restart the old process may still be draining under this name. Only this socket waits for its end,
+    requests of the application don't.
     """
-    with closing(await _start(directory, instance, settings, routes)):
+    with closing(await _start(directory, instance, options, routes)):
         await asyncio.Event().wait()
 
 
-async def _start(directory: Path, instance: str, settings: ControlOptions, routes: Routes) -> ControlServer:
+async def _start(directory: Path, instance: str, options: ControlOptions, routes: Routes) -> ControlServer:
     """Return the listening server as soon as the instance's name is free."""
     logged = False
     while True:
         try:
-            return ControlServer(InstanceSocket(directory, instance), settings, routes)
+            return ControlServer(InstanceSocket(directory, instance), options, routes)
         except (InstanceNameInUseError, ConfigError, OSError) as error:
             if not logged:
                 log_event("control_socket_unavailable", error=error, retry_s=START_RETRY_S)
@@ -46,9 +46,9 @@
 class ControlServer:
     """Accepts clients from its creation until it is closed; needs a running loop."""
 
-    def __init__(self, instance_socket: InstanceSocket, settings: ControlOptions, routes: Routes) -> None:
+    def __init__(self, instance_socket: InstanceSocket, options: ControlOptions, routes: Routes) -> None:
         self._instance_socket = instance_socket
-        self._settings = settings
+        self._options = options
         self._respond = partial(respond, routes)
         self._connections: set[ClientConnection] = set()
         self._listener = instance_socket.listen()
@@ -66,13 +66,13 @@
         except OSError as error:
             self._pause_accepting(error)
             return
-        allowed = peer_uid(sock) in (os.geteuid(), 0)
-        if not allowed or len(self._connections) >= self._settings.max_connections:
+        is_allowed = peer_uid(sock) in (os.geteuid(), 0)  # of this user or root
+        if not is_allowed or len(self._connections) >= self._options.max_connections:
             sock.close()
             return
         sock.setblocking(False)
         connection = ClientConnection(
-            sock, self._settings.idle_timeout_s, self._respond, on_closed=self._connections.discard
+            sock, self._options.idle_timeout_s, self._respond, on_closed=self._connections.discard
         )
         self._connections.add(connection)
 
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -14,18 +14,22 @@
 import struct
 from pathlib import Path
 
-from anisespool.config.platform import ConfigError
-from anisespool.control.errors import AlreadyLockedError, InstanceNameInUseError
+from anisespool.config.platform import PlatformConfigError
+from anisespool.control.errors import AlreadyLockedError, DirectoryError, InstanceNameInUseError
 
+CONTROL_DIRECTORY_KEY = "control.folder"
+DIRECTORY_MODE = 0o700
+FILE_MODE = 0o600
+OTHERS_MODE = 0o077  # bits of group and others
 SOCKET_SUFFIX = ".sock"
 LOCK_SUFFIX = ".lock"
 INSTANCE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 MAX_SOCKET_PATH_BYTES = 107  # unix(7): sun_path less its terminating null byte
-LISTEN_BACKLOG = 16
+MAX_PENDING_CONNECTIONS = 16  # not accepted yet
 UCRED = struct.Struct("3i")  # pid, uid, gid: unix(7), SO_PEERCRED
 
 
-def prepare_directory(folder: str, key: str = "control.folder") -> Path:
+def prepare_directory(folder: str, key: str = CONTROL_DIRECTORY_KEY) -> Path:
     """Return the directory `folder`, created with mode 0700 if it is missing.
 
     Args:
@@ -33,19 +37,19 @@
         key: the key of the operator's file that names it, for the error.
 
     Raises:
-        ConfigError: it is no directory, can't be created, or others than this user can enter it.
+        DirectoryError: it is no directory, can't be created, or others than this user can enter it.
     """
     directory = Path(folder)
     try:
-        directory.mkdir(mode=0o700, parents=True, exist_ok=True)
+        directory.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
         status = directory.stat()
     except OSError as error:
-        raise ConfigError(f"{key}: {folder}: {error.strerror}") from None
+        raise DirectoryError(key, f"{folder}: {error.strerror}") from None
     if not stat.S_ISDIR(status.st_mode):
-        raise ConfigError(f"{key}: {folder} is no folder")
-    if status.st_uid != os.geteuid() or status.st_mode & 0o077:
+        raise DirectoryError(key, f"{folder} is no folder")
+    if status.st_uid != os.geteuid() or status.st_mode & OTHERS_MODE:
         mode = stat.S_IMODE(status.st_mode)
-        raise ConfigError(f"{key}: {folder}: found mode {mode:04o}, wanted 0700 and the same user")
+        raise DirectoryError(key, f"{folder}: found mode {mode:04o}, wanted 0700 and the same user")
     return directory
 
 
@@ -58,7 +62,7 @@
         AlreadyLockedError: another process has the lock.
         OSError: the file can't be opened.
     """
-    descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
@@ -78,18 +82,21 @@
         """Lock the name `instance` in `directory`.
 
         Raises:
-            ConfigError: the name or the path can't be a socket's, or the directory can't be written.
+            PlatformConfigError: the name can't be a socket's.
+            DirectoryError: the path is too long, or the directory can't be written.
             InstanceNameInUseError: another living process has the name.
         """
         if not INSTANCE_NAME.fullmatch(instance):
-            raise ConfigError(f"LB_NAME: {instance!r} can't name a socket, wanted letters, digits, . _ -")
+            problem = f"{instance!r} can't name a socket, wanted letters, digits, . _ -"
+            raise PlatformConfigError("LB_NAME", problem)
         self.path = directory / f"{instance}{SOCKET_SUFFIX}"
         if len(os.fsencode(self.path)) > MAX_SOCKET_PATH_BYTES:
-            raise ConfigError(f"control.folder: {self.path} is longer than {MAX_SOCKET_PATH_BYTES} bytes")
+            problem = f"{self.path} is longer than {MAX_SOCKET_PATH_BYTES} bytes"
+            raise DirectoryError(CONTROL_DIRECTORY_KEY, problem)
         try:
             self._lock = acquire_lock(directory / f"{instance}{LOCK_SUFFIX}")
         except OSError as error:
-            raise ConfigError(f"control.folder: {directory}: {error.strerror}") from None
+            raise DirectoryError(CONTROL_DIRECTORY_KEY, f"{directory}: {error.strerror}") from None
         except AlreadyLockedError as error:
             raise InstanceNameInUseError(error.path, instance) from None
 
@@ -99,8 +106,8 @@
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         listener.setblocking(False)
         listener.bind(str(self.path))
-        self.path.chmod(0o600)
-        listener.listen(LISTEN_BACKLOG)
+        self.path.chmod(FILE_MODE)
+        listener.listen(MAX_PENDING_CONNECTIONS)
         return listener
 
     def release(self) -> None:
