--- a/anisespool/config/__init__.py
+++ b/anisespool/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as frozen, checked types: the platform's (`platform`) and the operator's (`operator`)."""
+"""Configuration as frozen, checked types: the platform's and the operator's, and the wall clock."""
--- /dev/null
+++ b/anisespool/config/platform/__init__.py
@@ -0,0 +1,23 @@
+"""The platform's configuration and endpoint list as frozen, checked types.
+
+`config/platform_loader.py` reads them from the environment and the configuration file; discovery's watch
+parses each update of the endpoint list by the same `NameIndex`.
+"""
+
+from anisespool.config.platform.address import Address
+from anisespool.config.platform.endpoint_list import EndpointEntry, EndpointList, parse_endpoint_list
+from anisespool.config.platform.errors import ConfigError, PlatformConfigError
+from anisespool.config.platform.names import NameIndex
+from anisespool.config.platform.platform_config import PeerAddresses, PlatformConfig
+
+__all__ = [
+    "Address",
+    "ConfigError",
+    "EndpointEntry",
+    "EndpointList",
+    "NameIndex",
+    "PeerAddresses",
+    "PlatformConfig",
+    "PlatformConfigError",
+    "parse_endpoint_list",
+]
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -10,7 +10,7 @@
 
 from anisespool.backoff import Backoff
 from anisespool.codec.json_stream import JsonStreamError
-from anisespool.config.platform import Address, EndpointList, NameIndex
+from anisespool.config.platform import Address, EndpointList, NameIndex, parse_endpoint_list
 from anisespool.discovery import timeouts
 from anisespool.discovery.repeat_limit import RepeatLimit
 from anisespool.discovery.timeouts import WatchTiming
@@ -119,7 +119,7 @@
         """
         update: EndpointList | None = None
         try:
-            update = self._names.parse_endpoint_list(document)
+            update = parse_endpoint_list(document, self._names)
             fault = "; ".join(update.faults)
             self._on_update(update)
         except ValueError as error:
--- a/tests/config/test_platform_config.py
+++ b/tests/config/test_platform_config.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from anisespool.config.platform import Address, ConfigError
+from anisespool.config.platform import Address, ConfigError, parse_endpoint_list
 from anisespool.config.platform_loader import load_platform_config
 from anisespool.fakes.platform import member
 from tests.harness.platform_config import NO_LISTENER, write_config
@@ -82,8 +82,9 @@
 def test_equal_start_times_stay_equal_and_an_unknown_one_is_long_ago(tmp_path: Path) -> None:
     names = load_platform_config(write_config(tmp_path, NO_LISTENER, [])).names
     lists = [
-        names.parse_endpoint_list(
-            {"revision": 1, "complete": True, "members": [member("a", NO_LISTENER, up_since_ms=start_ms)]}
+        parse_endpoint_list(
+            {"revision": 1, "complete": True, "members": [member("a", NO_LISTENER, up_since_ms=start_ms)]},
+            names,
         )
         for start_ms in (START_MS, START_MS, 0)
     ]
--- a/tests/proxy/test_request_lifecycle.py
+++ b/tests/proxy/test_request_lifecycle.py
@@ -8,6 +8,7 @@
 import pytest
 
 from anisespool.balancer import interface as api
+from anisespool.config.platform import parse_endpoint_list
 from anisespool.config.platform_loader import load_platform_config
 from anisespool.fakes.endpoint import Endpoint
 from anisespool.fakes.platform import member, member_list
@@ -109,7 +110,7 @@
         harness.start_request()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
         config = load_platform_config(write_config(tmp_path, endpoint.address, []))
-        harness.proxy.update_endpoints(config.names.parse_endpoint_list(raw))
+        harness.proxy.update_endpoints(parse_endpoint_list(raw, config.names))
         first, second = harness.balancer.events[-2:]
         assert isinstance(first, api.EndpointListUpdate)
         assert isinstance(second, api.AttemptOutcome)
