--- a/anisespool/config/operator/__init__.py
+++ b/anisespool/config/operator/__init__.py
@@ -16,7 +16,12 @@
     UnixDestination,
     parse_destination,
 )
-from anisespool.config.operator.errors import OperatorConfigError, OperatorSyntaxError
+from anisespool.config.operator.errors import (
+    OperatorConfigError,
+    OperatorSyntaxError,
+    UnknownClassError,
+    UnknownTenantError,
+)
 from anisespool.config.operator.parsing import (
     MAX_DOCUMENT_BYTES,
     parse_live_config,
@@ -24,7 +29,7 @@
     parse_toml,
     read_operator_config,
 )
-from anisespool.config.operator.record_sections import ClassSampling, RecordOptions, SamplingOptions
+from anisespool.config.operator.record_sections import ClassSampling, Framing, RecordOptions, SamplingOptions
 from anisespool.config.operator.schema import LIVE_SECTIONS, LiveConfig, OperatorConfig
 from anisespool.config.operator.sections import (
     MAX_DRAINED_ENDPOINTS,
@@ -36,7 +41,8 @@
     MembershipOptions,
     TenantOptions,
 )
-from anisespool.config.operator.validation import validate_sampled_classes
+from anisespool.config.operator.tables import Tables
+from anisespool.config.operator.validation import validate_sampled_classes, validate_tenants
 
 __all__ = [
     "LIVE_SECTIONS",
@@ -50,6 +56,7 @@
     "DestinationError",
     "DiscoveryOptions",
     "EndpointOptions",
+    "Framing",
     "LiveConfig",
     "MembershipOptions",
     "NetworkDestination",
@@ -58,9 +65,12 @@
     "OperatorSyntaxError",
     "RecordOptions",
     "SamplingOptions",
+    "Tables",
     "TenantOptions",
     "Transport",
     "UnixDestination",
+    "UnknownClassError",
+    "UnknownTenantError",
     "canonical_json",
     "digest",
     "parse_destination",
@@ -70,4 +80,5 @@
     "read_operator_config",
     "to_tables",
     "validate_sampled_classes",
+    "validate_tenants",
 ]
--- a/anisespool/config/operator/canonical.py
+++ b/anisespool/config/operator/canonical.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import hashlib
-from typing import Any
 
 import msgspec
 
 from anisespool.config.operator.schema import LiveConfig, OperatorConfig
+from anisespool.config.operator.tables import Tables
 
 DIGEST_CHARACTERS = 32
 
@@ -22,7 +22,7 @@
     return hashlib.sha256(canonical_json(live)).hexdigest()[:DIGEST_CHARACTERS]
 
 
-def to_tables(config: LiveConfig | OperatorConfig) -> dict[str, Any]:
-    """Return plain tables with the file's keys, for JSON answers."""
-    tables: dict[str, Any] = msgspec.to_builtins(config)
+def to_tables(config: LiveConfig | OperatorConfig) -> Tables:
+    """Return the sections as tables, for JSON answers."""
+    tables: Tables = msgspec.to_builtins(config)
     return tables
--- a/anisespool/config/operator/errors.py
+++ b/anisespool/config/operator/errors.py
@@ -1,4 +1,4 @@
-"""Errors in the operator's configuration, and the conversion of msgspec's errors to them.
+"""Errors in the operator's configuration, which are the operator's fault, and msgspec's converted to them.
 
 Each is one line that names the source (a file, or a document), the key, what was found and what was wanted.
 """
@@ -6,13 +6,16 @@
 from __future__ import annotations
 
 import re
-from typing import Any
+from collections.abc import Collection
+from typing import Any, ClassVar
 
 import msgspec
 
+from anisespool.config.operator.tables import Tables
 from anisespool.config.platform import ConfigError
 
 MAX_VALUE_CHARACTERS = 60
+MAX_CLASS_ERROR_CHARACTERS = 400
 
 
 class OperatorSyntaxError(ConfigError):
@@ -48,9 +51,38 @@
         self.wanted = wanted
 
 
-def from_validation_error(
-    error: msgspec.ValidationError, tables: dict[str, Any], source: str
-) -> OperatorConfigError:
+class UnknownClassError(OperatorConfigError):
+    """A request class of the file is none of the platform's; the text is cut, as it lists all classes.
+
+    Attributes:
+        name: The unknown class.
+    """
+
+    def __init__(self, source: str, name: str, classes: Collection[str]) -> None:
+        wanted = f"one of {', '.join(classes)}"
+        super().__init__(source, f"sampling.classes.{name}", "no such class", wanted)
+        self.name = name
+
+    def __str__(self) -> str:
+        return super().__str__()[:MAX_CLASS_ERROR_CHARACTERS]
+
+
+class UnknownTenantError(OperatorConfigError):
+    """A tenant of the file is none of the platform's; the text names a few of those.
+
+    Attributes:
+        name: The unknown tenant.
+    """
+
+    MAX_NAMED_TENANTS: ClassVar[int] = 8
+
+    def __init__(self, source: str, name: str, tenants: Collection[str]) -> None:
+        named = ", ".join(sorted(tenants)[: self.MAX_NAMED_TENANTS]) or "none"
+        super().__init__(source, f"members.{name}", "no such member", f"one of {named}")
+        self.name = name
+
+
+def from_validation_error(error: msgspec.ValidationError, tables: Tables, source: str) -> OperatorConfigError:
     """Return msgspec's error as one that also shows the value found.
 
     Args:
--- a/anisespool/config/operator/parsing.py
+++ b/anisespool/config/operator/parsing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import tomllib
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -14,9 +14,10 @@
     from_validation_error,
 )
 from anisespool.config.operator.schema import LIVE_SECTIONS, LiveConfig, OperatorConfig
+from anisespool.config.operator.tables import Tables
 from anisespool.config.operator.validation import validate_live_sections, validate_operator_config
 
-MAX_DOCUMENT_BYTES = 64 * 1024  # of a file or document: what the control socket takes in one request
+MAX_DOCUMENT_BYTES = 64 * 1024  # of a file or document: the largest request of the control socket
 MAX_LISTED_CHARACTERS = 200  # of the names of keys in an error line
 SchemaT = TypeVar("SchemaT", bound=msgspec.Struct)
 
@@ -36,9 +37,13 @@
     return parse_operator_config(parse_toml(data, path), path)
 
 
-def parse_toml(data: bytes, source: str) -> dict[str, Any]:
+def parse_toml(data: bytes, source: str) -> Tables:
     """Parse TOML into tables, which are not checked yet.
 
+    Args:
+        data: The file's content.
+        source: Its path or name, for errors.
+
     Raises:
         OperatorConfigError: It is longer than MAX_DOCUMENT_BYTES.
         OperatorSyntaxError: It is no TOML; the text names the line.
@@ -51,9 +56,13 @@
         raise OperatorSyntaxError(source, error) from None
 
 
-def parse_operator_config(tables: dict[str, Any], source: str) -> OperatorConfig:
+def parse_operator_config(tables: Tables, source: str) -> OperatorConfig:
     """Convert and check a file's tables.
 
+    Args:
+        tables: The parsed file.
+        source: Its path or name, for errors.
+
     Raises:
         OperatorConfigError: A key is unknown, missing or wrong.
     """
@@ -65,6 +74,10 @@
 def parse_live_config(tables: object, source: str) -> LiveConfig:
     """Convert and check a live change.
 
+    Args:
+        tables: The parsed document; anything but tables is an error.
+        source: Its path or name, for errors.
+
     Raises:
         OperatorConfigError: A key is unknown or wrong, or names a section that needs a restart.
     """
@@ -79,7 +92,7 @@
     return live
 
 
-def _convert(tables: dict[str, Any], schema: type[SchemaT], source: str) -> SchemaT:
+def _convert(tables: Tables, schema: type[SchemaT], source: str) -> SchemaT:
     try:
         return msgspec.convert(tables, schema)
     except msgspec.ValidationError as error:
--- a/anisespool/config/operator/record_sections.py
+++ b/anisespool/config/operator/record_sections.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Annotated, Literal
 
 from msgspec import Meta, field
@@ -9,8 +10,15 @@
 from anisespool.config.operator.destination import Destination, Transport, parse_destination
 from anisespool.config.operator.section import Name, Section
 
-STREAM_URLS = (f"{Transport.TCP}:", f"{Transport.TLS}:")
 Share = Annotated[float, Meta(ge=0, le=1)]
+STREAM_URLS = (f"{Transport.TCP}:", f"{Transport.TLS}:")
+
+
+class Framing(StrEnum):
+    """How records are delimited on a stream (RFC 6587). The values are those of the file."""
+
+    OCTETS = "octets"
+    NEWLINE = "newline"
 
 
 class ClassSampling(Section, frozen=True, kw_only=True):
@@ -28,7 +36,7 @@
 
     Attributes:
         served: Of requests answered by an endpoint.
-        client_disconnected: Of requests whose client went away before the answer.
+        client_disconnected: Of requests whose client disconnected before the answer.
         rejected: Of requests that the listener rejected as malformed or unknown.
         classes: By request class, in place of the shares above.
     """
@@ -65,7 +73,7 @@
     """
 
     destination: Name = field(name="to")
-    framing: Literal["octets", "newline"] = "octets"
+    framing: Framing = Framing.OCTETS
     enterprise_number: Annotated[str, Meta(pattern=r"^[0-9]{1,10}(\.[0-9]{1,10}){0,3}\Z")] = field(
         default="32473", name="enterprise"
     )
--- a/anisespool/config/operator/section.py
+++ b/anisespool/config/operator/section.py
@@ -1,7 +1,7 @@
 """What all sections of the operator's file have in common.
 
-A field's name in the file differs from its name in the code where `msgspec.field(name=...)` says so: the
-file's keys are read by operators' scripts and never change.
+`msgspec.field(name=...)` gives a field's key in the file where it differs from its name in the code:
+operators' scripts write the keys, so they never change.
 """
 
 from __future__ import annotations
--- a/anisespool/config/operator/sections.py
+++ b/anisespool/config/operator/sections.py
@@ -82,7 +82,7 @@
         gossip_interval_ms: Between two rounds of dissemination.
         fanout: Members that one round is sent to.
         anti_entropy_interval_ms: Between two comparisons of a part of the view with another member's.
-        reconnect_interval_ms: Between two attempts to reach a member that is believed dead.
+        reconnect_interval_ms: Between two attempts to reach a member that counts as dead.
         pause_threshold_ms: A gap in this process's own timers from which on it counts as paused itself.
         pause_grace_ms: After a pause, before it suspects others again.
         max_datagrams_per_s: Datagrams that it sends.
--- a/anisespool/config/operator/validation.py
+++ b/anisespool/config/operator/validation.py
@@ -5,13 +5,16 @@
 from collections.abc import Collection
 
 from anisespool.config.operator.destination import DestinationError, NetworkDestination, Transport
-from anisespool.config.operator.errors import OperatorConfigError, abbreviated
-from anisespool.config.operator.record_sections import RecordOptions
+from anisespool.config.operator.errors import (
+    OperatorConfigError,
+    UnknownClassError,
+    UnknownTenantError,
+    abbreviated,
+)
+from anisespool.config.operator.record_sections import Framing, RecordOptions
 from anisespool.config.operator.schema import OperatorConfig
 from anisespool.config.operator.sections import AgentOptions, EndpointOptions, MembershipOptions
-from anisespool.config.platform import Address, ConfigError
-
-MAX_CLASS_ERROR_CHARACTERS = 400
+from anisespool.config.platform import Address
 
 
 def validate_operator_config(config: OperatorConfig, source: str) -> None:
@@ -47,13 +50,22 @@
     """Check that every class with sampling shares of its own is one of the platform's `classes`.
 
     Raises:
-        ConfigError: One is not.
+        UnknownClassError: One is not.
     """
     for name in config.sampling.classes:
         if name not in classes:
-            wanted = f"one of {', '.join(classes)}"
-            error = OperatorConfigError(source, f"sampling.classes.{name}", "no such class", wanted)
-            raise ConfigError(str(error)[:MAX_CLASS_ERROR_CHARACTERS])
+            raise UnknownClassError(source, name, classes)
+
+
+def validate_tenants(config: OperatorConfig, tenants: Collection[str], source: str) -> None:
+    """Check that every tenant with a share of its own is one of the platform's `tenants`.
+
+    Raises:
+        UnknownTenantError: One is not.
+    """
+    for name in config.tenants:
+        if name not in tenants:
+            raise UnknownTenantError(source, name, tenants)
 
 
 def _validate_agent(agent: AgentOptions, source: str) -> None:
@@ -84,7 +96,7 @@
     uses_tls = isinstance(destination, NetworkDestination) and destination.transport is Transport.TLS
     if uses_tls and records.ca_file is None:
         raise OperatorConfigError(source, "records.ca", "nothing", "the file that verifies the receiver")
-    if uses_tls and records.framing != "octets":
+    if uses_tls and records.framing is not Framing.OCTETS:
         raise OperatorConfigError(source, "records.framing", "newline", "octets: TLS has no other")
     if (records.certificate_file is None) is not (records.key_file is None):
         raise OperatorConfigError(source, "records.key", "certificate or key alone", "both or none")
--- a/anisespool/control/config_updater.py
+++ b/anisespool/control/config_updater.py
@@ -19,7 +19,6 @@
 
 START_SOURCE = "the operator's file"  # named in errors
 DOCUMENT_SOURCE = "document"
-MAX_NAMED_TENANTS = 8  # in an error
 
 
 class ConfigUpdater:
@@ -41,7 +40,7 @@
         """Put `operator_config` in force as generation 0.
 
         Raises:
-            ConfigError: it names a tenant that the platform's settings do not have.
+            UnknownTenantError: a tenant of it is none of the platform's.
         """
         self.applied = AppliedConfig(0, operator.digest(LiveConfig()))
         self.effective = operator_config
@@ -50,7 +49,7 @@
         self._proxy = proxy
         self._controls = controls
         self._drains = drains
-        self._check_tenants(operator_config, START_SOURCE)
+        operator.validate_tenants(operator_config, config.names.tenants, START_SOURCE)
         self._put_in_force()
 
     def validate(self, request: ValidateRequest) -> str:
@@ -93,30 +92,21 @@
         return True
 
     def _parse(self, content: Any) -> tuple[LiveConfig, OperatorConfig]:
-        """Return the sections of the update, and the operator's configuration with them."""
+        """Return the sections of the update, and the operator's configuration with them.
+
+        Raises:
+            InvalidDocumentError: the content is no valid configuration for this instance.
+        """
+        names = self._platform_config.names
         try:
             live = operator.parse_live_config(content, DOCUMENT_SOURCE)
             effective = self._at_start.with_live_config(live)
-            self._check_tenants(effective, DOCUMENT_SOURCE)
-            operator.validate_sampled_classes(
-                effective, list(self._platform_config.names.classes), DOCUMENT_SOURCE
-            )
+            operator.validate_tenants(effective, names.tenants, DOCUMENT_SOURCE)
+            operator.validate_sampled_classes(effective, names.classes, DOCUMENT_SOURCE)
         except ConfigError as error:
             raise InvalidDocumentError(str(error)) from None
         return live, effective
 
-    def _check_tenants(self, operator_config: OperatorConfig, source: str) -> None:
-        """Check that the platform's settings have every tenant of `operator_config`.
-
-        Raises:
-            ConfigError: they lack one; the text names it and `source`.
-        """
-        numbers = self._platform_config.names.tenants
-        for name in operator_config.tenants:
-            if name not in numbers:
-                known = ", ".join(sorted(numbers)[:MAX_NAMED_TENANTS]) or "none"
-                raise ConfigError(f"{source}: members.{name}: found no such member, wanted one of {known}")
-
     def _tenant_shares(self) -> dict[int, float]:
         """Return the shares in force, by the tenant's place in the platform's settings."""
         shares = {
@@ -128,7 +118,7 @@
         return shares
 
     def _put_in_force(self) -> None:
-        """Hand the configuration to the subsystems that work by it, in one go."""
+        """Pass the configuration to the subsystems that it configures, between two events of the loop."""
         connections = self.effective.connections
         timeout_ms = connections.connect_timeout_ms
         self._proxy.configure_connections(
--- a/anisespool/records/recorder.py
+++ b/anisespool/records/recorder.py
@@ -11,7 +11,7 @@
 from anisespool.backoff import Backoff
 from anisespool.codec import http1
 from anisespool.config.clock import wall_ns
-from anisespool.config.operator import ClassSampling, RecordOptions, SamplingOptions
+from anisespool.config.operator import ClassSampling, Framing, RecordOptions, SamplingOptions
 from anisespool.log import log_event
 from anisespool.proxy.call import FinalResponse
 from anisespool.records.accounting import RecordCounts
@@ -29,7 +29,7 @@
 EXPECTED_RECORD_BYTES = 290  # without names
 EXPECTED_ATTEMPT_BYTES = 80
 MIN_TRACEBACK_INTERVAL_S = 1.0
-FRAMINGS = {"octets": frame_octet_counted, "newline": frame_newline}
+FRAMINGS = {Framing.OCTETS: frame_octet_counted, Framing.NEWLINE: frame_newline}
 
 
 class Recorder:
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -52,6 +52,30 @@
     assert (raised.found, raised.wanted) == ("'here'", "host:port")
 
 
+def test_an_unknown_class_is_named_in_a_text_of_bounded_length() -> None:
+    tables = {"sampling": {"classes": {"nobody": {"served": 0.5}}}}
+    config = operator.parse_operator_config(tables, "f.toml")
+    operator.validate_sampled_classes(config, ["nobody"], "f.toml")
+    with pytest.raises(operator.UnknownClassError) as error:
+        operator.validate_sampled_classes(config, ["a", "b"], "f.toml")
+    text = "f.toml: sampling.classes.nobody: found no such class, wanted one of a, b"
+    assert (str(error.value), error.value.name) == (text, "nobody")
+    with pytest.raises(operator.UnknownClassError) as error:
+        operator.validate_sampled_classes(config, [f"class-{number}" for number in range(1000)], "f.toml")
+    assert len(str(error.value)) == 400
+
+
+def test_an_unknown_tenant_is_named_beside_a_few_known_ones() -> None:
+    config = operator.parse_operator_config({"members": {"nobody": {"share": 0.5}}}, "f.toml")
+    operator.validate_tenants(config, ["nobody"], "f.toml")
+    with pytest.raises(operator.UnknownTenantError) as error:
+        operator.validate_tenants(config, list("jihgfedcba"), "f.toml")
+    text = "f.toml: members.nobody: found no such member, wanted one of a, b, c, d, e, f, g, h"
+    assert (str(error.value), error.value.name) == (text, "nobody")
+    with pytest.raises(operator.UnknownTenantError, match="wanted one of none"):
+        operator.validate_tenants(config, [], "f.toml")
+
+
 def test_a_live_change_that_needs_a_restart_is_rejected_by_its_sections() -> None:
     with pytest.raises(ConfigError, match="agent, control: found in a live change"):
         operator.parse_live_config({"control": {}, "agent": {}, "members": {}}, "x")
