--- a/anisespool/config/clock.py
+++ b/anisespool/config/clock.py
@@ -1,6 +1,6 @@
 """The wall clock. No other module reads it, so that the lab can shift it for a whole process.
 
-Durations are measured by the monotonic clock. The wall clock only dates what people and other machines read.
+Durations are differences of the monotonic clock. The wall clock only dates records that leave the process.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     return time.time_ns() + _offset_ns
 
 
-def set_offset(seconds: float) -> None:
-    """Shift this process's wall clock against the machine's, from now on. Only for experiments of the lab."""
+def set_offset(offset_s: float) -> None:
+    """Shift this process's wall clock by `offset_s` against the machine's, from now on. For the lab only."""
     global _offset_ns
-    _offset_ns = int(seconds * 1e9)
+    _offset_ns = int(offset_s * 1e9)
--- a/tests/config/test_clock.py
+++ b/tests/config/test_clock.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
@@ -21,8 +22,15 @@
     assert readers == [Path("config/clock.py")]
 
 
-def test_the_wall_clock_can_be_shifted(monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.fixture
+def movable_clock() -> Iterator[None]:
+    """The clock is the machine's again at the end."""
+    yield
+    clock.set_offset(0.0)
+
+
+@pytest.mark.usefixtures("movable_clock")
+def test_the_wall_clock_can_be_shifted() -> None:
     before = clock.wall_ns()
-    monkeypatch.setattr(clock, "_offset_ns", 0)
     clock.set_offset(-3600.0)
     assert before - 3601 * 10**9 < clock.wall_ns() < before - 3599 * 10**9
