--- a/anisespool/control/responses.py
+++ b/anisespool/control/responses.py
@@ -28,12 +28,19 @@
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
     @classmethod
     def of(cls, state: int) -> EndpointStateName:
         """Return the name of an EndpointState."""
-        return cls[EndpointState(state).name]
+        return ENDPOINT_STATE_NAMES[EndpointState(state)]
+
+
+ENDPOINT_STATE_NAMES = {
+    EndpointState.READY: EndpointStateName.READY,
+    EndpointState.DRAINING: EndpointStateName.DRAINING,
+    EndpointState.GONE: EndpointStateName.REMOVED,
+}
 
 
 class InstanceState(msgspec.Struct, frozen=True, kw_only=True):
