--- a/anisespool/config/clock.py
+++ b/anisespool/config/clock.py
@@ -1,6 +1,6 @@
 """The wall clock. No other module reads it, so that the lab can shift it for a whole process.
 
-Durations are differences of the monotonic clock. The wall clock only dates records that leave the process.
+Durations are differences of the monotonic clock. The wall clock only dates what leaves the process.
 """
 
 from __future__ import annotations
--- a/anisespool/control/config_updater.py
+++ b/anisespool/control/config_updater.py
@@ -4,8 +4,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from anisespool.config import operator
 from anisespool.config.operator import LiveConfig, OperatorConfig
 from anisespool.config.platform import Address, ConfigError, PlatformConfig
@@ -25,8 +23,8 @@
     """Owner of the applied configuration. An update is applied completely between two events, or not at all.
 
     Attributes:
-        applied: generation and digest of the last update.
-        effective: the operator's configuration with the sections of that update.
+        applied: Generation and digest of the last update.
+        effective: The operator's configuration with the sections of that update.
     """
 
     def __init__(
@@ -40,7 +38,7 @@
         """Put `operator_config` in force as generation 0.
 
         Raises:
-            UnknownTenantError: a tenant of it is none of the platform's.
+            UnknownTenantError: A tenant of it is none of the platform's.
         """
         self.applied = AppliedConfig(0, operator.digest(LiveConfig()))
         self.effective = operator_config
@@ -56,8 +54,8 @@
         """Return the digest of a content that could be applied here; nothing changes.
 
         Raises:
-            InvalidDocumentError: the content is no valid configuration for this instance.
-            LastEndpointError: it would leave no endpoint to send to.
+            InvalidDocumentError: The content is no valid configuration for this instance.
+            LastEndpointError: It would leave no endpoint to send to.
         """
         live, effective = self._parse(request.content)
         drained = self._drains.sources.all | frozenset(effective.endpoints.drained)
@@ -68,10 +66,10 @@
         """Apply an update; return False if it was applied before.
 
         Raises:
-            InvalidDocumentError: the content is no valid configuration for this instance.
-            DamagedUpdateError: the content does not have the digest of the update.
-            UpdateRejectedError: the update does not follow on the applied configuration.
-            LastEndpointError: it would leave no endpoint to send to.
+            InvalidDocumentError: The content is no valid configuration for this instance.
+            DamagedUpdateError: The content does not have the digest of the update.
+            UpdateRejectedError: The update does not follow on the applied configuration.
+            LastEndpointError: It would leave no endpoint to send to.
         """
         live, effective = self._parse(request.content)
         update = request.update
@@ -91,11 +89,11 @@
         self._put_in_force()
         return True
 
-    def _parse(self, content: Any) -> tuple[LiveConfig, OperatorConfig]:
+    def _parse(self, content: object) -> tuple[LiveConfig, OperatorConfig]:
         """Return the sections of the update, and the operator's configuration with them.
 
         Raises:
-            InvalidDocumentError: the content is no valid configuration for this instance.
+            InvalidDocumentError: The content is no valid configuration for this instance.
         """
         names = self._platform_config.names
         try:
--- a/anisespool/control/connection.py
+++ b/anisespool/control/connection.py
@@ -34,10 +34,10 @@
         """Start reading from `sock`, which must be non-blocking.
 
         Args:
-            sock: the accepted socket; owned by this connection from here on.
-            idle_timeout_s: the longest time without a complete request.
-            respond: returns the answer to a request.
-            on_closed: called when the connection has ended.
+            sock: The accepted socket; owned by this connection from here on.
+            idle_timeout_s: The longest time without a complete request.
+            respond: Returns the answer to a request.
+            on_closed: Called when the connection has ended.
         """
         self._sock = sock
         self._idle_timeout_s = idle_timeout_s
--- a/anisespool/control/errors.py
+++ b/anisespool/control/errors.py
@@ -118,9 +118,9 @@
     """A field of the body is missing, of the wrong type or out of range.
 
     Attributes:
-        field: its name, or names.
-        wanted: what is accepted there.
-        found: what was received, as `repr`; empty where it is not quoted.
+        field: Its name, or names.
+        wanted: What is accepted there.
+        found: What was received, as `repr`; empty where it is not quoted.
     """
 
     field: str
@@ -218,7 +218,7 @@
     """The endpoint can't be undrained by hand: the agent or the configuration drains it.
 
     Attributes:
-        endpoint: its id.
+        endpoint: Its id.
         source: What drains it, in words for the operator.
     """
 
--- a/anisespool/control/generations.py
+++ b/anisespool/control/generations.py
@@ -15,7 +15,7 @@
 
     Attributes:
         generation: 0 while it runs on its own file alone, as it was started.
-        digest: of the document in force (`config.operator.digest`).
+        digest: Of the document in force (`config.operator.digest`).
     """
 
     generation: int
@@ -26,9 +26,9 @@
     """The header of a configuration update, without its content.
 
     Attributes:
-        generation: the generation that applying it makes.
-        base: digest of the configuration that it was made to replace.
-        digest: of its content, as the sender computed it.
+        generation: The generation that applying it makes.
+        base: Digest of the configuration that it was made to replace.
+        digest: Of its content, as the sender computed it.
     """
 
     generation: int
--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -25,7 +25,7 @@
     """The handlers of one instance.
 
     Attributes:
-        routes: handlers by verb; other subsystems may add theirs.
+        routes: Handlers by verb; other subsystems may add theirs.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         """Put `operator_config` in force and build the handlers.
 
         Raises:
-            ConfigError: it does not fit the platform's settings.
+            ConfigError: It does not fit the platform's settings.
         """
         self._events = proxy.event_log
         self._controls = controls
--- a/anisespool/control/inspection.py
+++ b/anisespool/control/inspection.py
@@ -34,7 +34,7 @@
     """Describes one instance from its parts.
 
     Attributes:
-        boot: a random id of this process's start.
+        boot: A random id of this process's start.
     """
 
     def __init__(
--- a/anisespool/control/operator_drains.py
+++ b/anisespool/control/operator_drains.py
@@ -33,9 +33,9 @@
     """Ids of the endpoints that each source drains; an endpoint is drained while any source drains it.
 
     Attributes:
-        document: by the configuration in force.
-        fleet: by the agent, at every instance.
-        here: by hand, at this instance until its process ends.
+        document: By the configuration in force.
+        fleet: By the agent, at every instance.
+        here: By hand, at this instance until its process ends.
     """
 
     document: frozenset[str]
@@ -61,9 +61,9 @@
     """Owner of the operator's drains. A method that raises has changed nothing.
 
     Attributes:
-        sources: the drained endpoints by source; read only for others.
-        fleet_revision: of the fleet's drains; 0 before the first.
-        publications: how often `publish` has run: what was derived before is out of date.
+        sources: The drained endpoints by source; read only for others.
+        fleet_revision: Of the fleet's drains; 0 before the first.
+        publications: How often `publish` has run: what was derived before is out of date.
     """
 
     def __init__(self, proxy: ObservedProxy, document: frozenset[str]) -> None:
@@ -79,7 +79,7 @@
         A mistyped id must not leave an instance without an endpoint to send to.
 
         Raises:
-            LastEndpointError: it adds a drain, leaves no ready endpoint, and `force` is not set.
+            LastEndpointError: It adds a drain, leaves no ready endpoint, and `force` is not set.
         """
         added = drained - self.sources.all
         if added and not force and leaves_no_ready_endpoint(self._proxy.ready_endpoint_ids(), drained):
@@ -89,7 +89,7 @@
         """Check that a configuration which drains `endpoints` may replace the one in force.
 
         Raises:
-            LastEndpointError: see `check_allowed`.
+            LastEndpointError: See `check_allowed`.
         """
         self.check_allowed(endpoints | self.sources.fleet | self.sources.here, force)
 
@@ -101,8 +101,8 @@
         """Replace what the agent drains, or only check that where `dry_run` is set.
 
         Raises:
-            StaleDrainRevisionError: an older revision, or other endpoints under the applied one.
-            LastEndpointError: see `check_allowed`.
+            StaleDrainRevisionError: An older revision, or other endpoints under the applied one.
+            LastEndpointError: See `check_allowed`.
         """
         changed = request.endpoints != self.sources.fleet
         if request.revision < self.fleet_revision or (request.revision == self.fleet_revision and changed):
@@ -118,8 +118,8 @@
         """Drain one endpoint at this instance; return whether that is a change.
 
         Raises:
-            TooManyDrainsError: the limit is reached.
-            LastEndpointError: see `check_allowed`.
+            TooManyDrainsError: The limit is reached.
+            LastEndpointError: See `check_allowed`.
         """
         endpoints = self.sources.here | {endpoint}
         if len(endpoints) > operator.MAX_DRAINED_ENDPOINTS:
@@ -131,7 +131,7 @@
         """End the drain of one endpoint at this instance; return whether that is a change.
 
         Raises:
-            DrainedElsewhereError: the agent, or the configuration of `generation`, drains it.
+            DrainedElsewhereError: The agent, or the configuration of `generation`, drains it.
         """
         if endpoint in self.sources.fleet:
             raise DrainedElsewhereError(endpoint, "the agent")
--- a/anisespool/control/requests.py
+++ b/anisespool/control/requests.py
@@ -1,7 +1,6 @@
 """Bodies of control requests as checked types.
 
-Decoded by hand, not by `msgspec.convert`: the texts of the errors are read by scripts and stay as they are.
-Fields that a request does not have are ignored.
+Decoded by hand, not by `msgspec.convert`: scripts read the texts of the errors. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 class ValidateRequest(msgspec.Struct, frozen=True):
     """`POST /v1/validate`: `content` is checked by `config.operator.parse_live_config`."""
 
-    content: Any
+    content: object
     force: bool
 
 
@@ -38,7 +37,7 @@
     """`POST /v1/apply`: `force` allows draining the last endpoint too."""
 
     update: ConfigUpdate
-    content: Any
+    content: object
     force: bool
 
 
@@ -97,7 +96,7 @@
 
 
 def _flag(body: RequestBody, key: str) -> bool:
-    """Any true value sets a flag, as clients have always been allowed."""
+    """Any true value sets a flag, so that clients may send 1 as well."""
     return bool(body.get(key))
 
 
--- a/anisespool/control/responses.py
+++ b/anisespool/control/responses.py
@@ -18,7 +18,7 @@
 class InstancePhase(StrEnum):
     """What an instance does at the moment. The values are those on the socket."""
 
-    STARTING = "starting"  # no endpoint list yet
+    STARTING = "starting"  # no endpoint yet
     SERVING = "serving"
     DRAINING = "draining"  # graceful shutdown
 
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -33,11 +33,11 @@
     """Return the directory `folder`, created with mode 0700 if it is missing.
 
     Args:
-        folder: its path.
-        key: the key of the operator's file that names it, for the error.
+        folder: Its path.
+        key: The key of the operator's file that names it, for the error.
 
     Raises:
-        DirectoryError: it is no directory, can't be created, or others than this user can enter it.
+        DirectoryError: It is no directory, can't be created, or others than this user can enter it.
     """
     directory = Path(folder)
     try:
@@ -59,8 +59,8 @@
     The lock ends when the descriptor is closed, at the latest with the process.
 
     Raises:
-        AlreadyLockedError: another process has the lock.
-        OSError: the file can't be opened.
+        AlreadyLockedError: Another process has the lock.
+        OSError: The file can't be opened.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
     try:
@@ -75,16 +75,16 @@
     """The socket of one instance name, locked against other processes from creation to `release`.
 
     Attributes:
-        path: of the socket.
+        path: Of the socket.
     """
 
     def __init__(self, directory: Path, instance: str) -> None:
         """Lock the name `instance` in `directory`.
 
         Raises:
-            PlatformConfigError: the name can't be a socket's.
-            DirectoryError: the path is too long, or the directory can't be written.
-            InstanceNameInUseError: another living process has the name.
+            PlatformConfigError: The name can't be a socket's.
+            DirectoryError: The path is too long, or the directory can't be written.
+            InstanceNameInUseError: Another living process has the name.
         """
         if not INSTANCE_NAME.fullmatch(instance):
             problem = f"{instance!r} can't name a socket, wanted letters, digits, . _ -"
--- a/anisespool/discovery/update_stream.py
+++ b/anisespool/discovery/update_stream.py
@@ -18,7 +18,6 @@
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # of one update
 READ_BYTES = 65536
-NO_STATUS = 0  # of a response whose head is not complete
 
 ApplyUpdates = Callable[[list[Any]], bool]
 
@@ -93,5 +92,6 @@
 
 def _has_ended(parser: http1.ResponseParser) -> bool:
     """Return whether the response is complete, or is none that can bring updates."""
-    is_error = parser.status not in (NO_STATUS, HTTPStatus.OK)
+    has_head = parser.status != 0
+    is_error = has_head and parser.status != HTTPStatus.OK
     return parser.failed or parser.response is not None or is_error
