--- a/anisespool/config/platform/address.py
+++ b/anisespool/config/platform/address.py
@@ -20,7 +20,7 @@
         Raises:
             ValueError: `text` is not of that form.
         """
-        host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+        host, _, port = (text if isinstance(text, str) else "").rpartition(":")
         if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
             raise ValueError(f"{text!r} is no host:port")
         return cls(host, int(port))
