--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -14,6 +14,7 @@
 from anisespool.discovery import timeouts
 from anisespool.discovery.repeat_limit import RepeatLimit
 from anisespool.discovery.timeouts import WatchTiming
+from anisespool.discovery.update_progress import UpdateProgress
 from anisespool.discovery.update_stream import UpdateStream
 from anisespool.log import log_event
 
@@ -45,14 +46,11 @@
         self.first_attempt_done = asyncio.Event()
         self._address = address
         self._names = names
-        self._revision = revision
+        self._progress = UpdateProgress(revision)
         self._on_update = on_update
         self._timing = timing
         self._backoff = Backoff(timeouts.INITIAL_BACKOFF_S, timing.max_backoff_s, Random())
         self._attempt: asyncio.Task[None] | None = None
-        # Why an update could not be applied in this attempt, and in the one before; empty: all were.
-        self._fault = ""
-        self._previous_fault = ""
         self._repeat_limit = RepeatLimit()
 
     def change_address(self, address: Address) -> None:
@@ -66,7 +64,7 @@
         log_event("endpoint_list_watch_moved", address="{}:{}".format(*address))
         self._address = address
         self._backoff.reset()
-        self._revision = 0
+        self._progress.request_complete_list()
         if self._attempt:
             self._attempt.cancel()
 
@@ -83,20 +81,21 @@
                 await asyncio.sleep(timeouts.INVALID_UPDATE_BACKOFF_S)
 
     async def _attempt_and_back_off(self) -> None:
-        self._fault = ""
+        self._progress.begin_attempt()
         failure = ""  # as text: a stored exception would keep the frames of the attempt alive
         try:
-            await UpdateStream(self._address, self._revision, self._timing, self._apply_updates).run()
+            revision = self._progress.revision
+            await UpdateStream(self._address, revision, self._timing, self._apply_updates).run()
         except (OSError, TimeoutError, JsonStreamError) as error:
             if isinstance(error, JsonStreamError):
-                self._fault = str(error)
+                self._progress.record_invalid_stream(str(error))
             failure = _describe(error)
         except Exception as error:  # of any kind: without a watch every later drain would be missed
             log_event("endpoint_list_watch_crashed", error=_describe(error))
             traceback.print_exc()
         self.first_attempt_done.set()
-        self._previous_fault = self._fault
-        max_delay_s = timeouts.INVALID_UPDATE_BACKOFF_S if self._fault else None
+        self._progress.end_attempt()
+        max_delay_s = timeouts.INVALID_UPDATE_BACKOFF_S if self._progress.fault else None
         delay_s = self._backoff.next_delay_s(max_delay_s)
         if failure:
             self._log_failure(failure, delay_s)
@@ -106,17 +105,13 @@
         """Apply updates that arrived together; return whether all updates of this attempt were applied."""
         for document in documents:
             self._apply_update(document)
-        if self._fault:
+        if self._progress.fault:
             return False
         self._backoff.reset()
         return True
 
     def _apply_update(self, document: Any) -> None:
-        """Apply one update of the list.
-
-        The revision only advances past what was applied, so that an update which could not be is requested
-        once more. If it fails in the same way again it is skipped, and the updates behind it are applied.
-        """
+        """Apply one update of the list, as far as it can be read."""
         update: EndpointList | None = None
         try:
             update = parse_endpoint_list(document, self._names)
@@ -129,10 +124,7 @@
             fault = _describe(error)
         if fault:
             self._log_not_applied(fault)
-        if fault and fault != self._previous_fault:
-            self._fault = self._fault or fault
-        elif update and not self._fault:
-            self._revision = update.revision
+        self._progress.record_update(update.revision if update else None, fault)
         self.first_attempt_done.set()
 
     def _log_failure(self, error: str, delay_s: float) -> None:
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -91,6 +91,7 @@
     "discovery/drains.py",
     "discovery/repeat_limit.py",
     "discovery/timeouts.py",
+    "discovery/update_progress.py",
     "listener/keepalive.py",
     "membership/anti_entropy.py",
     "membership/codec.py",
