--- a/anisespool/discovery/update_progress.py
+++ b/anisespool/discovery/update_progress.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-COMPLETE_LIST_REVISION = 0  # requests the complete list
 NO_FAULT = ""
 
 
@@ -52,4 +51,4 @@
 
     def request_complete_list(self) -> None:
         """Have the next attempt request the complete list."""
-        self.revision = COMPLETE_LIST_REVISION
+        self.revision = 0  # discovery answers it with the complete list
