--- a/anisespool/control/config_updater.py
+++ b/anisespool/control/config_updater.py
@@ -4,12 +4,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from anisespool.config import operator
 from anisespool.config.operator import LiveConfig, OperatorConfig
 from anisespool.config.platform import Address, ConfigError, PlatformConfig
-from anisespool.control.errors import InvalidDocumentError, UpdateRejectedError
+from anisespool.control.errors import DamagedUpdateError, InvalidDocumentError, UpdateRejectedError
 from anisespool.control.generations import AppliedConfig, ApplyDecision, decide
 from anisespool.control.operator_drains import OperatorDrains
 from anisespool.control.requests import ApplyRequest, ValidateRequest
@@ -19,15 +17,14 @@
 
 START_SOURCE = "the operator's file"  # named in errors
 DOCUMENT_SOURCE = "document"
-MAX_NAMED_TENANTS = 8  # in an error
 
 
 class ConfigUpdater:
     """Owner of the applied configuration. An update is applied completely between two events, or not at all.
 
     Attributes:
-        applied: generation and digest of the last update.
-        effective: the operator's configuration with the sections of that update.
+        applied: Generation and digest of the last update.
+        effective: The operator's configuration with the sections of that update.
     """
 
     def __init__(
@@ -41,7 +38,7 @@
         """Put `operator_config` in force as generation 0.
 
         Raises:
-            ConfigError: it names a tenant that the platform's settings do not have.
+            UnknownTenantError: A tenant of it is none of the platform's.
         """
         self.applied = AppliedConfig(0, operator.digest(LiveConfig()))
         self.effective = operator_config
@@ -50,15 +47,15 @@
         self._proxy = proxy
         self._controls = controls
         self._drains = drains
-        self._check_tenants(operator_config, START_SOURCE)
+        operator.validate_tenants(operator_config, config.names.tenants, START_SOURCE)
         self._put_in_force()
 
     def validate(self, request: ValidateRequest) -> str:
         """Return the digest of a content that could be applied here; nothing changes.
 
         Raises:
-            InvalidDocumentError: the content is no valid configuration for this instance.
-            LastEndpointError: it would leave no endpoint to send to.
+            InvalidDocumentError: The content is no valid configuration for this instance.
+            LastEndpointError: It would leave no endpoint to send to.
         """
         live, effective = self._parse(request.content)
         drained = self._drains.sources.all | frozenset(effective.endpoints.drained)
@@ -69,15 +66,18 @@
         """Apply an update; return False if it was applied before.
 
         Raises:
-            InvalidDocumentError: the content is no valid configuration for this instance.
-            UpdateRejectedError: the update does not follow on the applied configuration, or is damaged.
-            LastEndpointError: it would leave no endpoint to send to.
+            InvalidDocumentError: The content is no valid configuration for this instance.
+            DamagedUpdateError: The content does not have the digest of the update.
+            UpdateRejectedError: The update does not follow on the applied configuration.
+            LastEndpointError: It would leave no endpoint to send to.
         """
         live, effective = self._parse(request.content)
         update = request.update
         decision = decide(self.applied, update, operator.digest(live))
         if decision is ApplyDecision.ALREADY_APPLIED:
             return False
+        if decision is ApplyDecision.DIGEST_MISMATCH:
+            raise DamagedUpdateError(update)
         if decision is not ApplyDecision.APPLY:
             raise UpdateRejectedError(decision, self.applied, update)
         drained = frozenset(effective.endpoints.drained)
@@ -89,31 +89,22 @@
         self._put_in_force()
         return True
 
-    def _parse(self, content: Any) -> tuple[LiveConfig, OperatorConfig]:
-        """Return the sections of the update, and the operator's configuration with them."""
+    def _parse(self, content: object) -> tuple[LiveConfig, OperatorConfig]:
+        """Return the sections of the update, and the operator's configuration with them.
+
+        Raises:
+            InvalidDocumentError: The content is no valid configuration for this instance.
+        """
+        names = self._platform_config.names
         try:
             live = operator.parse_live_config(content, DOCUMENT_SOURCE)
             effective = self._at_start.with_live_config(live)
-            self._check_tenants(effective, DOCUMENT_SOURCE)
-            operator.validate_sampled_classes(
-                effective, list(self._platform_config.names.classes), DOCUMENT_SOURCE
-            )
+            operator.validate_tenants(effective, names.tenants, DOCUMENT_SOURCE)
+            operator.validate_sampled_classes(effective, names.classes, DOCUMENT_SOURCE)
         except ConfigError as error:
             raise InvalidDocumentError(str(error)) from None
         return live, effective
 
-    def _check_tenants(self, operator_config: OperatorConfig, source: str) -> None:
-        """Check that the platform's settings have every tenant of `operator_config`.
-
-        Raises:
-            ConfigError: they lack one; the text names it and `source`.
-        """
-        numbers = self._platform_config.names.tenants
-        for name in operator_config.tenants:
-            if name not in numbers:
-                known = ", ".join(sorted(numbers)[:MAX_NAMED_TENANTS]) or "none"
-                raise ConfigError(f"{source}: members.{name}: found no such member, wanted one of {known}")
-
     def _tenant_shares(self) -> dict[int, float]:
         """Return the shares in force, by the tenant's place in the platform's settings."""
         shares = {
@@ -125,7 +116,7 @@
         return shares
 
     def _put_in_force(self) -> None:
-        """Hand the configuration to the subsystems that work by it, in one go."""
+        """Pass the configuration to the subsystems that it configures, between two events of the loop."""
         connections = self.effective.connections
         timeout_ms = connections.connect_timeout_ms
         self._proxy.configure_connections(
--- a/anisespool/control/connection.py
+++ b/anisespool/control/connection.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from anisespool.codec import http1
+from anisespool.control.answers import Answer, error_answer
 from anisespool.control.errors import RequestFramingError
-from anisespool.control.router import Answer, error_answer
 
 MAX_UNREAD_BYTES = 1024 * 1024  # of answers that a client does not read
 READ_BYTES = 65536
@@ -34,10 +34,10 @@
         """Start reading from `sock`, which must be non-blocking.
 
         Args:
-            sock: the accepted socket; owned by this connection from here on.
-            idle_timeout_s: the longest time without a complete request.
-            respond: returns the answer to a request.
-            on_closed: called when the connection has ended.
+            sock: The accepted socket; owned by this connection from here on.
+            idle_timeout_s: The longest time without a complete request.
+            respond: Returns the answer to a request.
+            on_closed: Called when the connection has ended.
         """
         self._sock = sock
         self._idle_timeout_s = idle_timeout_s
--- a/anisespool/records/recorder.py
+++ b/anisespool/records/recorder.py
@@ -8,18 +8,18 @@
 from random import Random
 from zlib import crc32
 
+from anisespool.backoff import Backoff
 from anisespool.codec import http1
 from anisespool.config.clock import wall_ns
-from anisespool.config.operator import ClassSampling, RecordOptions, SamplingOptions
+from anisespool.config.operator import ClassSampling, Framing, RecordOptions, SamplingOptions
 from anisespool.log import log_event
 from anisespool.proxy.call import FinalResponse
 from anisespool.records.accounting import RecordCounts
-from anisespool.records.backoff import Backoff
 from anisespool.records.buffer import DropPolicy, QueuedRecord, RecordQueue
 from anisespool.records.encoder import RecordEncoder
 from anisespool.records.outcome import Outcome
 from anisespool.records.request_record import UNKNOWN_CLASS, RequestRecord
-from anisespool.records.rfc5424 import Framing, frame_newline, frame_octet_counted
+from anisespool.records.rfc5424 import frame_newline, frame_octet_counted
 from anisespool.records.sampling import Sampler
 from anisespool.records.sender import Sender, SenderOptions
 from anisespool.records.transports import ChannelOpener
@@ -89,7 +89,7 @@
             open_channel=open_channel,
             backoff=backoff or Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, Random()),
             options=SenderOptions(
-                frame=FRAMINGS[Framing(options.framing)] if options.is_stream else bytes,
+                frame=FRAMINGS[options.framing] if options.is_stream else bytes,
                 max_unconfirmed_bytes=options.unconfirmed_bytes,
                 flush_interval_s=options.flush_interval_ms / 1e3,
             ),
--- a/anisespool/records/rfc5424.py
+++ b/anisespool/records/rfc5424.py
@@ -11,7 +11,7 @@
 import re
 from collections.abc import Callable, Iterable, Sequence
 from datetime import UTC, datetime
-from enum import Enum, IntEnum
+from enum import IntEnum
 from typing import NamedTuple
 
 BOM = b"\xef\xbb\xbf"
@@ -55,13 +55,6 @@
     INFO = 6
 
 
-class Framing(Enum):
-    """How messages are delimited on a stream. The values are those of the operator's file."""
-
-    OCTET_COUNTING = "octets"
-    NEWLINE = "newline"
-
-
 class OriginError(ValueError):
     """A part of a header that can't be encoded.
 
