--- a/anisespool/agent/call_errors.py
+++ b/anisespool/agent/call_errors.py
@@ -38,7 +38,7 @@
 
 
 class NotPossibleError(CallError):
-    """The state of the change or of an instance does not allow what was asked."""
+    """The state of the change or of an instance does not allow the operation."""
 
     status = grpc.StatusCode.FAILED_PRECONDITION
 
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -5,6 +5,7 @@
 import asyncio
 import time
 from enum import Enum
+from http import HTTPStatus
 from pathlib import Path
 
 from anisespool.agent.control_connection import ControlConnection
@@ -20,7 +21,6 @@
 from anisespool.control.routes import Route
 
 MAX_DETAIL_CHARACTERS = 200
-STATUS_OK = 200
 
 
 class Reachability(Enum):
@@ -87,7 +87,7 @@
                 if unreachable is None:
                     raise
                 raise unreachable from None
-        if answer.status != STATUS_OK:
+        if answer.status != HTTPStatus.OK:
             raise answer.rejection()
         return answer.body
 
@@ -101,7 +101,7 @@
         self._record_state(await self.request(route, body))
 
     def _unreachable_error(self, error: BaseException) -> UnreachableError | None:
-        """What a failed exchange says about the instance; None if the error is not the instance's."""
+        """The reachability that a failed exchange shows; None if the error is not the instance's."""
         if isinstance(error, TimeoutError):
             return UnreachableError(Reachability.UNRESPONSIVE, f"no answer within {self._timeout_s:g} s")
         if isinstance(error, ConnectionRefusedError | FileNotFoundError):
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -10,7 +10,7 @@
 from anisespool.agent.rollout import RolloutAction, RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 
-MAX_PROBLEMS = 8  # named in a drain's progress
+MAX_PROBLEM_INSTANCES = 8  # named in a drain's progress
 REACHABILITY_MESSAGES = {
     Reachability.UNKNOWN: pb.REACH_UNSPECIFIED,
     Reachability.REACHABLE: pb.REACH_ANSWERS,
@@ -94,5 +94,5 @@
         unreachable=len(unreachable),
         drains=drains.endpoints,
         settled=applied == len(reachable),
-        trouble=[f"{client.name}: {client.detail}" for client in unreachable[:MAX_PROBLEMS]],
+        trouble=[f"{client.name}: {client.detail}" for client in unreachable[:MAX_PROBLEM_INSTANCES]],
     )
--- a/anisespool/agent/desired_state.py
+++ b/anisespool/agent/desired_state.py
@@ -11,7 +11,7 @@
 from anisespool.agent.queries import Change, Delivery, DeliveryState, DrainSet
 from anisespool.agent.rollout import RolloutStatus
 
-MAX_PROBLEMS = 8  # named in a progress report
+MAX_PROBLEM_INSTANCES = 8  # named in a progress report
 PROBLEM_STATUSES = frozenset((RolloutStatus.REJECTED, RolloutStatus.UNREACHABLE, RolloutStatus.AHEAD))
 NOT_A_TARGET = frozenset((Reachability.NOT_LISTENING, Reachability.UNKNOWN))
 
@@ -93,7 +93,7 @@
         return RolloutStatus.OUTDATED
 
     def detail_of(self, client: ControlClient) -> str:
-        """Why an instance is not up to date; empty if there is nothing to say."""
+        """Why an instance is not up to date; empty if it is, or where no reason is recorded."""
         status = self.status_of(client)
         if status is RolloutStatus.UNREACHABLE:
             return client.detail
@@ -115,6 +115,6 @@
             status = self.status_of(client)
             if status:
                 counts[status] += 1
-            if status in PROBLEM_STATUSES and len(problems) < MAX_PROBLEMS:
+            if status in PROBLEM_STATUSES and len(problems) < MAX_PROBLEM_INSTANCES:
                 problems.append(f"{client.name}: {self.detail_of(client)}")
         return StatusSummary(counts, len(targets), tuple(problems))
--- a/anisespool/agent/errors.py
+++ b/anisespool/agent/errors.py
@@ -8,4 +8,4 @@
 
 
 class RolloutNotPossibleError(AgentError):
-    """The state of the newest change does not allow what an operator asked for."""
+    """The state of the newest change does not allow an operator's command."""
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -44,7 +44,7 @@
 async def validate_everywhere(
     clients: Iterable[ControlClient], content: JsonObject, force: bool
 ) -> pb.Progress:
-    """Ask every instance whether it could apply a document; nothing is changed."""
+    """Have every instance validate a document against its own configuration; nothing is changed."""
     body = ValidateBody(content, force)
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     result = _ValidationResult()
--- a/anisespool/agent/instance_directory.py
+++ b/anisespool/agent/instance_directory.py
@@ -16,8 +16,8 @@
 from anisespool.control.socket_directory import INSTANCE_NAME, SOCKET_SUFFIX
 from anisespool.log import log_event
 
-JITTER = 0.2  # of the time between two polls, so that a fleet is not polled in step
-SYNC_CHECK_S = 0.01
+POLL_JITTER_SHARE = 0.2  # of the poll interval, so that the instances are not polled in step
+SYNC_CHECK_INTERVAL_S = 0.01
 
 # What changed at an instance, beside its reachability and its phase: words of the events of agent.proto.
 CHANGE_FOUND = "found"
@@ -69,7 +69,7 @@
         while any(
             client.reachability is Reachability.UNKNOWN and client.name in self.clients for client in clients
         ):
-            await asyncio.sleep(SYNC_CHECK_S)
+            await asyncio.sleep(SYNC_CHECK_INTERVAL_S)
         self.synced.set()
 
     def _scan(self) -> None:
@@ -115,7 +115,9 @@
             before = _observe(client)
             await client.poll()
             self._on_poll(client, _describe_change(before, _observe(client)))
-            interval_s = self._settings.poll_interval_s * random.uniform(1 - JITTER, 1 + JITTER)
+            interval_s = self._settings.poll_interval_s * random.uniform(
+                1 - POLL_JITTER_SHARE, 1 + POLL_JITTER_SHARE
+            )
             try:
                 async with asyncio.timeout(interval_s):
                     await poll_request.wait()
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -8,6 +8,7 @@
 import sys
 from collections.abc import Callable
 from contextlib import AsyncExitStack
+from enum import IntEnum
 from pathlib import Path
 from typing import Any
 
@@ -35,16 +36,22 @@
 from anisespool.log import log_event
 
 SERVICE_NAME = agent_pb2.DESCRIPTOR.services_by_name["Agent"].full_name
-MAX_CONCURRENT_CALLS = 256
+MAX_CONCURRENT_REQUESTS = 256
 SHUTDOWN_GRACE_S = 1.0  # for calls that are open at the end
-EXIT_STARTUP_FAILED = 2
 SERVER_OPTIONS = {
     "grpc.max_receive_message_length": 4 * MAX_DOCUMENT_BYTES,
-    "grpc.max_concurrent_streams": MAX_CONCURRENT_CALLS,
+    "grpc.max_concurrent_streams": MAX_CONCURRENT_REQUESTS,
     "grpc.so_reuseport": 0,
 }
 
 
+class ExitStatus(IntEnum):
+    """Exit statuses of the agent's process."""
+
+    STOPPED = 0  # by SIGTERM or SIGINT
+    STARTUP_FAILED = 2
+
+
 def _ignore_ready() -> None:
     """The default of `serve`'s `on_ready`."""
 
@@ -159,7 +166,7 @@
         ConfigError: an address can't be used.
     """
     server = grpc.aio.server(
-        options=list(SERVER_OPTIONS.items()), maximum_concurrent_rpcs=MAX_CONCURRENT_CALLS
+        options=list(SERVER_OPTIONS.items()), maximum_concurrent_rpcs=MAX_CONCURRENT_REQUESTS
     )
     agent_pb2_grpc.add_AgentServicer_to_server(service, server)
     health_service = health.aio.HealthServicer()
@@ -211,10 +218,10 @@
 
 
 def main(file: OperatorConfig, at_crash_point: CrashHook = never_crash) -> int:
-    """Run the agent; the exit status: 0 ended as asked, 2 it could not start."""
+    """Run the agent until a signal stops it, and return the process's exit status."""
     try:
         asyncio.run(serve(file, on_ready=lambda: log_event("agent_ready"), at_crash_point=at_crash_point))
     except (ConfigError, StoreError) as error:
         print(f"anisespool: {error}", file=sys.stderr)
-        return EXIT_STARTUP_FAILED
-    return 0
+        return ExitStatus.STARTUP_FAILED
+    return ExitStatus.STOPPED
--- a/anisespool/agent/queries.py
+++ b/anisespool/agent/queries.py
@@ -15,7 +15,7 @@
 from anisespool.agent.schema import StoreError
 from anisespool.config.clock import wall_ns
 
-MAX_STORED_CHANGES = 1000  # older changes are deleted together with their deliveries
+MAX_CHANGE_RECORDS = 1000  # older changes are deleted together with their deliveries
 MAX_DETAIL_CHARACTERS = 500
 ANY_BASE = -1  # as base generation: whichever is the newest
 
@@ -134,10 +134,10 @@
     """Make `draft` the newest change; a rollout that is under way is superseded.
 
     Args:
-        db: the connection.
-        draft: the change.
-        base: the generation that the author saw as the newest, or ANY_BASE.
-        highest_observed: the highest generation that any instance reports; the new one is higher.
+        db: Connection in a transaction.
+        draft: The change.
+        base: Generation that the author read as the newest, or ANY_BASE.
+        highest_observed: Highest generation that any instance reports; the new one is higher.
 
     Raises:
         GenerationConflictError: `base` is not the newest generation.
@@ -174,7 +174,7 @@
         (RolloutState.SUPERSEDED.value, RolloutState.RUNNING.value, RolloutState.PAUSED.value),
     )
     db.execute(_INSERT_CHANGE, _row_from_change(change))
-    expired = (change.generation - MAX_STORED_CHANGES,)
+    expired = (change.generation - MAX_CHANGE_RECORDS,)
     db.execute("DELETE FROM changes WHERE generation <= ?", expired)
     db.execute("DELETE FROM targets WHERE generation <= ?", expired)
 
@@ -225,11 +225,11 @@
     """Add endpoints to the set of drained ones and remove others, as a new revision.
 
     Args:
-        db: the connection.
-        drain: ids of endpoints to add.
-        undrain: ids of endpoints to remove.
-        author: who asked for it.
-        highest_observed: the highest revision that any instance reports; the new one is higher.
+        db: Connection in a transaction.
+        drain: Ids of endpoints to add.
+        undrain: Ids of endpoints to remove.
+        author: Operator who requested it.
+        highest_observed: Highest revision that any instance reports; the new one is higher.
     """
     now_ms = _now_ms()
     revision = max(load_drains(db).revision, highest_observed) + 1
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -36,9 +36,9 @@
 from anisespool.config.operator import AgentOptions, LiveConfig, digest
 from anisespool.log import log_event
 
-BATCH_S = 0.02  # observations that arrive together are reconciled together
-IDLE_S = 0.5
-STORE_RETRY_S = 1.0
+BATCH_INTERVAL_S = 0.02  # observations that arrive together are reconciled together
+IDLE_INTERVAL_S = 0.5
+STORE_RETRY_INTERVAL_S = 1.0
 MAX_EVENT_CHARACTERS = 300
 EMPTY_DIGEST = digest(LiveConfig())
 REASONS = {RolloutAction.PAUSE: "paused", RolloutAction.RESUME: "resumed", RolloutAction.ABORT: "aborted"}
@@ -98,12 +98,12 @@
             while True:
                 await self._wait_for_wake()
                 await self._reconcile_or_report()
-                await asyncio.sleep(BATCH_S)
+                await asyncio.sleep(BATCH_INTERVAL_S)
 
     async def _wait_for_wake(self) -> None:
-        """Return at the next `wake`, or after IDLE_S."""
+        """Return at the next `wake`, or after IDLE_INTERVAL_S."""
         try:
-            async with asyncio.timeout(IDLE_S):
+            async with asyncio.timeout(IDLE_INTERVAL_S):
                 await self._wake_event.wait()
         except TimeoutError:
             pass
@@ -116,7 +116,7 @@
         except sqlite3.Error as error:
             log_event("store_write_failed", error=str(error))
             self._publish(EventKind.STORE, "", f"can't be written: {error}")
-            await asyncio.sleep(STORE_RETRY_S)
+            await asyncio.sleep(STORE_RETRY_INTERVAL_S)
 
     # Operations -----------------------------------------------------------------------------------
 
--- a/anisespool/agent/schema.py
+++ b/anisespool/agent/schema.py
@@ -10,7 +10,8 @@
 
 from anisespool.agent.errors import AgentError
 
-APPLICATION_ID = 0x616E6973  # "anis": SQLite's application_id of the agent's files
+APPLICATION_ID = int.from_bytes(b"anis")  # PRAGMA application_id of the agent's files
+QUICK_CHECK_PASSED = "ok"  # result of PRAGMA quick_check
 MIGRATIONS = (
     # 1: changes, and what each instance was sent and answered.
     """
@@ -42,7 +43,7 @@
 
 
 class UnusableStoreError(StoreError):
-    """The database file can't be used. The text names the file and says what to do."""
+    """The database file can't be used. The text has the file, the reason and the remedy."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -87,7 +88,7 @@
     if version > SCHEMA_VERSION:
         reason = f"version {version}, this agent knows {SCHEMA_VERSION}; run the newer agent"
         raise UnusableStoreError(path, reason)
-    if check_result != "ok":
+    if check_result != QUICK_CHECK_PASSED:
         raise UnusableStoreError(path, f"damaged ({check_result}); {HINT}")
 
 
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -33,7 +33,7 @@
 from anisespool.config import operator
 from anisespool.control import routes
 
-MAX_HISTORY = 20  # changes in a StatusReply
+MAX_HISTORY_RECORDS = 20  # changes in a StatusReply
 PROGRESS_INTERVAL_S = 0.1  # between two messages about a rollout
 DRAIN_PROGRESS_INTERVAL_S = 0.05  # between two messages about a drain
 PROGRESS_TIMEOUT_S = 1.0  # a rollout's progress is compared at least so often
@@ -89,7 +89,7 @@
         """One change, the status of each instance against it, the latest changes and the drains."""
         await self._directory.synced.wait()
         desired = self._reconciler.desired
-        history = await self._store.execute(lambda db: queries.recent_changes(db, MAX_HISTORY))
+        history = await self._store.execute(lambda db: queries.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
             history=[conversion.change_message(change) for change in history],
             drains=desired.drains.endpoints,
--- a/anisespool/agent/validation.py
+++ b/anisespool/agent/validation.py
@@ -1,4 +1,4 @@
-"""Checks of the requests of agent.proto: each returns what was asked, typed, or raises a CallError."""
+"""Checks of the requests of agent.proto: each returns a typed command, or raises a CallError."""
 
 from __future__ import annotations
 
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -167,7 +167,7 @@
 def test_the_number_of_stored_changes_is_bounded(
     db: sqlite3.Connection, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(queries, "MAX_STORED_CHANGES", 5)
+    monkeypatch.setattr(queries, "MAX_CHANGE_RECORDS", 5)
     for generation in range(1, 13):
         queries.insert_change(db, DRAFT, -1, 0)
         queries.record_deliveries(db, generation, [Delivery("a", "b", DeliveryState.SENT, "x" * 9999)])
