--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -8,14 +8,13 @@
 import time
 from collections.abc import Callable
 
-from anisespool.agent import queries
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import ApplyBody, RequestRejectedError
 from anisespool.agent.crash_points import CrashHook, CrashPoint
-from anisespool.agent.desired_state import DesiredState
+from anisespool.agent.desired_state import Change, Delivery, DeliveryState, DesiredState
 from anisespool.agent.events import EventKind, Publish
-from anisespool.agent.queries import Change, Delivery, DeliveryState
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.store import delivery_table
+from anisespool.agent.store.writer import StoreWriter
 from anisespool.agent.task_scope import TaskScope
 from anisespool.control import routes
 from anisespool.control.generations import ApplyDecision
@@ -122,7 +121,9 @@
         await client.poll()
 
     async def _record(self, change: Change, deliveries: list[Delivery]) -> None:
-        await self._store.execute(lambda db: queries.record_deliveries(db, change.generation, deliveries))
+        await self._store.execute(
+            lambda db: delivery_table.record_deliveries(db, change.generation, deliveries)
+        )
         if self._desired.is_newest(change):
             self._desired.deliveries.update({delivery.instance: delivery for delivery in deliveries})
 
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -5,8 +5,8 @@
 import time
 
 from anisespool.agent.control_client import ControlClient, Reachability
-from anisespool.agent.desired_state import StatusSummary
-from anisespool.agent.queries import Change, DrainSet
+from anisespool.agent.desired_state import Change, DrainSet
+from anisespool.agent.fleet_status import StatusSummary
 from anisespool.agent.rollout import RolloutAction, RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 
--- a/anisespool/agent/drain_sender.py
+++ b/anisespool/agent/drain_sender.py
@@ -8,7 +8,7 @@
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError
 from anisespool.agent.crash_points import CrashHook, CrashPoint
-from anisespool.agent.queries import DrainSet
+from anisespool.agent.desired_state import DrainSet
 from anisespool.agent.task_scope import TaskScope
 from anisespool.control import routes
 from anisespool.log import log_event
--- a/anisespool/agent/events.py
+++ b/anisespool/agent/events.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.config.clock import wall_ns
+from anisespool.agent.wall_clock import wall_ms
 
 MAX_QUEUED_EVENTS = 256  # that a watcher has not read
 
@@ -83,7 +83,7 @@
 
     def publish(self, kind: EventKind, subject: str, text: str) -> None:
         """Queue an event for every watcher."""
-        event = pb.Event(at_ms=wall_ns() // 1_000_000, kind=kind.value, subject=subject, text=text)
+        event = pb.Event(at_ms=wall_ms(), kind=kind.value, subject=subject, text=text)
         for queue in list(self.queues):
             if queue.qsize() >= MAX_QUEUED_EVENTS:
                 self.queues.discard(queue)
--- /dev/null
+++ b/anisespool/agent/fleet_status.py
@@ -0,0 +1,106 @@
+"""Observed state of the instances compared with the desired state."""
+
+from __future__ import annotations
+
+from collections.abc import Container
+from dataclasses import dataclass
+
+from anisespool.agent.control_client import ControlClient, Reachability
+from anisespool.agent.control_protocol import DRAINING_PHASE
+from anisespool.agent.desired_state import DeliveryState, DesiredState
+from anisespool.agent.instance_directory import InstanceDirectory
+from anisespool.agent.rollout import RolloutStatus
+
+MAX_PROBLEM_INSTANCES = 8  # named in a progress report
+PROBLEM_STATUSES = frozenset((RolloutStatus.REJECTED, RolloutStatus.UNREACHABLE, RolloutStatus.AHEAD))
+NOT_A_TARGET = frozenset((Reachability.NOT_LISTENING, Reachability.UNKNOWN))
+
+
+@dataclass(frozen=True, slots=True)
+class StatusSummary:
+    """Numbers of target instances by status, and the first problems as "NAME: why"."""
+
+    by_status: dict[RolloutStatus, int]
+    total: int
+    problems: tuple[str, ...]
+
+
+class FleetStatus:
+    """Observed state of the instances compared with the desired state."""
+
+    def __init__(
+        self, directory: InstanceDirectory, desired: DesiredState, in_flight: Container[str]
+    ) -> None:
+        self._directory = directory
+        self._desired = desired
+        self._in_flight = in_flight  # names of instances that a change is being sent to
+
+    def targets(self) -> list[ControlClient]:
+        """Instances that should have the desired state: not those that ended or are shutting down."""
+        return [
+            client
+            for client in self._directory.clients.values()
+            if client.reachability not in NOT_A_TARGET
+            and not (client.state and client.state.phase == DRAINING_PHASE)
+        ]
+
+    def reachable_targets(self) -> list[ControlClient]:
+        """Targets that answered the last poll."""
+        return [client for client in self.targets() if client.is_reachable]
+
+    def highest_generation(self) -> int:
+        """The highest generation that an instance has reported; 0 if none has."""
+        states = [client.state for client in self._directory.clients.values()]
+        return max((state.generation for state in states if state), default=0)
+
+    def highest_drains_revision(self) -> int:
+        """The highest revision of drains that an instance has reported; 0 if none has."""
+        states = [client.state for client in self._directory.clients.values()]
+        return max((state.drains_revision for state in states if state), default=0)
+
+    def status_of(self, client: ControlClient) -> RolloutStatus | None:
+        """Status of an instance against the newest change, by its own report. None: there is no change."""
+        newest = self._desired.newest
+        if newest is None:
+            return None
+        if client.name in self._in_flight:
+            return RolloutStatus.IN_FLIGHT
+        if not client.is_reachable or client.state is None:
+            return RolloutStatus.UNREACHABLE
+        observed = client.state.generation
+        if observed > newest.generation:
+            return RolloutStatus.AHEAD
+        if observed == newest.generation:
+            is_same = client.state.digest == newest.digest
+            return RolloutStatus.UP_TO_DATE if is_same else RolloutStatus.REJECTED
+        delivery = self._desired.deliveries.get(client.name)
+        if delivery and delivery.state is DeliveryState.REJECTED and delivery.boot == client.state.boot:
+            return RolloutStatus.REJECTED
+        return RolloutStatus.OUTDATED
+
+    def detail_of(self, client: ControlClient) -> str:
+        """Why an instance is not up to date; empty if it is, or where no reason is recorded."""
+        status = self.status_of(client)
+        if status is RolloutStatus.UNREACHABLE:
+            return client.detail
+        if status is RolloutStatus.REJECTED:
+            delivery = self._desired.deliveries.get(client.name)
+            if delivery and delivery.detail:
+                return delivery.detail
+            return "it has another document of that generation"
+        if status is RolloutStatus.AHEAD and client.state:
+            return f"it has generation {client.state.generation}, which this agent never made"
+        return ""
+
+    def summary(self) -> StatusSummary:
+        """Count the targets by status."""
+        counts = dict.fromkeys(RolloutStatus, 0)
+        targets = self.targets()
+        problems: list[str] = []
+        for client in sorted(targets, key=lambda client: client.name):
+            status = self.status_of(client)
+            if status:
+                counts[status] += 1
+            if status in PROBLEM_STATUSES and len(problems) < MAX_PROBLEM_INSTANCES:
+                problems.append(f"{client.name}: {self.detail_of(client)}")
+        return StatusSummary(counts, len(targets), tuple(problems))
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -21,9 +21,10 @@
 from anisespool.agent.events import ChangeSignal, EventBroadcaster, EventKind
 from anisespool.agent.instance_directory import InstanceDirectory
 from anisespool.agent.reconciler import Reconciler
-from anisespool.agent.schema import StoreError, open_store
 from anisespool.agent.service import AgentService
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.store.errors import StoreError
+from anisespool.agent.store.schema import open_store
+from anisespool.agent.store.writer import StoreWriter
 from anisespool.agent.v1 import agent_pb2, agent_pb2_grpc
 from anisespool.config.operator import MAX_DOCUMENT_BYTES, AgentOptions, OperatorConfig
 from anisespool.config.platform import ConfigError
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -11,16 +11,15 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from anisespool.agent import queries
 from anisespool.agent.change_sender import ChangeSender
 from anisespool.agent.control_client import ControlClient
 from anisespool.agent.crash_points import CrashHook, CrashPoint, never_crash
-from anisespool.agent.desired_state import DesiredState, FleetStatus
+from anisespool.agent.desired_state import Change, ChangeDraft, DeliveryState, DesiredState, DrainSet
 from anisespool.agent.drain_sender import DrainSender
 from anisespool.agent.errors import RolloutNotPossibleError
 from anisespool.agent.events import EventKind, Publish
+from anisespool.agent.fleet_status import FleetStatus
 from anisespool.agent.instance_directory import InstanceDirectory
-from anisespool.agent.queries import Change, ChangeDraft, DeliveryState, DrainSet
 from anisespool.agent.rollout import (
     Decision,
     NewestChange,
@@ -32,7 +31,8 @@
     next_step,
     state_after,
 )
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.store import change_table, delivery_table, drain_table
+from anisespool.agent.store.writer import StoreWriter
 from anisespool.config.operator import AgentOptions, LiveConfig, digest
 from anisespool.log import log_event
 
@@ -70,9 +70,9 @@
 
     async def load(self) -> None:
         """Read the desired state from the store, after a start."""
-        self.desired.newest = await self._store.execute(queries.newest_change)
+        self.desired.newest = await self._store.execute(change_table.newest_change)
         await self._load_rollout()
-        self.desired.drains = await self._store.execute(queries.load_drains)
+        self.desired.drains = await self._store.execute(drain_table.load_drains)
 
     async def _load_rollout(self) -> None:
         """Read what belongs to the newest change: the change before it, and its deliveries."""
@@ -81,10 +81,10 @@
             return
         generation = newest.generation
         self.desired.last_settled = await self._store.execute(
-            lambda db: queries.last_settled_before(db, generation)
+            lambda db: change_table.last_settled_before(db, generation)
         )
         self.desired.deliveries = await self._store.execute(
-            lambda db: queries.load_deliveries(db, generation)
+            lambda db: delivery_table.load_deliveries(db, generation)
         )
 
     def wake(self) -> None:
@@ -124,7 +124,7 @@
         """Make `draft` the newest change and start its rollout.
 
         Raises:
-            queries.GenerationConflictError: `base` is not the newest generation.
+            GenerationConflictError: `base` is not the newest generation.
         """
         highest_observed = self.status.highest_generation()
         newest = self.desired.newest
@@ -132,7 +132,7 @@
         if newest and is_running and self._next_step(newest).decision is Decision.SETTLE:
             await self._set_state(newest, RolloutState.SETTLED, "")  # which was not recorded yet
         change = await self._store.execute(
-            lambda db: queries.insert_change(db, draft, base, highest_observed)
+            lambda db: change_table.insert_change(db, draft, base, highest_observed)
         )
         self._at_crash_point(CrashPoint.RECORDED)
         self.desired.newest = change
@@ -154,7 +154,7 @@
         if newest is None:
             raise RolloutNotPossibleError("nothing was ever applied")
         generation = newest.generation
-        previous = await self._store.execute(lambda db: queries.last_settled_before(db, generation))
+        previous = await self._store.execute(lambda db: change_table.last_settled_before(db, generation))
         if previous is None:
             note = f"back from {generation} to the instances' own files"
             return ChangeDraft("{}", EMPTY_DIGEST, author, note, newest.policy)
@@ -183,7 +183,7 @@
         """Forget the rejections of the newest change, so that it is sent to those instances again."""
         # A rejection that is still in flight would be recorded after this, and pause the rollout again.
         await self._sender.in_flight.wait_until_idle()
-        await self._store.execute(lambda db: queries.clear_rejections(db, newest.generation))
+        await self._store.execute(lambda db: delivery_table.clear_rejections(db, newest.generation))
         # The loop may compare before the store is read again; a cleared rejection would pause the rollout.
         self.desired.deliveries = {
             name: delivery
@@ -195,7 +195,7 @@
         """Drain endpoints on every instance, and end the drains of others."""
         highest_observed = self.status.highest_drains_revision()
         drains = await self._store.execute(
-            lambda db: queries.update_drains(db, drain, undrain, author, highest_observed)
+            lambda db: drain_table.update_drains(db, drain, undrain, author, highest_observed)
         )
         self.desired.drains = drains
         self._at_crash_point(CrashPoint.DRAIN_RECORDED)
@@ -274,7 +274,7 @@
     async def _set_state(self, change: Change, state: RolloutState, reason: str) -> None:
         """Record a transition of a change, unless another one was recorded first."""
         was_recorded = await self._store.execute(
-            lambda db: queries.update_state(db, change.generation, change.state, state, reason)
+            lambda db: change_table.update_state(db, change.generation, change.state, state, reason)
         )
         if was_recorded and self.desired.newest and self.desired.is_newest(change):
             self.desired.newest = replace(self.desired.newest, state=state, reason=reason)
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -10,7 +10,7 @@
 from contextlib import aclosing, contextmanager
 from dataclasses import replace
 
-from anisespool.agent import conversion, fan_out, queries, validation
+from anisespool.agent import conversion, fan_out, validation
 from anisespool.agent.call_errors import (
     ConflictError,
     Context,
@@ -23,11 +23,13 @@
 )
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import ControlClientError, EndpointBody, RequestRejectedError
+from anisespool.agent.desired_state import Change, ChangeDraft
 from anisespool.agent.events import ChangeSignal, EventBroadcaster
-from anisespool.agent.queries import Change, ChangeDraft, GenerationConflictError
 from anisespool.agent.reconciler import Reconciler
 from anisespool.agent.rollout import RolloutState, RolloutStatus
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.store import change_table
+from anisespool.agent.store.errors import GenerationConflictError
+from anisespool.agent.store.writer import StoreWriter
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.agent.v1 import agent_pb2_grpc
 from anisespool.config import operator
@@ -89,7 +91,7 @@
         """One change, the status of each instance against it, the latest changes and the drains."""
         await self._directory.synced.wait()
         desired = self._reconciler.desired
-        history = await self._store.execute(lambda db: queries.recent_changes(db, MAX_HISTORY_RECORDS))
+        history = await self._store.execute(lambda db: change_table.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
             history=[conversion.change_message(change) for change in history],
             drains=desired.drains.endpoints,
@@ -113,7 +115,7 @@
         """
         if not generation:
             return self._reconciler.desired.newest
-        change = await self._store.execute(lambda db: queries.find_change(db, generation))
+        change = await self._store.execute(lambda db: change_table.find_change(db, generation))
         if change is None:
             raise NotFoundError(f"no generation {generation} is kept")
         return change
--- /dev/null
+++ b/anisespool/agent/store/drain_table.py
@@ -0,0 +1,42 @@
+"""The table `drains`, endpoints that are drained on every instance, and its revision in the table `marks`.
+
+Each function takes a connection in a transaction; `StoreWriter` runs them.
+"""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Iterable
+
+from anisespool.agent.desired_state import DrainSet
+from anisespool.agent.wall_clock import wall_ms
+
+REVISION_MARK = "drains_revision"  # name of its row in `marks`
+
+
+def load_drains(db: sqlite3.Connection) -> DrainSet:
+    """Return the current set of drained endpoints."""
+    (revision,) = db.execute("SELECT value FROM marks WHERE name = ?", (REVISION_MARK,)).fetchone()
+    rows = db.execute("SELECT endpoint FROM drains ORDER BY endpoint")
+    return DrainSet(revision, tuple(endpoint for (endpoint,) in rows))
+
+
+def update_drains(
+    db: sqlite3.Connection, drain: Iterable[str], undrain: Iterable[str], author: str, highest_observed: int
+) -> DrainSet:
+    """Add endpoints to the set of drained ones, remove others, and return the set with its new revision.
+
+    Args:
+        db: Connection in a transaction.
+        drain: Ids of endpoints to add.
+        undrain: Ids of endpoints to remove.
+        author: Operator who requested it.
+        highest_observed: Highest revision that any instance reports; the new one is higher.
+    """
+    now_ms = wall_ms()
+    revision = max(load_drains(db).revision, highest_observed) + 1
+    additions = [(endpoint, author, now_ms) for endpoint in drain]
+    db.executemany("INSERT OR IGNORE INTO drains (endpoint, author, at_ms) VALUES (?, ?, ?)", additions)
+    db.executemany("DELETE FROM drains WHERE endpoint = ?", [(endpoint,) for endpoint in undrain])
+    db.execute("UPDATE marks SET value = ? WHERE name = ?", (revision, REVISION_MARK))
+    return load_drains(db)
--- a/anisespool/agent/schema.py
+++ b/anisespool/agent/store/schema.py
@@ -8,7 +8,7 @@
 import sqlite3
 from pathlib import Path
 
-from anisespool.agent.errors import AgentError
+from anisespool.agent.store.errors import UnusableStoreError
 
 APPLICATION_ID = int.from_bytes(b"anis")  # PRAGMA application_id of the agent's files
 QUICK_CHECK_PASSED = "ok"  # result of PRAGMA quick_check
@@ -38,19 +38,6 @@
 HINT = "it was left as it is: move it away, or restore a copy"
 
 
-class StoreError(AgentError):
-    """Base of the store's own errors."""
-
-
-class UnusableStoreError(StoreError):
-    """The database file can't be used. The text has the file, the reason and the remedy."""
-
-    def __init__(self, path: Path, reason: str) -> None:
-        super().__init__(f"{path}: {reason}")
-        self.path = path
-        self.reason = reason
-
-
 def open_store(path: Path) -> sqlite3.Connection:
     """Open the database, creating or migrating it where needed.
 
--- a/anisespool/agent/store_writer.py
+++ b/anisespool/agent/store/writer.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 Result = TypeVar("Result")
-Operation = Callable[[sqlite3.Connection], Result]  # a function of queries.py, its arguments bound
+Operation = Callable[[sqlite3.Connection], Result]  # a function of a table's module, its arguments bound
 
 
 @dataclass(slots=True)
--- a/anisespool/agent/validation.py
+++ b/anisespool/agent/validation.py
@@ -8,7 +8,7 @@
 
 from anisespool.agent.call_errors import InvalidRequestError, LimitExceededError
 from anisespool.agent.conversion import ACTIONS
-from anisespool.agent.queries import ChangeDraft
+from anisespool.agent.desired_state import ChangeDraft
 from anisespool.agent.rollout import RolloutAction, RolloutPolicy
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.config import operator
--- a/tests/agent/test_changes.py
+++ b/tests/agent/test_changes.py
@@ -11,9 +11,9 @@
 import grpc
 import pytest
 
-from anisespool.agent import queries
-from anisespool.agent.queries import Change
+from anisespool.agent.desired_state import Change
 from anisespool.agent.rollout import RolloutStep, next_step
+from anisespool.agent.store import change_table
 from anisespool.agent.v1 import agent_pb2 as pb
 from tests.agent.harness import (
     CONTENT,
@@ -115,9 +115,9 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.was_planned: list[bool] = []  # for each read, whether the planner ran before it ended
         self._planned = threading.Event()
-        self._last_settled_before = queries.last_settled_before
+        self._last_settled_before = change_table.last_settled_before
         monkeypatch.setattr("anisespool.agent.reconciler.next_step", self._plan)
-        monkeypatch.setattr(queries, "last_settled_before", self._read)
+        monkeypatch.setattr(change_table, "last_settled_before", self._read)
 
     def _plan(self, *arguments: Any) -> RolloutStep:
         step = next_step(*arguments)
@@ -198,13 +198,13 @@
             def fail(*arguments: Any) -> None:
                 raise sqlite3.OperationalError("database or disk is full")
 
-            full.setattr("anisespool.agent.queries.record_deliveries", fail)
+            full.setattr("anisespool.agent.store.delivery_table.record_deliveries", fail)
             task = asyncio.create_task(apply(stub))
             while (await stub.Status(pb.StatusRequest())).store == "ok":
                 await asyncio.sleep(0.01)
             instances = harness.instances.values()
             assert all(one.generation == 1 and one.offered_generations == [1] for one in instances)
-            full.setattr("anisespool.agent.queries.insert_change", fail)
+            full.setattr("anisespool.agent.store.change_table.insert_change", fail)
             late = stub.Apply(pb.ApplyRequest(content_json="{}", base_generation=-1))
             await assert_call_fails(late, grpc.StatusCode.UNAVAILABLE, "disk is full")
         assert (await task).state == "settled"  # there is space again
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -10,11 +10,12 @@
 
 import pytest
 
-from anisespool.agent import queries, schema
-from anisespool.agent.queries import ChangeDraft, Delivery, DeliveryState, DrainSet, GenerationConflictError
+from anisespool.agent.desired_state import ChangeDraft, Delivery, DeliveryState, DrainSet
 from anisespool.agent.rollout import RolloutPolicy, RolloutState
-from anisespool.agent.schema import StoreError, UnusableStoreError, open_store
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.store import change_table, delivery_table, drain_table, schema
+from anisespool.agent.store.errors import GenerationConflictError, StoreError, UnusableStoreError
+from anisespool.agent.store.schema import open_store
+from anisespool.agent.store.writer import StoreWriter
 
 DRAFT = ChangeDraft("{}", "d", "me", "why", RolloutPolicy(wave_size=3, max_unreachable=2, force=True), 250)
 
@@ -35,15 +36,15 @@
         older.setattr(schema, "MIGRATIONS", schema.MIGRATIONS[:1])
         older.setattr(schema, "SCHEMA_VERSION", 1)
         db = open_store(path)
-        queries.insert_change(db, DRAFT, 0, 0)
+        change_table.insert_change(db, DRAFT, 0, 0)
         db.close()
     db = open_store(path)
-    change = queries.newest_change(db)
+    change = change_table.newest_change(db)
     assert change
     assert (change.generation, change.base, change.digest, change.content) == (1, 0, "d", "{}")
     assert change.policy == DRAFT.policy
     assert change.settle_ms == 250
-    assert queries.update_drains(db, ["x"], [], "me", 41).revision == 42
+    assert drain_table.update_drains(db, ["x"], [], "me", 41).revision == 42
     assert db.execute("PRAGMA user_version").fetchone()[0] == schema.SCHEMA_VERSION
     assert db.execute("PRAGMA synchronous").fetchone()[0] == 2
     assert path.stat().st_mode & 0o777 == 0o600
@@ -95,35 +96,35 @@
 async def test_of_two_concurrent_changes_on_one_base_the_second_conflicts(path: Path) -> None:
     async with StoreWriter(open_store(path)) as store:
         results = await asyncio.gather(
-            *(store.execute(lambda db: queries.insert_change(db, DRAFT, 0, 6)) for _ in range(2)),
+            *(store.execute(lambda db: change_table.insert_change(db, DRAFT, 0, 6)) for _ in range(2)),
             return_exceptions=True,
         )
         assert sorted(type(result).__name__ for result in results) == ["Change", "GenerationConflictError"]
-        newest = await store.execute(queries.newest_change)
+        newest = await store.execute(change_table.newest_change)
         assert newest
         assert newest.generation == 7  # higher than what an instance reported
-        third = await store.execute(lambda db: queries.insert_change(db, DRAFT, -1, 0))
-        first = await store.execute(lambda db: queries.find_change(db, 7))
+        third = await store.execute(lambda db: change_table.insert_change(db, DRAFT, -1, 0))
+        first = await store.execute(lambda db: change_table.find_change(db, 7))
         assert third.generation == 8
         assert first
         assert first.state is RolloutState.SUPERSEDED
         with pytest.raises(GenerationConflictError, match="generation 8 by me"):
-            await store.execute(lambda db: queries.insert_change(db, DRAFT, 7, 0))
+            await store.execute(lambda db: change_table.insert_change(db, DRAFT, 7, 0))
 
 
 async def test_a_full_disk_writes_nothing_in_part_and_recovers_when_there_is_space(path: Path) -> None:
     db = open_store(path)
     async with StoreWriter(db) as store:
-        await store.execute(lambda db: queries.insert_change(db, DRAFT, 0, 0))
+        await store.execute(lambda db: change_table.insert_change(db, DRAFT, 0, 0))
         db.execute(f"PRAGMA max_page_count={db.execute('PRAGMA page_count').fetchone()[0]}")
         large = [Delivery(f"n{number}", "b", DeliveryState.SENT, "x" * 500) for number in range(200)]
         with pytest.raises(sqlite3.OperationalError, match="full"):
-            await store.execute(lambda db: queries.record_deliveries(db, 1, large))
+            await store.execute(lambda db: delivery_table.record_deliveries(db, 1, large))
         assert "full" in store.last_error
-        assert await store.execute(lambda db: queries.load_deliveries(db, 1)) == {}
+        assert await store.execute(lambda db: delivery_table.load_deliveries(db, 1)) == {}
         db.execute("PRAGMA max_page_count=100000")
-        await store.execute(lambda db: queries.record_deliveries(db, 1, large))
-        stored = await store.execute(lambda db: queries.load_deliveries(db, 1))
+        await store.execute(lambda db: delivery_table.record_deliveries(db, 1, large))
+        stored = await store.execute(lambda db: delivery_table.load_deliveries(db, 1))
         assert len(stored) == 200
         assert store.last_error == ""
 
@@ -135,14 +136,14 @@
             raise sqlite3.OperationalError("database or disk is full")
 
         read, failed, written = await asyncio.gather(
-            store.execute(queries.load_drains),
+            store.execute(drain_table.load_drains),
             store.execute(fail),
-            store.execute(lambda db: queries.update_drains(db, ["s-1"], [], "t", 0)),
+            store.execute(lambda db: drain_table.update_drains(db, ["s-1"], [], "t", 0)),
             return_exceptions=True,
         )
         assert isinstance(failed, sqlite3.OperationalError)
         assert (read, written) == (DrainSet(0, ()), DrainSet(1, ("s-1",)))
-        assert await store.execute(queries.load_drains) == written
+        assert await store.execute(drain_table.load_drains) == written
 
 
 @pytest.mark.parametrize("error", [StoreError("text"), KeyError("key"), ValueError(), ZeroDivisionError()])
@@ -150,27 +151,27 @@
     path: Path, error: Exception
 ) -> None:
     def write_and_fail(db: sqlite3.Connection) -> None:
-        queries.update_drains(db, ["s-2"], [], "t", 0)
+        drain_table.update_drains(db, ["s-2"], [], "t", 0)
         raise error
 
     async with StoreWriter(open_store(path)) as store:
         failed, written = await asyncio.gather(
             store.execute(write_and_fail),
-            store.execute(lambda db: queries.update_drains(db, ["s-1"], [], "t", 0)),
+            store.execute(lambda db: drain_table.update_drains(db, ["s-1"], [], "t", 0)),
             return_exceptions=True,
         )
         assert failed is error
-        assert written == await store.execute(queries.load_drains) == DrainSet(1, ("s-1",))
+        assert written == await store.execute(drain_table.load_drains) == DrainSet(1, ("s-1",))
         assert store.last_error == ""
 
 
 def test_the_number_of_stored_changes_is_bounded(
     db: sqlite3.Connection, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(queries, "MAX_CHANGE_RECORDS", 5)
+    monkeypatch.setattr(change_table, "MAX_CHANGE_RECORDS", 5)
     for generation in range(1, 13):
-        queries.insert_change(db, DRAFT, -1, 0)
-        queries.record_deliveries(db, generation, [Delivery("a", "b", DeliveryState.SENT, "x" * 9999)])
-    assert len(queries.recent_changes(db, 99)) == 5
-    assert len(queries.load_deliveries(db, 12)["a"].detail) == 500
+        change_table.insert_change(db, DRAFT, -1, 0)
+        delivery_table.record_deliveries(db, generation, [Delivery("a", "b", DeliveryState.SENT, "x" * 9999)])
+    assert len(change_table.recent_changes(db, 99)) == 5
+    assert len(delivery_table.load_deliveries(db, 12)["a"].detail) == 500
     assert db.execute("SELECT count(*) FROM targets").fetchone()[0] <= 6
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -43,6 +43,7 @@
     "__main__": {"sidecar", "cli"},
 }
 PURE = (  # modules that decide: no I/O, no clock, no asyncio; time and randomness are passed in
+    "agent/desired_state.py",
     "agent/rollout.py",
     "balancer/admission/burst_capacity.py",
     "balancer/admission/controller.py",
