--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -11,11 +11,12 @@
 from anisespool.agent.control_connection import ControlConnection
 from anisespool.agent.control_protocol import (
     ControlClientError,
-    InstanceState,
     InvalidStateError,
     RequestBody,
     RequestRejectedError,
+    parse_state,
 )
+from anisespool.agent.instance_state import InstanceState
 from anisespool.control import routes
 from anisespool.control.responses import JsonObject
 from anisespool.control.routes import Route
@@ -129,7 +130,7 @@
 
     def _record_state(self, answer: JsonObject) -> None:
         try:
-            self.state = InstanceState.from_answer(answer)
+            self.state = parse_state(answer)
         except InvalidStateError as error:
             self._record_protocol_error(str(error))
             return
--- a/anisespool/agent/control_protocol.py
+++ b/anisespool/agent/control_protocol.py
@@ -1,6 +1,6 @@
 """What the agent sends to an instance's control socket and reads from it (docs/fleet.md).
 
-The field names of the bodies and of `InstanceState` are the keys on the socket.
+The field names of the bodies are the keys on the socket.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 import msgspec
 
 from anisespool.agent.errors import AgentError
+from anisespool.agent.instance_state import InstanceState
 from anisespool.control.responses import JsonObject
 
 PROTOCOL_VERSION = 1
-DRAINING_PHASE = "draining"  # of an instance that is shutting down
 
 
 class ControlClientError(AgentError):
@@ -91,40 +91,24 @@
         return RequestRejectedError(code, str(error.get("text", f"status {self.status}")))
 
 
-@dataclass(frozen=True, slots=True)
-class InstanceState:
-    """State of an instance as it reports it (`routes.GET_STATE`, and the answer to every change)."""
-
-    name: str
-    boot: str  # new with every start
-    phase: str  # starting, serving or draining
-    generation: int
-    digest: str
-    pid: int
-    uptime_s: float
-    build: str
-    drained: list[str]  # ids of endpoints
-    drains_revision: int
-
-    @classmethod
-    def from_answer(cls, answer: JsonObject) -> InstanceState:
-        """Read the state that an answer holds; further keys are ignored.
-
-        Raises:
-            InvalidStateError: a key is missing or has a value of another type.
-        """
-        return cls(
-            name=_value(answer, "name", str),
-            boot=_value(answer, "boot", str),
-            phase=_value(answer, "phase", str),
-            generation=_value(answer, "generation", int),
-            digest=_value(answer, "digest", str),
-            pid=_value(answer, "pid", int),
-            uptime_s=_value(answer, "uptime_s", int, float),
-            build=_value(answer, "build", str),
-            drained=_value(answer, "drained", list),
-            drains_revision=_value(answer, "drains_revision", int),
-        )
+def parse_state(answer: JsonObject) -> InstanceState:
+    """Return the state that an answer holds; further keys are ignored.
+
+    Raises:
+        InvalidStateError: a key is missing or has a value of another type.
+    """
+    return InstanceState(
+        name=_value(answer, "name", str),
+        boot=_value(answer, "boot", str),
+        phase=_value(answer, "phase", str),
+        generation=_value(answer, "generation", int),
+        digest=_value(answer, "digest", str),
+        pid=_value(answer, "pid", int),
+        uptime_s=_value(answer, "uptime_s", int, float),
+        build=_value(answer, "build", str),
+        drained=_value(answer, "drained", list),
+        drains_revision=_value(answer, "drains_revision", int),
+    )
 
 
 def _value(answer: JsonObject, key: str, *types: type) -> Any:
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -7,7 +7,8 @@
 from anisespool.agent.control_client import ControlClient, Reachability
 from anisespool.agent.desired_state import Change, DrainSet
 from anisespool.agent.fleet_status import StatusSummary
-from anisespool.agent.rollout import RolloutAction, RolloutStatus
+from anisespool.agent.rollout.state import RolloutAction
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 
 MAX_PROBLEM_INSTANCES = 8  # named in a drain's progress
--- a/anisespool/agent/desired_state.py
+++ b/anisespool/agent/desired_state.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from anisespool.agent.rollout import RolloutPolicy, RolloutState
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.state import RolloutState
 
 
 @dataclass(frozen=True, slots=True)
--- a/anisespool/agent/fleet_status.py
+++ b/anisespool/agent/fleet_status.py
@@ -6,10 +6,9 @@
 from dataclasses import dataclass
 
 from anisespool.agent.control_client import ControlClient, Reachability
-from anisespool.agent.control_protocol import DRAINING_PHASE
-from anisespool.agent.desired_state import DeliveryState, DesiredState
+from anisespool.agent.desired_state import DesiredState
 from anisespool.agent.instance_directory import InstanceDirectory
-from anisespool.agent.rollout import RolloutStatus
+from anisespool.agent.rollout.status import RolloutStatus, status_by_report
 
 MAX_PROBLEM_INSTANCES = 8  # named in a progress report
 PROBLEM_STATUSES = frozenset((RolloutStatus.REJECTED, RolloutStatus.UNREACHABLE, RolloutStatus.AHEAD))
@@ -41,7 +40,7 @@
             client
             for client in self._directory.clients.values()
             if client.reachability not in NOT_A_TARGET
-            and not (client.state and client.state.phase == DRAINING_PHASE)
+            and not (client.state and client.state.is_shutting_down)
         ]
 
     def reachable_targets(self) -> list[ControlClient]:
@@ -67,16 +66,7 @@
             return RolloutStatus.IN_FLIGHT
         if not client.is_reachable or client.state is None:
             return RolloutStatus.UNREACHABLE
-        observed = client.state.generation
-        if observed > newest.generation:
-            return RolloutStatus.AHEAD
-        if observed == newest.generation:
-            is_same = client.state.digest == newest.digest
-            return RolloutStatus.UP_TO_DATE if is_same else RolloutStatus.REJECTED
-        delivery = self._desired.deliveries.get(client.name)
-        if delivery and delivery.state is DeliveryState.REJECTED and delivery.boot == client.state.boot:
-            return RolloutStatus.REJECTED
-        return RolloutStatus.OUTDATED
+        return status_by_report(newest, client.state, self._desired.deliveries.get(client.name))
 
     def detail_of(self, client: ControlClient) -> str:
         """Why an instance is not up to date; empty if it is, or where no reason is recorded."""
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -20,17 +20,10 @@
 from anisespool.agent.events import EventKind, Publish
 from anisespool.agent.fleet_status import FleetStatus
 from anisespool.agent.instance_directory import InstanceDirectory
-from anisespool.agent.rollout import (
-    Decision,
-    NewestChange,
-    RolloutAction,
-    RolloutState,
-    RolloutStatus,
-    RolloutStep,
-    desired_generation,
-    next_step,
-    state_after,
-)
+from anisespool.agent.rollout.desired_generation import NewestChange, desired_generation
+from anisespool.agent.rollout.planner import Decision, RolloutStep, next_step
+from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.store import change_table, delivery_table, drain_table
 from anisespool.agent.store.writer import StoreWriter
 from anisespool.config.operator import AgentOptions, LiveConfig, digest
--- /dev/null
+++ b/anisespool/agent/rollout/planner.py
@@ -0,0 +1,77 @@
+"""Which instances receive a change next, and when does its rollout stop?
+
+The planner is level-triggered: it is called again after every observation, with the status that each instance
+reported, and keeps no state between two calls. A restart of the agent is therefore no special case: what was
+in flight shows as up to date or outdated once the instance is polled.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from enum import Enum
+from typing import NamedTuple
+
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.status import RolloutStatus
+
+
+class Decision(Enum):
+    """What the planner decides about a rollout that is running."""
+
+    CONTINUE = "running"
+    SETTLE = "settled"  # every instance that answers is up to date; the others follow when they answer
+    PAUSE = "pause"
+
+
+class RolloutStep(NamedTuple):
+    """The next step of a rollout.
+
+    Attributes:
+        decision: Whether it goes on.
+        send: The next wave: names of instances.
+        reason: Why it pauses; otherwise empty.
+    """
+
+    decision: Decision
+    send: tuple[str, ...] = ()
+    reason: str = ""
+
+
+def next_step(
+    statuses: Mapping[str, RolloutStatus], policy: RolloutPolicy, settle_time_over: bool = True
+) -> RolloutStep:
+    """Return the next step of a rollout that is running.
+
+    Never more than `wave_size` instances are in flight at a time. Nothing is sent to an instance that is up
+    to date, rejected the change or does not answer, and nothing at all once a bound of `policy` is exceeded.
+    With nothing to send and nothing in flight the rollout settles.
+
+    Args:
+        statuses: Status of each target instance, by name.
+        policy: Bounds of the rollout.
+        settle_time_over: Whether the pause after the previous wave is over.
+    """
+    counts = dict.fromkeys(RolloutStatus, 0)
+    for status in statuses.values():
+        counts[status] += 1
+    if reason := _exceeded_bound(counts, policy):
+        return RolloutStep(Decision.PAUSE, reason=reason)
+    outdated = sorted(name for name, status in statuses.items() if status is RolloutStatus.OUTDATED)
+    if counts[RolloutStatus.IN_FLIGHT] or (outdated and not settle_time_over):
+        return RolloutStep(Decision.CONTINUE)
+    if not outdated:
+        return RolloutStep(Decision.SETTLE)
+    is_first_wave = not counts[RolloutStatus.UP_TO_DATE] and not counts[RolloutStatus.REJECTED]
+    size = policy.first_wave_size if is_first_wave and policy.first_wave_size else policy.wave_size
+    return RolloutStep(Decision.CONTINUE, tuple(outdated[: size or None]))
+
+
+def _exceeded_bound(counts: Mapping[RolloutStatus, int], policy: RolloutPolicy) -> str:
+    """Return the first bound of `policy` that is exceeded, as a sentence; empty if none is."""
+    rejected = counts[RolloutStatus.REJECTED]
+    unreachable = counts[RolloutStatus.UNREACHABLE]
+    if rejected > policy.max_rejected:
+        return f"{rejected} instances refused it, at most {policy.max_rejected} may"
+    if 0 <= policy.max_unreachable < unreachable:
+        return f"{unreachable} instances don't answer, at most {policy.max_unreachable} may"
+    return ""
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -26,7 +26,8 @@
 from anisespool.agent.desired_state import Change, ChangeDraft
 from anisespool.agent.events import ChangeSignal, EventBroadcaster
 from anisespool.agent.reconciler import Reconciler
-from anisespool.agent.rollout import RolloutState, RolloutStatus
+from anisespool.agent.rollout.state import RolloutState
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.store import change_table
 from anisespool.agent.store.errors import GenerationConflictError
 from anisespool.agent.store.writer import StoreWriter
--- a/anisespool/agent/store/change_table.py
+++ b/anisespool/agent/store/change_table.py
@@ -10,7 +10,8 @@
 from typing import NamedTuple
 
 from anisespool.agent.desired_state import Change, ChangeDraft
-from anisespool.agent.rollout import RolloutPolicy, RolloutState
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.state import RolloutState
 from anisespool.agent.store import delivery_table
 from anisespool.agent.store.errors import GenerationConflictError
 from anisespool.agent.wall_clock import wall_ms
--- a/anisespool/agent/validation.py
+++ b/anisespool/agent/validation.py
@@ -9,7 +9,8 @@
 from anisespool.agent.call_errors import InvalidRequestError, LimitExceededError
 from anisespool.agent.conversion import ACTIONS
 from anisespool.agent.desired_state import ChangeDraft
-from anisespool.agent.rollout import RolloutAction, RolloutPolicy
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.state import RolloutAction
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.config import operator
 from anisespool.config.platform import ConfigError
--- a/anisespool/lab/explore/rollout.py
+++ b/anisespool/lab/explore/rollout.py
@@ -1,4 +1,4 @@
-"""Are there ever more instances in flight than a rollout's wave allows? `agent/rollout.py`, explored.
+"""Are there ever more instances in flight than a rollout's wave allows? `agent/rollout/planner.py`, explored.
 
 Answers to the agent are late, lost or duplicated.
 """
@@ -8,7 +8,9 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from anisespool.agent.rollout import Decision, RolloutPolicy, RolloutStatus, next_step
+from anisespool.agent.rollout.planner import Decision, next_step
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.lab.explore.network import FaultBudget, Network, possible_faults, replace_at
 from anisespool.lab.explore.state_space import Step
 
--- a/tests/agent/test_changes.py
+++ b/tests/agent/test_changes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from anisespool.agent.desired_state import Change
-from anisespool.agent.rollout import RolloutStep, next_step
+from anisespool.agent.rollout.planner import RolloutStep, next_step
 from anisespool.agent.store import change_table
 from anisespool.agent.v1 import agent_pb2 as pb
 from tests.agent.harness import (
--- a/tests/agent/test_control_client.py
+++ b/tests/agent/test_control_client.py
@@ -9,7 +9,7 @@
 import pytest
 
 from anisespool.agent.control_client import ControlClient, Reachability, UnreachableError
-from anisespool.agent.control_protocol import FleetDrainsBody, InstanceState, InvalidStateError
+from anisespool.agent.control_protocol import FleetDrainsBody, InvalidStateError, parse_state
 from anisespool.control import routes
 from anisespool.fakes.instance import Instance
 
@@ -123,7 +123,7 @@
 
 
 def test_a_state_is_read_with_its_types_and_further_keys_are_ignored() -> None:
-    state = InstanceState.from_answer(STATE | {"version": 1, "new": "key"})
+    state = parse_state(STATE | {"version": 1, "new": "key"})
     assert (state.name, state.generation, state.drained, state.uptime_s) == ("i0", 3, ["s-1"], 1)
 
 
@@ -131,7 +131,7 @@
 def test_a_state_without_a_key_or_with_another_type_is_rejected_by_the_keys_name(key: str) -> None:
     for answer in ({name: value for name, value in STATE.items() if name != key}, STATE | {key: None}):
         with pytest.raises(InvalidStateError, match=f"its state has no {key}") as error:
-            InstanceState.from_answer(answer)
+            parse_state(answer)
         assert error.value.key == key
 
 
--- a/tests/agent/test_rollout.py
+++ b/tests/agent/test_rollout.py
@@ -7,19 +7,11 @@
 import pytest
 from hypothesis import given, strategies
 
-from anisespool.agent.rollout import (
-    Decision,
-    DesiredGeneration,
-    NewestChange,
-    RolloutAction,
-    RolloutPolicy,
-    RolloutState,
-    RolloutStatus,
-    RolloutStep,
-    desired_generation,
-    next_step,
-    state_after,
-)
+from anisespool.agent.rollout.desired_generation import DesiredGeneration, NewestChange, desired_generation
+from anisespool.agent.rollout.planner import Decision, RolloutStep, next_step
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
+from anisespool.agent.rollout.status import RolloutStatus
 
 UP_TO_DATE = RolloutStatus.UP_TO_DATE
 OUTDATED = RolloutStatus.OUTDATED
--- a/tests/agent/test_store.py
+++ b/tests/agent/test_store.py
@@ -11,7 +11,8 @@
 import pytest
 
 from anisespool.agent.desired_state import ChangeDraft, Delivery, DeliveryState, DrainSet
-from anisespool.agent.rollout import RolloutPolicy, RolloutState
+from anisespool.agent.rollout.policy import RolloutPolicy
+from anisespool.agent.rollout.state import RolloutState
 from anisespool.agent.store import change_table, delivery_table, drain_table, schema
 from anisespool.agent.store.errors import GenerationConflictError, StoreError, UnusableStoreError
 from anisespool.agent.store.schema import open_store
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -44,7 +44,12 @@
 }
 PURE = (  # modules that decide: no I/O, no clock, no asyncio; time and randomness are passed in
     "agent/desired_state.py",
-    "agent/rollout.py",
+    "agent/instance_state.py",
+    "agent/rollout/desired_generation.py",
+    "agent/rollout/planner.py",
+    "agent/rollout/policy.py",
+    "agent/rollout/state.py",
+    "agent/rollout/status.py",
     "balancer/admission/burst_capacity.py",
     "balancer/admission/controller.py",
     "balancer/admission/fleet_capacity.py",
