--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -21,7 +21,7 @@
 from anisespool.log import log_event
 
 # The instance changed meanwhile: its next state shows how.
-TRANSIENT_CODES = frozenset((ApplyDecision.BASE_MISMATCH.value, ApplyDecision.STALE.value))
+TRANSIENT_DECISIONS = frozenset((ApplyDecision.BASE_MISMATCH, ApplyDecision.STALE))
 
 
 class ChangeSender:
@@ -114,7 +114,7 @@
     async def _record_rejection(
         self, change: Change, client: ControlClient, boot: str, error: RequestRejectedError
     ) -> None:
-        if error.code not in TRANSIENT_CODES:
+        if error.decision not in TRANSIENT_DECISIONS:
             await self._record(change, [Delivery(client.name, boot, DeliveryState.REJECTED, error.text)])
             text = f"refused generation {change.generation}: {error.text}"
             self._publish(EventKind.INSTANCE, client.name, text)
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import time
+from dataclasses import dataclass
 from enum import Enum
 from http import HTTPStatus
 from pathlib import Path
@@ -34,12 +35,20 @@
     PROTOCOL_ERROR = "strange"  # what it answers is not the control protocol
 
 
+@dataclass(eq=False)
 class UnreachableError(ControlClientError):
-    """The instance gave no answer that can be used."""
+    """The instance gave no answer that can be used.
 
-    def __init__(self, reachability: Reachability, text: str) -> None:
-        super().__init__(text)
-        self.reachability = reachability
+    Attributes:
+        reachability: What that shows.
+        text: Why, for people.
+    """
+
+    reachability: Reachability
+    text: str
+
+    def __str__(self) -> str:
+        return self.text
 
 
 class ControlClient:
--- a/anisespool/agent/control_protocol.py
+++ b/anisespool/agent/control_protocol.py
@@ -12,30 +12,46 @@
 
 from anisespool.agent.errors import AgentError
 from anisespool.agent.instance_state import InstanceState
+from anisespool.control.generations import ApplyDecision
 from anisespool.control.responses import JsonObject
 
 PROTOCOL_VERSION = 1
+DECISIONS_BY_CODE = {decision.value: decision for decision in ApplyDecision}
 
 
 class ControlClientError(AgentError):
     """Base of the errors of a control request."""
 
 
+@dataclass(eq=False)
 class RequestRejectedError(ControlClientError):
-    """The instance rejected the request: a code for programs, a text for people."""
+    """The instance rejected the request.
 
-    def __init__(self, code: str, text: str) -> None:
-        super().__init__(text)
-        self.code = code
-        self.text = text
+    Attributes:
+        code: For programs: a code of docs/fleet.md, or the HTTP status.
+        text: For people.
+    """
+
+    code: str
+    text: str
+
+    def __str__(self) -> str:
+        return self.text
 
+    @property
+    def decision(self) -> ApplyDecision | None:
+        """What the instance decided about an update; None if it rejected the request for another reason."""
+        return DECISIONS_BY_CODE.get(self.code)
 
+
+@dataclass(eq=False)
 class InvalidStateError(ControlClientError):
-    """An answer that lacks a key of the instance's state, or has a value of another type."""
+    """An answer lacks the key `key` of the instance's state, or has a value of another type there."""
+
+    key: str
 
-    def __init__(self, key: str) -> None:
-        super().__init__(f"its state has no {key}")
-        self.key = key
+    def __str__(self) -> str:
+        return f"its state has no {self.key}"
 
 
 class RequestBody(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -77,13 +93,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """HTTP status and object of an answer."""
+    """HTTP status and JSON object of an answer."""
 
     status: int
     body: JsonObject
 
     def rejection(self) -> RequestRejectedError:
-        """The error that the answer reports, or its status where it has none."""
+        """Return the error that the answer reports, or one with its status where it reports none."""
         error = self.body.get("error")
         if not isinstance(error, dict):
             error = {}
@@ -112,7 +128,7 @@
 
 
 def _value(answer: JsonObject, key: str, *types: type) -> Any:
-    """The value of `key`, which has one of `types`."""
+    """Return the value of `key`, which has one of `types`."""
     value = answer.get(key)
     if not isinstance(value, types):
         raise InvalidStateError(key)
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncGenerator, Iterable
 from dataclasses import dataclass, field
 
-from anisespool.agent.call_errors import NotPossibleError
+from anisespool.agent.call_errors import DrainRejectedError
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError, ValidateBody
 from anisespool.agent.v1 import agent_pb2 as pb
@@ -69,7 +69,7 @@
     """Check that no instance would be left without an endpoint: some may see fewer endpoints than others.
 
     Raises:
-        NotPossibleError: an instance rejected it.
+        DrainRejectedError: an instance rejected it.
     """
     body = FleetDrainsBody(NEVER_OLDER_REVISION, endpoints, check=True)
     rejections: list[str] = []
@@ -84,8 +84,7 @@
 
     await asyncio.gather(*(check(client) for client in clients))
     if rejections:
-        more = f" (and {len(rejections) - 1} more)" if len(rejections) > 1 else ""
-        raise NotPossibleError(min(rejections) + more)
+        raise DrainRejectedError(rejections)
 
 
 async def members_everywhere(clients: Iterable[ControlClient]) -> AsyncGenerator[pb.PeersReply, None]:
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -16,11 +16,15 @@
 from anisespool.agent.crash_points import CrashHook, CrashPoint, never_crash
 from anisespool.agent.desired_state import Change, ChangeDraft, DeliveryState, DesiredState, DrainSet
 from anisespool.agent.drain_sender import DrainSender
-from anisespool.agent.errors import RolloutNotPossibleError
 from anisespool.agent.events import EventKind, Publish
 from anisespool.agent.fleet_status import FleetStatus
 from anisespool.agent.instance_directory import InstanceDirectory
 from anisespool.agent.rollout.desired_generation import NewestChange, desired_generation
+from anisespool.agent.rollout.errors import (
+    ActionNotPossibleError,
+    NoChangeError,
+    NotNewestGenerationError,
+)
 from anisespool.agent.rollout.planner import Decision, RolloutStep, next_step
 from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
 from anisespool.agent.rollout.status import RolloutStatus
@@ -141,11 +145,11 @@
         """A draft with the content of the last settled change before the newest, or the empty document.
 
         Raises:
-            RolloutNotPossibleError: there is no change.
+            NoChangeError: there is no change.
         """
         newest = self.desired.newest
         if newest is None:
-            raise RolloutNotPossibleError("nothing was ever applied")
+            raise NoChangeError
         generation = newest.generation
         previous = await self._store.execute(lambda db: change_table.last_settled_before(db, generation))
         if previous is None:
@@ -158,15 +162,15 @@
         """Pause, resume or abort the newest rollout. `generation`: its number, or 0.
 
         Raises:
-            RolloutNotPossibleError: the generation is not the newest, or its state does not allow the action.
+            NotNewestGenerationError: the generation is not the newest.
+            ActionNotPossibleError: its state does not allow the action.
         """
         newest = self.desired.newest
         if newest is None or generation not in (0, newest.generation):
-            raise RolloutNotPossibleError(f"generation {generation} is not the newest")
+            raise NotNewestGenerationError(generation)
         state = state_after(newest.state, action)
         if state is None:
-            text = f"generation {newest.generation} is {newest.state.value}: no {action.value}"
-            raise RolloutNotPossibleError(text)
+            raise ActionNotPossibleError(newest.generation, newest.state, action)
         if action is RolloutAction.RESUME:
             await self._clear_rejections(newest)
         await self._set_state(newest, state, f"{REASONS[action]} by {author}")
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -14,11 +14,13 @@
 from anisespool.agent.call_errors import (
     ConflictError,
     Context,
-    LimitExceededError,
-    NotFoundError,
-    NotPossibleError,
+    InstanceRejectedError,
+    InstanceUnavailableError,
+    SlowWatcherError,
     StoreUnavailableError,
-    UnavailableError,
+    TooManyWatchersError,
+    UnknownGenerationError,
+    UnknownInstanceError,
     errors_as_status,
 )
 from anisespool.agent.control_client import ControlClient, UnreachableError
@@ -41,7 +43,6 @@
 DRAIN_PROGRESS_INTERVAL_S = 0.05  # between two messages about a drain
 PROGRESS_TIMEOUT_S = 1.0  # a rollout's progress is compared at least so often
 DRAIN_TIMEOUT_S = 10.0  # a drain's stream ends by then, settled or not
-MAX_ERROR_NAME_CHARACTERS = 80
 
 
 class AgentService(agent_pb2_grpc.AgentServicer):  # type: ignore[misc]  # generated without type stubs
@@ -112,13 +113,13 @@
         """The change with this generation, or the newest if it is 0.
 
         Raises:
-            NotFoundError: the store has no such generation.
+            UnknownGenerationError: the store has no such generation.
         """
         if not generation:
             return self._reconciler.desired.newest
         change = await self._store.execute(lambda db: change_table.find_change(db, generation))
         if change is None:
-            raise NotFoundError(f"no generation {generation} is kept")
+            raise UnknownGenerationError(generation)
         return change
 
     def _target_messages(self, change: Change) -> list[pb.Target]:
@@ -148,11 +149,11 @@
         broadcaster = self._broadcaster
         async with errors_as_status(context):
             if broadcaster.is_full:
-                raise LimitExceededError(f"{broadcaster.max_watchers} watch already (agent.most_watchers)")
+                raise TooManyWatchersError(broadcaster.max_watchers)
             with broadcaster.subscribe() as queue:
                 while event := await queue.get():
                     yield event
-            raise LimitExceededError("events came faster than they were read")
+            raise SlowWatcherError
 
     # Changes --------------------------------------------------------------------------------------
 
@@ -183,7 +184,7 @@
         try:
             change = await self._reconciler.start_rollout(draft, base)
         except GenerationConflictError as error:
-            raise ConflictError(f"{error}; look at it (status) and apply again") from None
+            raise ConflictError(error) from None
         except Exception as error:  # whatever keeps the store from writing: the caller may try again
             raise StoreUnavailableError(error) from error
         last_sent = None
@@ -269,12 +270,12 @@
         """The client of an instance.
 
         Raises:
-            NotFoundError: no instance has that name.
+            UnknownInstanceError: no instance has that name.
         """
         await self._directory.synced.wait()
         client = self._directory.clients.get(name)
         if client is None:
-            raise NotFoundError(f"no instance {name[:MAX_ERROR_NAME_CHARACTERS]!r} in the folder")
+            raise UnknownInstanceError(name)
         return client
 
 
@@ -283,12 +284,12 @@
     """Fail the call where a request to an instance fails.
 
     Raises:
-        UnavailableError: the instance did not answer.
-        NotPossibleError: it rejected the request.
+        InstanceUnavailableError: the instance did not answer.
+        InstanceRejectedError: it rejected the request.
     """
     try:
         yield
     except UnreachableError as error:
-        raise UnavailableError(f"{client.name}: {error}") from None
+        raise InstanceUnavailableError(client.name, str(error)) from None
     except RequestRejectedError as error:
-        raise NotPossibleError(f"{client.name}: {error.text}") from None
+        raise InstanceRejectedError(client.name, error.text) from None
--- a/anisespool/agent/validation.py
+++ b/anisespool/agent/validation.py
@@ -6,7 +6,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from anisespool.agent.call_errors import InvalidRequestError, LimitExceededError
+from anisespool.agent.call_errors import (
+    InvalidDocumentError,
+    InvalidEndpointsError,
+    InvalidFieldError,
+    TooManyDrainsError,
+)
 from anisespool.agent.conversion import ACTIONS
 from anisespool.agent.desired_state import ChangeDraft
 from anisespool.agent.rollout.policy import RolloutPolicy
@@ -16,7 +21,6 @@
 from anisespool.config.platform import ConfigError
 
 MAX_NAME_CHARACTERS = 200
-MAX_ERROR_CHARACTERS = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,17 +32,18 @@
 
 
 def check_apply(request: pb.ApplyRequest) -> ApplyCommand:
-    """Read the document and the bounds of the rollout.
+    """Return the document and the draft of its change, with the bounds of the rollout.
 
     Raises:
-        InvalidRequestError: the document is not one that can change live, or a bound is negative.
+        InvalidDocumentError: the document is not one that can change live.
+        InvalidFieldError: a bound is negative.
     """
     try:
         document = operator.parse_live_config(json.loads(request.content_json or "{}"), "document")
     except (ConfigError, ValueError, RecursionError) as error:
-        raise InvalidRequestError(str(error)[:MAX_ERROR_CHARACTERS]) from None
+        raise InvalidDocumentError(str(error)) from None
     if min(request.wave, request.first_wave, request.most_refused, request.settle_ms) < 0:
-        raise InvalidRequestError("wave, first_wave, most_refused, settle_ms: wanted 0 or more")
+        raise InvalidFieldError("wave, first_wave, most_refused, settle_ms", "0 or more")
     draft = ChangeDraft(
         content=operator.canonical_json(document).decode(),
         digest=operator.digest(document),
@@ -57,14 +62,14 @@
 
 
 def check_action(request: pb.SteerRequest) -> RolloutAction:
-    """The action of a SteerRequest.
+    """Return the action of a SteerRequest.
 
     Raises:
-        InvalidRequestError: it names none.
+        InvalidFieldError: it names none.
     """
     action = ACTIONS.get(request.deed)
     if action is None:
-        raise InvalidRequestError("deed: wanted pause, resume or abort")
+        raise InvalidFieldError("deed", "pause, resume or abort")
     return action
 
 
@@ -72,25 +77,25 @@
     """Check the ids of a DrainRequest.
 
     Raises:
-        InvalidRequestError: there are none, or one is empty or too long.
+        InvalidEndpointsError: there are none, or one is empty or too long.
     """
     endpoints = [*request.drain, *request.undrain]
     if not endpoints or any(not 0 < len(endpoint) <= MAX_NAME_CHARACTERS for endpoint in endpoints):
-        raise InvalidRequestError("wanted endpoints' ids to drain or undrain")
+        raise InvalidEndpointsError
 
 
 def check_drained_count(request: pb.DrainRequest, current: Sequence[str]) -> list[str]:
-    """The endpoints that would be drained after a DrainRequest, sorted.
+    """Return the endpoints that would be drained after a DrainRequest, sorted.
 
     Raises:
-        LimitExceededError: they would be too many.
+        TooManyDrainsError: they would be too many.
     """
     drained = set(current) - set(request.undrain) | set(request.drain)
     if len(drained) > operator.MAX_DRAINED_ENDPOINTS:
-        raise LimitExceededError(f"at most {operator.MAX_DRAINED_ENDPOINTS} endpoints are drained at a time")
+        raise TooManyDrainsError(operator.MAX_DRAINED_ENDPOINTS)
     return sorted(drained)
 
 
 def bounded_name(text: str) -> str:
-    """An author or note, cut to the length that is stored."""
+    """Return an author or note, cut to the length that is stored."""
     return text[:MAX_NAME_CHARACTERS]
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -44,8 +44,10 @@
 }
 PURE = (  # modules that decide: no I/O, no clock, no asyncio; time and randomness are passed in
     "agent/desired_state.py",
+    "agent/errors.py",
     "agent/instance_state.py",
     "agent/rollout/desired_generation.py",
+    "agent/rollout/errors.py",
     "agent/rollout/planner.py",
     "agent/rollout/policy.py",
     "agent/rollout/state.py",
