--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -6,20 +6,20 @@
 import json
 import sqlite3
 import time
-from collections.abc import Callable
 
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import ApplyBody, RequestRejectedError
-from anisespool.agent.crash_points import CrashHook, CrashPoint
-from anisespool.agent.desired_state import Change, Delivery, DeliveryState, DesiredState
-from anisespool.agent.events import EventKind, Publish
-from anisespool.agent.store import delivery_table
-from anisespool.agent.store.writer import StoreWriter
+from anisespool.agent.crash_points import CrashPoint
+from anisespool.agent.delivery_hooks import DeliveryHooks
+from anisespool.agent.desired_state import Change, Delivery, DeliveryState
+from anisespool.agent.desired_state_repository import DesiredStateRepository
+from anisespool.agent.events import EventKind
 from anisespool.agent.task_scope import TaskScope
 from anisespool.control import routes
 from anisespool.control.generations import ApplyDecision
 from anisespool.log import log_event
 
+MS_PER_S = 1000
 # The instance changed meanwhile: its next state shows how.
 TRANSIENT_DECISIONS = frozenset((ApplyDecision.BASE_MISMATCH, ApplyDecision.STALE))
 
@@ -31,27 +31,21 @@
     from what they report.
 
     Attributes:
-        in_flight: the deliveries that are under way, by instance; the reconciler's loop ends them.
+        in_flight: The deliveries that are under way, by instance; the reconciler's loop ends them.
     """
 
     def __init__(
         self,
-        store: StoreWriter,
-        desired: DesiredState,
+        repository: DesiredStateRepository,
         gate: asyncio.Semaphore,
-        publish: Publish,
-        poll_now: Callable[[str], None],
-        on_done: Callable[[], None],
-        at_crash_point: CrashHook,
+        hooks: DeliveryHooks,
     ) -> None:
+        """Send nothing yet; `gate` bounds the concurrent requests to instances."""
         self.in_flight = TaskScope()  # by instance
-        self._store = store
-        self._desired = desired
+        self._repository = repository
+        self._desired = repository.desired
         self._gate = gate
-        self._publish = publish
-        self._poll_now = poll_now
-        self._on_done = on_done
-        self._at_crash_point = at_crash_point
+        self._hooks = hooks
         self._settles_at = 0.0  # time.monotonic(): end of the pause after the last wave
 
     @property
@@ -72,8 +66,8 @@
         deliveries = [
             Delivery(client.name, client.state.boot, DeliveryState.SENT) for client in clients if client.state
         ]
-        await self._record(change, deliveries)
-        self._at_crash_point(CrashPoint.WAVE_RECORDED)
+        await self._repository.record_deliveries(change, deliveries)
+        self._hooks.at_crash_point(CrashPoint.WAVE_RECORDED)
         for client in clients:
             self.in_flight.start(client.name, self._send_to(change, client))
 
@@ -86,8 +80,8 @@
         finally:
             self.in_flight.remove(client.name)
             if not self.in_flight:
-                self._settles_at = time.monotonic() + change.settle_ms / 1e3
-            self._on_done()
+                self._settles_at = time.monotonic() + change.settle_ms / MS_PER_S
+            self._hooks.on_done()
 
     async def _apply(self, change: Change, client: ControlClient) -> None:
         """One request to one instance, and the record of its outcome."""
@@ -97,36 +91,33 @@
         assert client.state
         boot = client.state.boot
         body = _apply_body(change, client.state.digest)
-        self._at_crash_point(CrashPoint.SENDING)
+        self._hooks.at_crash_point(CrashPoint.SENDING)
         try:
             await client.request_change(routes.APPLY_CONFIG, body)
         except UnreachableError as error:
             client.record_unreachable(error)
-            self._poll_now(client.name)
+            self._hooks.poll_now(client.name)
             return
         except RequestRejectedError as error:
             await self._record_rejection(change, client, boot, error)
             return
-        self._at_crash_point(CrashPoint.ANSWERED)
-        await self._record(change, [Delivery(client.name, boot, DeliveryState.CONFIRMED)])
-        self._at_crash_point(CrashPoint.CONFIRMED)
+        self._hooks.at_crash_point(CrashPoint.ANSWERED)
+        await self._repository.record_deliveries(
+            change, [Delivery(client.name, boot, DeliveryState.CONFIRMED)]
+        )
+        self._hooks.at_crash_point(CrashPoint.CONFIRMED)
 
     async def _record_rejection(
         self, change: Change, client: ControlClient, boot: str, error: RequestRejectedError
     ) -> None:
         if error.decision not in TRANSIENT_DECISIONS:
-            await self._record(change, [Delivery(client.name, boot, DeliveryState.REJECTED, error.text)])
+            await self._repository.record_deliveries(
+                change, [Delivery(client.name, boot, DeliveryState.REJECTED, error.text)]
+            )
             text = f"refused generation {change.generation}: {error.text}"
-            self._publish(EventKind.INSTANCE, client.name, text)
+            self._hooks.publish(EventKind.INSTANCE, client.name, text)
         await client.poll()
 
-    async def _record(self, change: Change, deliveries: list[Delivery]) -> None:
-        await self._store.execute(
-            lambda db: delivery_table.record_deliveries(db, change.generation, deliveries)
-        )
-        if self._desired.is_newest(change):
-            self._desired.deliveries.update({delivery.instance: delivery for delivery in deliveries})
-
 
 def _apply_body(change: Change, current_digest: str) -> ApplyBody:
     """The request that makes an instance replace the document of `current_digest` by that of `change`."""
--- a/anisespool/agent/desired_state.py
+++ b/anisespool/agent/desired_state.py
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class DesiredState:
-    """What every instance should have. Owned by the reconciler, which keeps it equal to the store.
+    """What every instance should have. Owned by DesiredStateRepository, which keeps it equal to the store.
 
     Attributes:
         newest: The newest change; None before the first one.
--- /dev/null
+++ b/anisespool/agent/desired_state_repository.py
@@ -0,0 +1,123 @@
+"""The one place that changes the desired state: in the store first, then in memory."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import replace
+
+from anisespool.agent.crash_points import CrashHook, CrashPoint
+from anisespool.agent.desired_state import (
+    Change,
+    ChangeDraft,
+    Delivery,
+    DeliveryState,
+    DesiredState,
+    DrainSet,
+)
+from anisespool.agent.events import EventKind, Publish
+from anisespool.agent.rollout.state import RolloutState
+from anisespool.agent.store import change_table, delivery_table, drain_table
+from anisespool.agent.store.writer import StoreWriter
+
+
+class DesiredStateRepository:
+    """Owner of the desired state, and of its rows in the store.
+
+    Its methods raise sqlite3.Error where the store can't be read or written.
+
+    Attributes:
+        desired: As last read or written. Others read it, and change it through this class alone.
+    """
+
+    def __init__(self, store: StoreWriter, publish: Publish, at_crash_point: CrashHook) -> None:
+        self.desired = DesiredState()
+        self._store = store
+        self._publish = publish
+        self._at_crash_point = at_crash_point
+
+    async def load(self) -> None:
+        """Read the desired state from the store, after a start."""
+        self.desired.newest = await self._store.execute(change_table.newest_change)
+        await self.load_rollout()
+        self.desired.drains = await self._store.execute(drain_table.load_drains)
+
+    async def load_rollout(self) -> None:
+        """Read what belongs to the newest change: the settled change before it, and its deliveries."""
+        newest = self.desired.newest
+        if newest is None:
+            return
+        generation = newest.generation
+        self.desired.last_settled = await self.last_settled_before(newest)
+        self.desired.deliveries = await self._store.execute(
+            lambda db: delivery_table.load_deliveries(db, generation)
+        )
+
+    async def last_settled_before(self, change: Change) -> Change | None:
+        """Return the newest settled change before `change`, None if there is none."""
+        return await self._store.execute(lambda db: change_table.last_settled_before(db, change.generation))
+
+    async def insert_change(self, draft: ChangeDraft, base: int, highest_observed: int) -> Change:
+        """Make `draft` the newest change, without deliveries; `load_rollout` reads what belongs to it.
+
+        Args:
+            draft: The change.
+            base: Generation that the author read as the newest, or `change_table.ANY_BASE`.
+            highest_observed: Highest generation that any instance reports.
+
+        Raises:
+            GenerationConflictError: `base` is not the newest generation.
+        """
+        change = await self._store.execute(
+            lambda db: change_table.insert_change(db, draft, base, highest_observed)
+        )
+        self._at_crash_point(CrashPoint.RECORDED)
+        self.desired.newest = change
+        self.desired.deliveries = {}
+        return change
+
+    async def set_state(self, change: Change, state: RolloutState, reason: str) -> None:
+        """Record and publish a transition of a change, unless another one was recorded first."""
+        was_recorded = await self._store.execute(
+            lambda db: change_table.update_state(db, change.generation, change.state, state, reason)
+        )
+        if was_recorded and self.desired.newest and self.desired.is_newest(change):
+            self.desired.newest = replace(self.desired.newest, state=state, reason=reason)
+            if state is RolloutState.RUNNING:
+                await self.load_rollout()
+            text = f"{state.value} {reason}".strip()
+            self._publish(EventKind.CHANGE, str(change.generation), text)
+
+    async def record_deliveries(self, change: Change, deliveries: Sequence[Delivery]) -> None:
+        """Record deliveries of a change, in place of earlier ones to the same instances."""
+        await self._store.execute(
+            lambda db: delivery_table.record_deliveries(db, change.generation, deliveries)
+        )
+        if self.desired.is_newest(change):
+            self.desired.deliveries.update({delivery.instance: delivery for delivery in deliveries})
+
+    async def clear_rejections(self, newest: Change) -> None:
+        """Delete the rejections of the newest change, so that it is sent to those instances again."""
+        await self._store.execute(lambda db: delivery_table.clear_rejections(db, newest.generation))
+        # The loop may compare before the store is read again; a cleared rejection would pause the rollout.
+        self.desired.deliveries = {
+            name: delivery
+            for name, delivery in self.desired.deliveries.items()
+            if delivery.state is not DeliveryState.REJECTED
+        }
+
+    async def update_drains(
+        self, drain: Sequence[str], undrain: Sequence[str], author: str, highest_observed: int
+    ) -> DrainSet:
+        """Drain endpoints on every instance, and end the drains of others.
+
+        Args:
+            drain: Ids of endpoints to drain.
+            undrain: Ids of endpoints to undrain.
+            author: Operator who requested it.
+            highest_observed: Highest revision that any instance reports.
+        """
+        self.desired.drains = await self._store.execute(
+            lambda db: drain_table.update_drains(db, drain, undrain, author, highest_observed)
+        )
+        self._at_crash_point(CrashPoint.DRAIN_RECORDED)
+        return self.desired.drains
--- a/anisespool/agent/drain_sender.py
+++ b/anisespool/agent/drain_sender.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError
-from anisespool.agent.crash_points import CrashHook, CrashPoint
+from anisespool.agent.crash_points import CrashPoint
+from anisespool.agent.delivery_hooks import DeliveryHooks
 from anisespool.agent.desired_state import DrainSet
 from anisespool.agent.task_scope import TaskScope
 from anisespool.control import routes
@@ -18,16 +18,14 @@
     """The drains that are in flight, at most one for each instance.
 
     Attributes:
-        in_flight: the deliveries that are under way, by instance; the reconciler's loop ends them.
+        in_flight: The deliveries that are under way, by instance; the reconciler's loop ends them.
     """
 
-    def __init__(
-        self, gate: asyncio.Semaphore, on_done: Callable[[], None], at_crash_point: CrashHook
-    ) -> None:
+    def __init__(self, gate: asyncio.Semaphore, hooks: DeliveryHooks) -> None:
+        """Send nothing yet; `gate` bounds the concurrent requests to instances."""
         self.in_flight = TaskScope()
         self._gate = gate
-        self._on_done = on_done
-        self._at_crash_point = at_crash_point
+        self._hooks = hooks
 
     def send_where_outdated(self, clients: list[ControlClient], drains: DrainSet) -> None:
         """Start a delivery to each of `clients` that reports an older revision and has none in flight."""
@@ -41,7 +39,7 @@
         try:
             async with self._gate:
                 await client.request_change(routes.SET_FLEET_DRAINS, body)
-            self._at_crash_point(CrashPoint.DRAIN_DELIVERED)
+            self._hooks.at_crash_point(CrashPoint.DRAIN_DELIVERED)
         except UnreachableError as error:
             client.record_unreachable(error)
         except RequestRejectedError as error:
@@ -49,4 +47,4 @@
             await client.poll()
         finally:
             self.in_flight.remove(client.name)
-            self._on_done()
+            self._hooks.on_done()
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -18,8 +18,10 @@
 
 from anisespool.agent.control_client import ControlClient
 from anisespool.agent.crash_points import CrashHook, never_crash
+from anisespool.agent.desired_state_repository import DesiredStateRepository
 from anisespool.agent.events import ChangeSignal, EventBroadcaster, EventKind
 from anisespool.agent.instance_directory import InstanceDirectory
+from anisespool.agent.operator_commands import OperatorCommands
 from anisespool.agent.reconciler import Reconciler
 from anisespool.agent.service import AgentService
 from anisespool.agent.store.errors import StoreError
@@ -80,18 +82,21 @@
         store = await resources.enter_async_context(StoreWriter(open_store(state_directory / "agent.db")))
         change_signal = ChangeSignal()
         broadcaster = EventBroadcaster(settings.max_watchers)
+        repository = DesiredStateRepository(store, broadcaster.publish, at_crash_point)
         reconciler = _create_reconciler(
-            control_directory, settings, store, broadcaster, change_signal, at_crash_point
+            control_directory, settings, repository, broadcaster, change_signal, at_crash_point
         )
-        await reconciler.load()
-        server = await _create_server(settings, AgentService(reconciler, store, broadcaster, change_signal))
+        commands = OperatorCommands(reconciler, repository, broadcaster.publish)
+        await repository.load()
+        service = AgentService(reconciler, commands, store, broadcaster, change_signal)
+        server = await _create_server(settings, service)
         await _run_until_stopped(server, reconciler, settings, on_ready, stop)
 
 
 def _create_reconciler(
     control_directory: Path,
     settings: AgentOptions,
-    store: StoreWriter,
+    repository: DesiredStateRepository,
     broadcaster: EventBroadcaster,
     change_signal: ChangeSignal,
     at_crash_point: CrashHook,
@@ -109,7 +114,9 @@
         change_signal.notify_all()
 
     directory = InstanceDirectory(control_directory, settings, on_poll)
-    reconciler = Reconciler(directory, store, settings, broadcaster.publish, at_crash_point)
+    reconciler = Reconciler(
+        directory, repository, settings.max_concurrent_requests, broadcaster.publish, at_crash_point
+    )
     return reconciler
 
 
--- /dev/null
+++ b/anisespool/agent/operator_commands.py
@@ -0,0 +1,113 @@
+"""Commands of operators that change the desired state: rollouts and their control, rollbacks, drains."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import replace
+
+from anisespool.agent.desired_state import Change, ChangeDraft, DrainSet
+from anisespool.agent.desired_state_repository import DesiredStateRepository
+from anisespool.agent.events import EventKind, Publish
+from anisespool.agent.reconciler import Reconciler
+from anisespool.agent.rollout.errors import (
+    ActionNotPossibleError,
+    NoChangeError,
+    NotNewestGenerationError,
+)
+from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
+from anisespool.config.operator import LiveConfig, digest
+
+MAX_EVENT_CHARACTERS = 300
+EMPTY_DOCUMENT = "{}"  # the instances' own files
+EMPTY_DIGEST = digest(LiveConfig())
+REASONS = {RolloutAction.PAUSE: "paused", RolloutAction.RESUME: "resumed", RolloutAction.ABORT: "aborted"}
+
+
+class OperatorCommands:
+    """Changes the desired state by an operator's command; the reconciler brings it about.
+
+    Every method but `rollback_draft` raises sqlite3.Error where the store could not be written.
+    """
+
+    def __init__(self, reconciler: Reconciler, repository: DesiredStateRepository, publish: Publish) -> None:
+        self._reconciler = reconciler
+        self._repository = repository
+        self._desired = repository.desired
+        self._status = reconciler.status
+        self._publish = publish
+
+    async def start_rollout(self, draft: ChangeDraft, base: int) -> Change:
+        """Make `draft` the newest change and start its rollout.
+
+        Args:
+            draft: The change.
+            base: Generation that the author read as the newest, or `change_table.ANY_BASE`.
+
+        Raises:
+            GenerationConflictError: `base` is not the newest generation.
+        """
+        highest_observed = self._status.highest_generation()
+        newest = self._desired.newest
+        if newest and self._reconciler.is_about_to_settle(newest):
+            await self._repository.set_state(newest, RolloutState.SETTLED, "")  # which was not recorded yet
+            self._reconciler.wake()
+        change = await self._repository.insert_change(draft, base, highest_observed)
+        self._reconciler.skip_settle_time()
+        await self._repository.load_rollout()
+        text = f"by {change.author}: {change.note}".rstrip(": ")
+        self._publish(EventKind.CHANGE, str(change.generation), text)
+        self._reconciler.wake()
+        return change
+
+    async def rollback_draft(self, author: str) -> ChangeDraft:
+        """Return a draft with the content of the last settled change before the newest, or no content.
+
+        Raises:
+            NoChangeError: there is no change.
+        """
+        newest = self._desired.newest
+        if newest is None:
+            raise NoChangeError
+        previous = await self._repository.last_settled_before(newest)
+        if previous is None:
+            note = f"back from {newest.generation} to the instances' own files"
+            return ChangeDraft(EMPTY_DOCUMENT, EMPTY_DIGEST, author, note, newest.policy)
+        note = f"back from {newest.generation} to generation {previous.generation}"
+        return ChangeDraft(previous.content, previous.digest, author, note, newest.policy)
+
+    async def control_rollout(self, action: RolloutAction, generation: int, author: str) -> Change:
+        """Pause, resume or abort the newest rollout, and return its change in the new state.
+
+        Args:
+            action: What to do.
+            generation: Of the newest change, or 0.
+            author: Operator who requested it.
+
+        Raises:
+            NotNewestGenerationError: the generation is not the newest.
+            ActionNotPossibleError: its state does not allow the action.
+        """
+        newest = self._desired.newest
+        if newest is None or generation not in (0, newest.generation):
+            raise NotNewestGenerationError(generation)
+        state = state_after(newest.state, action)
+        if state is None:
+            raise ActionNotPossibleError(newest.generation, newest.state, action)
+        if action is RolloutAction.RESUME:
+            # A rejection that is still in flight would be recorded after this, and pause the rollout again.
+            await self._reconciler.wait_for_deliveries()
+            await self._repository.clear_rejections(newest)
+        await self._repository.set_state(newest, state, f"{REASONS[action]} by {author}")
+        self._reconciler.wake()
+        return replace(newest, state=state)
+
+    async def update_drains(self, drain: Sequence[str], undrain: Sequence[str], author: str) -> DrainSet:
+        """Drain endpoints on every instance, end the drains of others, and start to send the new set."""
+        highest_observed = self._status.highest_drains_revision()
+        drains = await self._repository.update_drains(drain, undrain, author, highest_observed)
+        actions = [f"drain {endpoint}" for endpoint in drain]
+        actions += [f"undrain {endpoint}" for endpoint in undrain]
+        text = f"by {author}: {', '.join(actions)}"[:MAX_EVENT_CHARACTERS]
+        self._publish(EventKind.DRAIN, str(drains.revision), text)
+        self._reconciler.send_drains()  # at once: a drain does not wait for the loop
+        return drains
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -27,6 +27,7 @@
 from anisespool.agent.control_protocol import ControlClientError, EndpointBody, RequestRejectedError
 from anisespool.agent.desired_state import Change, ChangeDraft
 from anisespool.agent.events import ChangeSignal, EventBroadcaster
+from anisespool.agent.operator_commands import OperatorCommands
 from anisespool.agent.reconciler import Reconciler
 from anisespool.agent.rollout.state import RolloutState
 from anisespool.agent.rollout.status import RolloutStatus
@@ -51,11 +52,13 @@
     def __init__(
         self,
         reconciler: Reconciler,
+        commands: OperatorCommands,
         store: StoreWriter,
         broadcaster: EventBroadcaster,
         change_signal: ChangeSignal,
     ) -> None:
-        self._reconciler = reconciler
+        self._commands = commands
+        self._desired = reconciler.desired
         self._directory = reconciler.directory
         self._status = reconciler.status
         self._store = store
@@ -92,12 +95,11 @@
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
         """One change, the status of each instance against it, the latest changes and the drains."""
         await self._directory.synced.wait()
-        desired = self._reconciler.desired
         history = await self._store.execute(lambda db: change_table.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
             history=[conversion.change_message(change) for change in history],
-            drains=desired.drains.endpoints,
-            drains_revision=desired.drains.revision,
+            drains=self._desired.drains.endpoints,
+            drains_revision=self._desired.drains.revision,
             store=self._store.last_error or "ok",
         )
         async with errors_as_status(context):
@@ -105,7 +107,7 @@
         if change:
             reply.change.CopyFrom(conversion.change_message(change))
             reply.targets.extend(self._target_messages(change))
-            if desired.is_newest(change):
+            if self._desired.is_newest(change):
                 reply.progress.CopyFrom(self._progress(change))
         return reply
 
@@ -116,7 +118,7 @@
             UnknownGenerationError: the store has no such generation.
         """
         if not generation:
-            return self._reconciler.desired.newest
+            return self._desired.newest
         change = await self._store.execute(lambda db: change_table.find_change(db, generation))
         if change is None:
             raise UnknownGenerationError(generation)
@@ -124,7 +126,7 @@
 
     def _target_messages(self, change: Change) -> list[pb.Target]:
         clients = sorted(self._status.targets(), key=lambda client: client.name)
-        if self._reconciler.desired.is_newest(change):
+        if self._desired.is_newest(change):
             return [
                 conversion.target_message(
                     client.name, self._status.status_of(client), self._status.detail_of(client)
@@ -174,7 +176,7 @@
         await self._directory.synced.wait()
         async with errors_as_status(context):
             author = validation.bounded_name(request.author)
-            draft = await self._reconciler.rollback_draft(author)
+            draft = await self._commands.rollback_draft(author)
             policy = draft.policy._replace(wave_size=max(0, request.wave), first_wave_size=0)
             async for progress in self._roll_out(replace(draft, policy=policy), request.base_generation):
                 yield progress
@@ -182,14 +184,14 @@
     async def _roll_out(self, draft: ChangeDraft, base: int) -> AsyncIterator[pb.Progress]:
         """Start a rollout and stream its progress until it is no longer running."""
         try:
-            change = await self._reconciler.start_rollout(draft, base)
+            change = await self._commands.start_rollout(draft, base)
         except GenerationConflictError as error:
             raise ConflictError(error) from None
         except Exception as error:  # whatever keeps the store from writing: the caller may try again
             raise StoreUnavailableError(error) from error
         last_sent = None
         while True:
-            newest = self._reconciler.desired.newest
+            newest = self._desired.newest
             if newest is None or newest.generation != change.generation:
                 yield pb.Progress(generation=change.generation, state=RolloutState.SUPERSEDED.value)
                 return
@@ -207,7 +209,7 @@
         async with errors_as_status(context):
             action = validation.check_action(request)
             author = validation.bounded_name(request.author)
-            change = await self._reconciler.control_rollout(action, request.generation, author)
+            change = await self._commands.control_rollout(action, request.generation, author)
         return self._progress(change)
 
     async def Drain(self, request: pb.DrainRequest, context: Context) -> AsyncIterator[pb.DrainProgress]:
@@ -221,7 +223,7 @@
             revision = await self._start_drain(request)
         deadline = time.monotonic() + DRAIN_TIMEOUT_S
         while True:
-            drains = self._reconciler.desired.drains
+            drains = self._desired.drains
             progress = conversion.drain_progress_message(self._status.targets(), revision, drains)
             yield progress
             if progress.settled or time.monotonic() >= deadline:
@@ -230,12 +232,12 @@
 
     async def _start_drain(self, request: pb.DrainRequest) -> int:
         """Record the drains and start to send them; the new revision."""
-        drained = validation.check_drained_count(request, self._reconciler.desired.drains.endpoints)
+        drained = validation.check_drained_count(request, self._desired.drains.endpoints)
         if request.drain and not request.force:
             await fan_out.check_drains_everywhere(self._status.reachable_targets(), drained)
         author = validation.bounded_name(request.author)
         try:
-            drains = await self._reconciler.update_drains(request.drain, request.undrain, author)
+            drains = await self._commands.update_drains(request.drain, request.undrain, author)
         except Exception as error:  # whatever keeps the store from writing: the caller may try again
             raise StoreUnavailableError(error) from error
         return drains.revision
