--- a/anisespool/agent/instance_directory.py
+++ b/anisespool/agent/instance_directory.py
@@ -1,4 +1,4 @@
-"""The instances of one machine: their sockets in the control directory, each polled in its own time."""
+"""The instances of one machine: their sockets in the control directory, each polled at its own interval."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import random
 import stat
 from collections.abc import Callable
+from enum import Enum
 from pathlib import Path
 from typing import NamedTuple
 
@@ -19,10 +20,13 @@
 POLL_JITTER_SHARE = 0.2  # of the poll interval, so that the instances are not polled in step
 SYNC_CHECK_INTERVAL_S = 0.01
 
-# What changed at an instance, beside its reachability and its phase: words of the events of agent.proto.
-CHANGE_FOUND = "found"
-CHANGE_RESTARTED = "restarted"
-CHANGE_LEFT = "left"
+
+class InstanceChange(Enum):
+    """What changed at an instance, beside its reachability and phase. The values appear in its events."""
+
+    FOUND = "found"
+    RESTARTED = "restarted"
+    LEFT = "left"
 
 
 class _Observation(NamedTuple):
@@ -37,15 +41,20 @@
     """Every socket in the directory has a client and a task that polls it; at most `max_instances` of them.
 
     `on_poll` is called after each poll, and when a socket is removed, with the client and what changed
-    (empty: nothing did).
+    (None: nothing did).
+
+    Attributes:
+        directory: The control directory.
+        clients: By the instance's name.
+        synced: Set when every instance of the first scan has been polled once.
     """
 
     def __init__(
-        self, directory: Path, settings: AgentOptions, on_poll: Callable[[ControlClient, str], None]
+        self, directory: Path, settings: AgentOptions, on_poll: Callable[[ControlClient, str | None], None]
     ) -> None:
         self.directory = directory
-        self.clients: dict[str, ControlClient] = {}  # by the instance's name
-        self.synced = asyncio.Event()  # every instance of the first scan has been polled once
+        self.clients: dict[str, ControlClient] = {}
+        self.synced = asyncio.Event()
         self._settings = settings
         self._on_poll = on_poll
         self._pollers = TaskScope()  # by the instance's name
@@ -83,7 +92,7 @@
             self._add(name, found[name])
 
     def _find_sockets(self) -> dict[str, Path]:
-        """Paths of the instances' sockets by name. Whatever else is in the directory is ignored."""
+        """Return the paths of the sockets by instance. Whatever else is in the directory is ignored."""
         found = {}
         try:
             with os.scandir(self.directory) as entries:
@@ -108,7 +117,7 @@
         del self._poll_requests[name]
         self._pollers.cancel(name)
         client.close()
-        self._on_poll(client, CHANGE_LEFT)
+        self._on_poll(client, InstanceChange.LEFT.value)
 
     async def _poll_forever(self, client: ControlClient, poll_request: asyncio.Event) -> None:
         while True:
@@ -143,15 +152,15 @@
     return _Observation(client.reachability, state.boot if state else None, state.phase if state else None)
 
 
-def _describe_change(before: _Observation, after: _Observation) -> str:
-    """What changed between two polls, in one word of the events of agent.proto; empty if nothing did.
+def _describe_change(before: _Observation, after: _Observation) -> str | None:
+    """Return what changed between two polls, as events of agent.proto name it; None if nothing did.
 
-    CHANGE_FOUND, CHANGE_RESTARTED, the new reachability, or the new phase.
+    A value of InstanceChange, the new reachability, or the new phase.
     """
     if before.reachability is Reachability.UNKNOWN:
-        return CHANGE_FOUND
+        return InstanceChange.FOUND.value
     if before.reachability is not after.reachability:
         return after.reachability.value
     if after.reachability is Reachability.REACHABLE and before.boot != after.boot:
-        return CHANGE_RESTARTED
-    return str(after.phase) if before.phase != after.phase else ""
+        return InstanceChange.RESTARTED.value
+    return after.phase if before.phase != after.phase else None
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -1,4 +1,4 @@
-"""The agent as a program: its directories, lock, listeners and shutdown."""
+"""The agent as a program: its directories, lock and parts, start and shutdown."""
 
 from __future__ import annotations
 
@@ -10,16 +10,12 @@
 from contextlib import AsyncExitStack
 from enum import IntEnum
 from pathlib import Path
-from typing import Any
-
-import grpc
-from grpc_health.v1 import health, health_pb2, health_pb2_grpc
-from grpc_reflection.v1alpha import reflection
 
 from anisespool.agent.control_client import ControlClient
 from anisespool.agent.crash_points import CrashHook, never_crash
 from anisespool.agent.desired_state_repository import DesiredStateRepository
 from anisespool.agent.events import ChangeSignal, EventBroadcaster, EventKind
+from anisespool.agent.grpc_server import GrpcServer, create_server
 from anisespool.agent.instance_directory import InstanceDirectory
 from anisespool.agent.operator_commands import OperatorCommands
 from anisespool.agent.reconciler import Reconciler
@@ -27,25 +23,13 @@
 from anisespool.agent.store.errors import StoreError
 from anisespool.agent.store.schema import open_store
 from anisespool.agent.store.writer import StoreWriter
-from anisespool.agent.v1 import agent_pb2, agent_pb2_grpc
-from anisespool.config.operator import MAX_DOCUMENT_BYTES, AgentOptions, OperatorConfig
+from anisespool.config.operator import AgentOptions, OperatorConfig
 from anisespool.config.platform import ConfigError
 from anisespool.control.errors import AlreadyLockedError
-from anisespool.control.socket_directory import (
-    MAX_SOCKET_PATH_BYTES,
-    acquire_lock,
-    prepare_directory,
-)
+from anisespool.control.socket_directory import acquire_lock, prepare_directory
 from anisespool.log import log_event
 
-SERVICE_NAME = agent_pb2.DESCRIPTOR.services_by_name["Agent"].full_name
-MAX_CONCURRENT_REQUESTS = 256
 SHUTDOWN_GRACE_S = 1.0  # for calls that are open at the end
-SERVER_OPTIONS = {
-    "grpc.max_receive_message_length": 4 * MAX_DOCUMENT_BYTES,
-    "grpc.max_concurrent_streams": MAX_CONCURRENT_REQUESTS,
-    "grpc.so_reuseport": 0,
-}
 
 
 class ExitStatus(IntEnum):
@@ -67,6 +51,12 @@
 ) -> None:
     """Run the agent until `stop` is set; without it, until SIGTERM or SIGINT.
 
+    Args:
+        file: The operator's file.
+        on_ready: Called when the agent listens on its sockets.
+        stop: Ends the agent.
+        at_crash_point: Called at each crash point.
+
     Raises:
         ConfigError: the file, a directory or an address can't be used.
         StoreError: the database can't be used.
@@ -89,7 +79,7 @@
         commands = OperatorCommands(reconciler, repository, broadcaster.publish)
         await repository.load()
         service = AgentService(reconciler, commands, store, broadcaster, change_signal)
-        server = await _create_server(settings, service)
+        server = await create_server(settings, service)
         await _run_until_stopped(server, reconciler, settings, on_ready, stop)
 
 
@@ -101,12 +91,12 @@
     change_signal: ChangeSignal,
     at_crash_point: CrashHook,
 ) -> Reconciler:
-    """The reconciler and its instances. Each poll wakes the loop and the streams; a change is an event.
+    """Return the reconciler of all instances. Each poll wakes the loop and the streams; a change is an event.
 
     The directory and the reconciler refer to each other; no instance is polled before both exist and run.
     """
 
-    def on_poll(client: ControlClient, change: str) -> None:
+    def on_poll(client: ControlClient, change: str | None) -> None:
         if change:
             log_event("instance_changed", instance=client.name, change=change, error=client.detail)
             broadcaster.publish(EventKind.INSTANCE, client.name, f"{change} {client.detail}".strip())
@@ -121,7 +111,7 @@
 
 
 async def _run_until_stopped(
-    server: Any,
+    server: GrpcServer,
     reconciler: Reconciler,
     settings: AgentOptions,
     on_ready: Callable[[], None],
@@ -148,7 +138,7 @@
 
 
 def _acquire_state_lock(state_directory: Path) -> int:
-    """The lock's descriptor. Two agents on one state would each undo what the other does.
+    """Return the lock's descriptor. Two agents on one state would each undo what the other does.
 
     Raises:
         ConfigError: another agent holds it.
@@ -160,71 +150,13 @@
 
 
 def _stop_on_signal() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
+    """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     return stop
 
 
-async def _create_server(settings: AgentOptions, service: AgentService) -> Any:
-    """The gRPC server with health checks and reflection, bound to its addresses.
-
-    Raises:
-        ConfigError: an address can't be used.
-    """
-    server = grpc.aio.server(
-        options=list(SERVER_OPTIONS.items()), maximum_concurrent_rpcs=MAX_CONCURRENT_REQUESTS
-    )
-    agent_pb2_grpc.add_AgentServicer_to_server(service, server)
-    health_service = health.aio.HealthServicer()
-    health_pb2_grpc.add_HealthServicer_to_server(health_service, server)
-    serving = health_pb2.HealthCheckResponse.SERVING
-    await health_service.set(SERVICE_NAME, serving)
-    await health_service.set("", serving)
-    service_names = [SERVICE_NAME, health.SERVICE_NAME, reflection.SERVICE_NAME]
-    reflection.enable_server_reflection(service_names, server)
-    _bind_unix_socket(server, settings.socket_path)
-    if settings.tcp_address:
-        try:
-            server.add_secure_port(settings.tcp_address, _tls_credentials(settings))
-        except (OSError, RuntimeError) as error:
-            raise ConfigError(f"agent.tcp: {error}") from None
-    return server
-
-
-def _bind_unix_socket(server: Any, path: Path) -> None:
-    """Replace a socket that an earlier agent left; `path` must fit into a socket's address."""
-    path.unlink(missing_ok=True)
-    if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES:
-        raise ConfigError(f"agent.state: {path} is longer than {MAX_SOCKET_PATH_BYTES} bytes")
-    server.add_insecure_port(f"unix:{path}")
-
-
-def _tls_credentials(settings: AgentOptions) -> Any:
-    """Mutual TLS, and nothing less: whoever reaches this port may change the whole fleet.
-
-    Raises:
-        ConfigError: a file can't be read.
-    """
-    key_pem = _read_pem("key", settings.key_file)
-    certificate_pem = _read_pem("certificate", settings.certificate_file)
-    clients_ca_pem = _read_pem("clients_ca", settings.client_ca_file)
-    return grpc.ssl_server_credentials([(key_pem, certificate_pem)], clients_ca_pem, require_client_auth=True)
-
-
-def _read_pem(key: str, path: str | None) -> bytes:
-    """The content of the file that `agent.KEY` of the operator's file names.
-
-    Raises:
-        ConfigError: it can't be read.
-    """
-    try:
-        return Path(path or "").read_bytes()
-    except OSError as error:
-        raise ConfigError(f"agent.{key}: {error.strerror}: {path}") from None
-
-
 def main(file: OperatorConfig, at_crash_point: CrashHook = never_crash) -> int:
     """Run the agent until a signal stops it, and return the process's exit status."""
     try:
--- a/tests/agent/test_service.py
+++ b/tests/agent/test_service.py
@@ -15,7 +15,7 @@
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha import reflection_pb2, reflection_pb2_grpc
 
-from anisespool.agent import events, main
+from anisespool.agent import events, grpc_server, main
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.agent.v1 import agent_pb2_grpc
 from anisespool.config import operator
@@ -190,12 +190,12 @@
         grpc.aio.secure_channel(tls.address, tls.with_certificate) as channel,
     ):
         health = health_pb2_grpc.HealthStub(channel)
-        answer = await health.Check(health_pb2.HealthCheckRequest(service=main.SERVICE_NAME))
+        answer = await health.Check(health_pb2.HealthCheckRequest(service=grpc_server.SERVICE_NAME))
         assert answer.status == health_pb2.HealthCheckResponse.SERVING
         listing = reflection_pb2.ServerReflectionRequest(list_services="")
         stream = reflection_pb2_grpc.ServerReflectionStub(channel).ServerReflectionInfo(iter([listing]))
         names = [one.name async for reply in stream for one in reply.list_services_response.service]
-        assert main.SERVICE_NAME in names
+        assert grpc_server.SERVICE_NAME in names
 
 
 async def test_a_second_agent_or_one_without_its_section_does_not_start(harness: AgentHarness) -> None:
