--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -20,7 +20,7 @@
 from anisespool.log import log_event
 
 MS_PER_S = 1000
-# The instance changed meanwhile: its next state shows how.
+# The instance has another configuration by now: its next state shows which.
 TRANSIENT_DECISIONS = frozenset((ApplyDecision.BASE_MISMATCH, ApplyDecision.STALE))
 
 
@@ -84,7 +84,7 @@
             self._hooks.on_done()
 
     async def _apply(self, change: Change, client: ControlClient) -> None:
-        """One request to one instance, and the record of its outcome."""
+        """Send one request to one instance, and record its outcome."""
         desired = self._desired
         if desired.newest and not desired.is_newest(change) and change is not desired.last_settled:
             return  # superseded while it waited at the gate
@@ -120,7 +120,7 @@
 
 
 def _apply_body(change: Change, current_digest: str) -> ApplyBody:
-    """The request that makes an instance replace the document of `current_digest` by that of `change`."""
+    """Return the request to replace the document of `current_digest` by that of `change`."""
     return ApplyBody(
         generation=change.generation,
         base=current_digest,
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -32,7 +32,7 @@
     REACHABLE = "answers"
     UNRESPONSIVE = "silent"  # its socket exists, no answer within the time limit
     NOT_LISTENING = "gone"
-    PROTOCOL_ERROR = "strange"  # what it answers is not the control protocol
+    PROTOCOL_ERROR = "strange"  # its answer is not of the control protocol
 
 
 @dataclass(eq=False)
@@ -52,14 +52,14 @@
 
 
 class ControlClient:
-    """One instance, from the first sight of its socket until the socket is removed.
+    """One instance, from the scan that finds its socket until the socket is removed.
 
     Attributes:
-        path: of the control socket.
-        name: of the instance.
-        reachability: whether it answered the last request with its state.
-        detail: why it is not reachable; empty if it is.
-        state: as last reported.
+        path: Of the control socket.
+        name: Of the instance.
+        reachability: Whether it answered the last request with its state.
+        detail: Why it is not reachable; empty if it is.
+        state: As last reported; None before its first report.
         last_answer_at: time.monotonic() of that report, or of the client's creation.
     """
 
@@ -91,7 +91,9 @@
             try:
                 async with asyncio.timeout(self._timeout_s):
                     answer = await self._connection.exchange(route, body)
-            except BaseException as error:  # also when cancelled: half an answer may be on the connection
+            except (
+                BaseException
+            ) as error:  # also when cancelled: the connection may hold a part of the answer
                 self.close()
                 unreachable = self._unreachable_error(error)
                 if unreachable is None:
@@ -111,7 +113,7 @@
         self._record_state(await self.request(route, body))
 
     def _unreachable_error(self, error: BaseException) -> UnreachableError | None:
-        """The reachability that a failed exchange shows; None if the error is not the instance's."""
+        """Return the reachability that a failed exchange shows; None if the error is not the instance's."""
         if isinstance(error, TimeoutError):
             return UnreachableError(Reachability.UNRESPONSIVE, f"no answer within {self._timeout_s:g} s")
         if isinstance(error, ConnectionRefusedError | FileNotFoundError):
--- a/anisespool/agent/control_connection.py
+++ b/anisespool/agent/control_connection.py
@@ -13,7 +13,7 @@
 from anisespool.control.routes import Route
 
 READ_BYTES = 65536
-HOST = b"instance"  # HTTP/1.1 wants a name; an instance ignores it
+HOST = b"instance"  # HTTP/1.1 requires the field; an instance ignores it
 
 
 class ControlConnection:
@@ -71,7 +71,7 @@
 
 
 def _decode_answer(response: http1.Response) -> Answer:
-    """The answer that a response holds; ValueError if it is not of the control protocol."""
+    """Return the answer that a response holds; ValueError if it is not of the control protocol."""
     try:
         body = json.loads(response.body)
     except RecursionError:
@@ -82,7 +82,7 @@
 
 
 async def _read_response(reader: asyncio.StreamReader) -> http1.Response:
-    """One response. EOFError at the end of the connection, ValueError if it is not HTTP/1.1."""
+    """Return one response. EOFError at the end of the connection, ValueError if it is not HTTP/1.1."""
     parser = http1.ResponseParser()
     try:
         while True:
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -11,6 +11,7 @@
 from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 
+MS_PER_S = 1000
 MAX_PROBLEM_INSTANCES = 8  # named in a drain's progress
 REACHABILITY_MESSAGES = {
     Reachability.UNKNOWN: pb.REACH_UNSPECIFIED,
@@ -27,19 +28,19 @@
 
 
 def instance_message(client: ControlClient, status: RolloutStatus | None) -> pb.Instance:
-    """An instance as last polled, with its status against the newest change."""
+    """Return the message of an instance as last polled, with its status against the newest change."""
     message = pb.Instance(
         name=client.name,
         reach=REACHABILITY_MESSAGES[client.reachability],
         detail=client.detail,
-        silent_ms=int((time.monotonic() - client.last_answer_at) * 1000),
+        silent_ms=int((time.monotonic() - client.last_answer_at) * MS_PER_S),
         standing=status.value if status else "",
     )
     if state := client.state:
         message.build = state.build
         message.pid = state.pid
         message.boot = state.boot
-        message.uptime_ms = int(state.uptime_s * 1000)
+        message.uptime_ms = int(state.uptime_s * MS_PER_S)
         message.phase = state.phase
         message.generation = state.generation
         message.digest = state.digest
@@ -49,7 +50,7 @@
 
 
 def change_message(change: Change) -> pb.Change:
-    """A change with its content."""
+    """Return the message of a change with its content."""
     return pb.Change(
         generation=change.generation,
         base=change.base,
@@ -64,12 +65,12 @@
 
 
 def target_message(name: str, status: RolloutStatus | None, detail: str = "") -> pb.Target:
-    """One instance's status against one change."""
+    """Return the message of one instance's status against one change."""
     return pb.Target(name=name, standing=status.value if status else "", detail=detail)
 
 
 def progress_message(change: Change, summary: StatusSummary) -> pb.Progress:
-    """Progress of a rollout; RolloutStatus has the names of the fields as its values."""
+    """Return the progress of a rollout; RolloutStatus has the names of the fields as its values."""
     counts = {status.value: count for status, count in summary.by_status.items()}
     return pb.Progress(
         generation=change.generation,
@@ -82,7 +83,7 @@
 
 
 def drain_progress_message(targets: list[ControlClient], revision: int, drains: DrainSet) -> pb.DrainProgress:
-    """How many of `targets` have applied at least `revision` of the drains."""
+    """Return how many of `targets` have applied at least `revision` of the drains."""
     reachable = [client for client in targets if client.is_reachable]
     unreachable = [client for client in targets if not client.is_reachable]
     applied = sum(
--- a/anisespool/agent/events.py
+++ b/anisespool/agent/events.py
@@ -58,8 +58,8 @@
     """Publishes events to watchers, each with a bounded queue. A watcher that does not read is dropped.
 
     Attributes:
-        max_watchers: how many may subscribe; the caller of `subscribe` checks it.
-        queues: of the watchers; the last element of one that was dropped is None.
+        max_watchers: Bound of subscriptions; the caller of `subscribe` checks it.
+        queues: Of the watchers; the last element of one that was dropped is None.
     """
 
     def __init__(self, max_watchers: int) -> None:
@@ -73,7 +73,7 @@
 
     @contextmanager
     def subscribe(self) -> Iterator[asyncio.Queue[pb.Event | None]]:
-        """A queue of the events from now on, for as long as the block lasts."""
+        """Yield a queue of the events from now on, for as long as the block lasts."""
         queue: asyncio.Queue[pb.Event | None] = asyncio.Queue()
         self.queues.add(queue)
         try:
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -30,7 +30,7 @@
     problems: list[str] = field(default_factory=list)
 
     def message(self) -> pb.Progress:
-        """The result as the only message of a dry run."""
+        """Return the result as the only message of a dry run."""
         return pb.Progress(
             state=CHECKED_STATE,
             total=self.valid + self.unreachable + self.rejected,
@@ -44,7 +44,13 @@
 async def validate_everywhere(
     clients: Iterable[ControlClient], content: JsonObject, force: bool
 ) -> pb.Progress:
-    """Have every instance validate a document against its own configuration; nothing is changed."""
+    """Have every instance validate a document, and return the counts; nothing is changed.
+
+    Args:
+        clients: The instances.
+        content: The document.
+        force: Accept a document that drains the last endpoint.
+    """
     body = ValidateBody(content, force)
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     result = _ValidationResult()
@@ -66,7 +72,7 @@
 
 
 async def check_drains_everywhere(clients: Iterable[ControlClient], endpoints: list[str]) -> None:
-    """Check that no instance would be left without an endpoint: some may see fewer endpoints than others.
+    """Check that no instance would be left without an endpoint: their endpoint lists may differ.
 
     Raises:
         DrainRejectedError: an instance rejected it.
@@ -88,7 +94,7 @@
 
 
 async def members_everywhere(clients: Iterable[ControlClient]) -> AsyncGenerator[pb.PeersReply, None]:
-    """The membership view of each instance, in the order of `clients`. Close it to end what is in flight."""
+    """Yield the membership view of each instance, in the order of `clients`. Closing it cancels the rest."""
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     tasks = [asyncio.create_task(_members_of(client, gate)) for client in clients]
     try:
--- a/anisespool/agent/fleet_status.py
+++ b/anisespool/agent/fleet_status.py
@@ -1,4 +1,4 @@
-"""Observed state of the instances compared with the desired state."""
+"""Which instances should have the desired state, and how far is each?"""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 from anisespool.agent.instance_directory import InstanceDirectory
 from anisespool.agent.rollout.status import RolloutStatus, status_by_report
 
-MAX_PROBLEM_INSTANCES = 8  # named in a progress report
+MAX_PROBLEM_INSTANCES = 8  # named in a summary
 PROBLEM_STATUSES = frozenset((RolloutStatus.REJECTED, RolloutStatus.UNREACHABLE, RolloutStatus.AHEAD))
 NOT_A_TARGET = frozenset((Reachability.NOT_LISTENING, Reachability.UNKNOWN))
 
 
 @dataclass(frozen=True, slots=True)
 class StatusSummary:
-    """Numbers of target instances by status, and the first problems as "NAME: why"."""
+    """Numbers of target instances by status, and the first problems.
+
+    Attributes:
+        by_status: Numbers of instances; every status is a key.
+        total: Their sum, and the targets without a status.
+        problems: "NAME: why" of the first ones, by name.
+    """
 
     by_status: dict[RolloutStatus, int]
     total: int
@@ -32,10 +38,10 @@
     ) -> None:
         self._directory = directory
         self._desired = desired
-        self._in_flight = in_flight  # names of instances that a change is being sent to
+        self._in_flight = in_flight  # names of instances with a delivery under way
 
     def targets(self) -> list[ControlClient]:
-        """Instances that should have the desired state: not those that ended or are shutting down."""
+        """Return the instances that should have the desired state: none that ended or is shutting down."""
         return [
             client
             for client in self._directory.clients.values()
@@ -44,21 +50,21 @@
         ]
 
     def reachable_targets(self) -> list[ControlClient]:
-        """Targets that answered the last poll."""
+        """Return the targets that answered the last poll."""
         return [client for client in self.targets() if client.is_reachable]
 
     def highest_generation(self) -> int:
-        """The highest generation that an instance has reported; 0 if none has."""
+        """Return the highest generation that an instance has reported; 0 if none has."""
         states = [client.state for client in self._directory.clients.values()]
         return max((state.generation for state in states if state), default=0)
 
     def highest_drains_revision(self) -> int:
-        """The highest revision of drains that an instance has reported; 0 if none has."""
+        """Return the highest revision of drains that an instance has reported; 0 if none has."""
         states = [client.state for client in self._directory.clients.values()]
         return max((state.drains_revision for state in states if state), default=0)
 
     def status_of(self, client: ControlClient) -> RolloutStatus | None:
-        """Status of an instance against the newest change, by its own report. None: there is no change."""
+        """Return the status of an instance against the newest change; None if there is no change."""
         newest = self._desired.newest
         if newest is None:
             return None
@@ -69,7 +75,7 @@
         return status_by_report(newest, client.state, self._desired.deliveries.get(client.name))
 
     def detail_of(self, client: ControlClient) -> str:
-        """Why an instance is not up to date; empty if it is, or where no reason is recorded."""
+        """Return why an instance is not up to date; empty if it is, or where no reason is recorded."""
         status = self.status_of(client)
         if status is RolloutStatus.UNREACHABLE:
             return client.detail
@@ -83,7 +89,7 @@
         return ""
 
     def summary(self) -> StatusSummary:
-        """Count the targets by status."""
+        """Return the numbers of targets by status, with their first problems."""
         counts = dict.fromkeys(RolloutStatus, 0)
         targets = self.targets()
         problems: list[str] = []
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -10,6 +10,7 @@
 from contextlib import AsyncExitStack
 from enum import IntEnum
 from pathlib import Path
+from typing import NamedTuple
 
 from anisespool.agent.control_client import ControlClient
 from anisespool.agent.crash_points import CrashHook, never_crash
@@ -70,17 +71,31 @@
         resources.callback(os.close, _acquire_state_lock(state_directory))
         stop = stop or _stop_on_signal()
         store = await resources.enter_async_context(StoreWriter(open_store(state_directory / "agent.db")))
-        change_signal = ChangeSignal()
-        broadcaster = EventBroadcaster(settings.max_watchers)
-        repository = DesiredStateRepository(store, broadcaster.publish, at_crash_point)
-        reconciler = _create_reconciler(
-            control_directory, settings, repository, broadcaster, change_signal, at_crash_point
-        )
-        commands = OperatorCommands(reconciler, repository, broadcaster.publish)
-        await repository.load()
-        service = AgentService(reconciler, commands, store, broadcaster, change_signal)
-        server = await create_server(settings, service)
-        await _run_until_stopped(server, reconciler, settings, on_ready, stop)
+        parts = await _create_parts(control_directory, settings, store, at_crash_point)
+        server = await create_server(settings, parts.service)
+        await _run_until_stopped(server, parts.reconciler, settings, on_ready, stop)
+
+
+class _Parts(NamedTuple):
+    """What the program runs: the loop, and the service that its server offers."""
+
+    reconciler: Reconciler
+    service: AgentService
+
+
+async def _create_parts(
+    control_directory: Path, settings: AgentOptions, store: StoreWriter, at_crash_point: CrashHook
+) -> _Parts:
+    """Create the parts of the agent on the desired state as the store holds it."""
+    change_signal = ChangeSignal()
+    broadcaster = EventBroadcaster(settings.max_watchers)
+    repository = DesiredStateRepository(store, broadcaster.publish, at_crash_point)
+    reconciler = _create_reconciler(
+        control_directory, settings, repository, broadcaster, change_signal, at_crash_point
+    )
+    commands = OperatorCommands(reconciler, repository, broadcaster.publish)
+    await repository.load()
+    return _Parts(reconciler, AgentService(reconciler, commands, store, broadcaster, change_signal))
 
 
 def _create_reconciler(
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -40,10 +40,11 @@
 from anisespool.control import routes
 
 MAX_HISTORY_RECORDS = 20  # changes in a StatusReply
+STORE_WRITABLE = "ok"  # `StatusReply.store` in place of an error
 PROGRESS_INTERVAL_S = 0.1  # between two messages about a rollout
 DRAIN_PROGRESS_INTERVAL_S = 0.05  # between two messages about a drain
 PROGRESS_TIMEOUT_S = 1.0  # a rollout's progress is compared at least so often
-DRAIN_TIMEOUT_S = 10.0  # a drain's stream ends by then, settled or not
+DRAIN_TIMEOUT_S = 10.0  # a drain's stream ends after it, settled or not
 
 
 class AgentService(agent_pb2_grpc.AgentServicer):  # type: ignore[misc]  # generated without type stubs
@@ -76,7 +77,7 @@
                 yield conversion.instance_message(client, self._status.status_of(client))
 
     async def Inspect(self, request: pb.InspectRequest, context: Context) -> pb.InspectReply:
-        """Request one instance's whole description."""
+        """Return the complete description of one instance, requested from it now."""
         async with errors_as_status(context):
             client = await self._find_client(request.name)
             with _instance_errors_as_call_errors(client):
@@ -93,14 +94,14 @@
                 yield reply
 
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
-        """One change, the status of each instance against it, the latest changes and the drains."""
+        """Return one change, the status of each instance against it, the latest changes and the drains."""
         await self._directory.synced.wait()
         history = await self._store.execute(lambda db: change_table.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
             history=[conversion.change_message(change) for change in history],
             drains=self._desired.drains.endpoints,
             drains_revision=self._desired.drains.revision,
-            store=self._store.last_error or "ok",
+            store=self._store.last_error or STORE_WRITABLE,
         )
         async with errors_as_status(context):
             change = await self._find_change(request.generation)
@@ -112,7 +113,7 @@
         return reply
 
     async def _find_change(self, generation: int) -> Change | None:
-        """The change with this generation, or the newest if it is 0.
+        """Return the change with this generation, or the newest if it is 0.
 
         Raises:
             UnknownGenerationError: the store has no such generation.
@@ -160,7 +161,7 @@
     # Changes --------------------------------------------------------------------------------------
 
     async def Apply(self, request: pb.ApplyRequest, context: Context) -> AsyncIterator[pb.Progress]:
-        """Start the rollout of a document, or only validate it on every instance (`dry_run`)."""
+        """Start the rollout of a document and stream its progress; with `dry_run` only validate it."""
         async with errors_as_status(context):
             command = validation.check_apply(request)
             await self._directory.synced.wait()
@@ -172,7 +173,7 @@
                 yield progress
 
     async def Rollback(self, request: pb.RollbackRequest, context: Context) -> AsyncIterator[pb.Progress]:
-        """Start the rollout of the content before the newest change."""
+        """Start the rollout of the content before the newest change, and stream its progress."""
         await self._directory.synced.wait()
         async with errors_as_status(context):
             author = validation.bounded_name(request.author)
@@ -187,7 +188,7 @@
             change = await self._commands.start_rollout(draft, base)
         except GenerationConflictError as error:
             raise ConflictError(error) from None
-        except Exception as error:  # whatever keeps the store from writing: the caller may try again
+        except Exception as error:  # of any type: the operator may send the command again
             raise StoreUnavailableError(error) from error
         last_sent = None
         while True:
@@ -205,7 +206,7 @@
             await self._change_signal.wait(PROGRESS_TIMEOUT_S)
 
     async def Steer(self, request: pb.SteerRequest, context: Context) -> pb.Progress:
-        """Pause, resume or abort the newest rollout."""
+        """Pause, resume or abort the newest rollout, and return its progress."""
         async with errors_as_status(context):
             action = validation.check_action(request)
             author = validation.bounded_name(request.author)
@@ -231,19 +232,19 @@
             await asyncio.sleep(DRAIN_PROGRESS_INTERVAL_S)
 
     async def _start_drain(self, request: pb.DrainRequest) -> int:
-        """Record the drains and start to send them; the new revision."""
+        """Record the drains, start to send them, and return their new revision."""
         drained = validation.check_drained_count(request, self._desired.drains.endpoints)
         if request.drain and not request.force:
             await fan_out.check_drains_everywhere(self._status.reachable_targets(), drained)
         author = validation.bounded_name(request.author)
         try:
             drains = await self._commands.update_drains(request.drain, request.undrain, author)
-        except Exception as error:  # whatever keeps the store from writing: the caller may try again
+        except Exception as error:  # of any type: the operator may send the command again
             raise StoreUnavailableError(error) from error
         return drains.revision
 
     async def _drain_on_instance(self, request: pb.DrainRequest) -> pb.DrainProgress:
-        """Drain endpoints on one instance, until it ends."""
+        """Drain endpoints on one instance until its process ends, or end such drains."""
         client = await self._find_client(request.instance)
         with _instance_errors_as_call_errors(client):
             for endpoint in request.drain:
@@ -254,7 +255,7 @@
         return pb.DrainProgress(total=1, told=1, settled=True, drains=drained)
 
     async def Retire(self, request: pb.RetireRequest, context: Context) -> pb.RetireReply:
-        """Shut instances down gracefully."""
+        """Start the graceful shutdown of instances, and return which of them accepted it."""
         reply = pb.RetireReply()
         for name in request.names:
             client = self._directory.clients.get(name)
@@ -269,7 +270,7 @@
         return reply
 
     async def _find_client(self, name: str) -> ControlClient:
-        """The client of an instance.
+        """Return the client of an instance.
 
         Raises:
             UnknownInstanceError: no instance has that name.
--- a/anisespool/agent/store/change_table.py
+++ b/anisespool/agent/store/change_table.py
@@ -1,7 +1,7 @@
 """The table `changes`: each generation of the desired configuration, with its rollout.
 
-Each function takes a connection in a transaction; `StoreWriter` runs them. `ChangeRow` has the table's
-columns; `_to_row` and `_from_row` map them to the fields of `Change`.
+Each function takes a connection in a transaction; `StoreWriter` runs them. `ChangeRow` has a field
+for each column, `COLUMN_NAMES` the names of those that the code names otherwise.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ChangeRow(NamedTuple):
-    """A row of `changes`: its fields are the table's columns, in the order in which they are selected."""
+    """A row of `changes`, in the order in which its columns are selected."""
 
     generation: int
     base: int
@@ -32,15 +32,21 @@
     author: str
     note: str
     created_ms: int
-    wave: int
-    first_wave: int
-    most_refused: int
-    most_unreachable: int
+    wave_size: int
+    first_wave_size: int
+    max_rejected: int
+    max_unreachable: int
     force: int
     settle_ms: int
 
 
-_COLUMNS = ", ".join(ChangeRow._fields)
+COLUMN_NAMES = {
+    "wave_size": "wave",
+    "first_wave_size": "first_wave",
+    "max_rejected": "most_refused",
+    "max_unreachable": "most_unreachable",
+}
+_COLUMNS = ", ".join(COLUMN_NAMES.get(field, field) for field in ChangeRow._fields)
 _PLACEHOLDERS = ", ".join("?" for _ in ChangeRow._fields)
 _SELECT = f"SELECT {_COLUMNS} FROM changes"
 _INSERT = f"INSERT INTO changes ({_COLUMNS}) VALUES ({_PLACEHOLDERS})"
@@ -144,10 +150,10 @@
         author=change.author,
         note=change.note,
         created_ms=change.created_ms,
-        wave=change.policy.wave_size,
-        first_wave=change.policy.first_wave_size,
-        most_refused=change.policy.max_rejected,
-        most_unreachable=change.policy.max_unreachable,
+        wave_size=change.policy.wave_size,
+        first_wave_size=change.policy.first_wave_size,
+        max_rejected=change.policy.max_rejected,
+        max_unreachable=change.policy.max_unreachable,
         force=change.policy.force,
         settle_ms=change.settle_ms,
     )
@@ -165,10 +171,10 @@
         note=row.note,
         created_ms=row.created_ms,
         policy=RolloutPolicy(
-            wave_size=row.wave,
-            first_wave_size=row.first_wave,
-            max_rejected=row.most_refused,
-            max_unreachable=row.most_unreachable,
+            wave_size=row.wave_size,
+            first_wave_size=row.first_wave_size,
+            max_rejected=row.max_rejected,
+            max_unreachable=row.max_unreachable,
             force=bool(row.force),
         ),
         settle_ms=row.settle_ms,
--- a/anisespool/agent/store/writer.py
+++ b/anisespool/agent/store/writer.py
@@ -26,12 +26,15 @@
 class StoreWriter:
     """Runs operations on the store in one thread.
 
-    Operations that arrive during a commit are committed together by the next one: two hundred answers cost a
-    few syncs to disk, not two hundred. An `async with` block, or `close`, ends the thread.
+    Operations that arrive during a commit are committed together by the next one, so that the
+    deliveries of a wave share a few syncs to disk. An `async with` block, or `close`, ends the thread.
+
+    Attributes:
+        last_error: Why the last write failed; empty if it succeeded.
     """
 
     def __init__(self, db: sqlite3.Connection) -> None:
-        self.last_error = ""  # why the last write failed; empty if it succeeded
+        self.last_error = ""
         self._db = db
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="store")
         self._queue: deque[_Queued] = deque()
@@ -64,7 +67,7 @@
                     queued.result.set_result(outcome)
 
     async def _run_batch(self, batch: list[Operation[Any]]) -> list[Any]:
-        """Results or exceptions, in the batch's order.
+        """Return results or exceptions, in the batch's order.
 
         If the transaction fails, the operations are run again one by one: otherwise one that can't be written
         would fail all that were queued beside it, reads included.
@@ -95,14 +98,14 @@
         return outcomes
 
     def _run_in_savepoint(self, operation: Operation[Any]) -> Any:
-        """The operation's result, or the exception that undid it."""
+        """Return the operation's result, or the exception that undid it."""
         self._db.execute("SAVEPOINT operation")
         outcome: Any
         try:
             outcome = operation(self._db)
         except sqlite3.Error:
             raise  # of the whole transaction: `_run_batch` runs the others again
-        except Exception as error:  # whatever it is, its caller must get it: nobody else awaits it
+        except Exception as error:  # of any type: its caller alone awaits the result
             self._db.execute("ROLLBACK TO operation")
             outcome = error
         self._db.execute("RELEASE operation")
--- a/tests/agent/test_rollout.py
+++ b/tests/agent/test_rollout.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 import random
+from dataclasses import replace
 
 import pytest
 from hypothesis import given, strategies
 
+from anisespool.agent.desired_state import Change, Delivery, DeliveryState
+from anisespool.agent.instance_state import InstanceState
 from anisespool.agent.rollout.desired_generation import DesiredGeneration, NewestChange, desired_generation
 from anisespool.agent.rollout.planner import Decision, RolloutStep, next_step
 from anisespool.agent.rollout.policy import RolloutPolicy
 from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
-from anisespool.agent.rollout.status import RolloutStatus
+from anisespool.agent.rollout.status import RolloutStatus, status_by_report
 
 UP_TO_DATE = RolloutStatus.UP_TO_DATE
 OUTDATED = RolloutStatus.OUTDATED
@@ -104,6 +107,53 @@
     assert desired_generation(newest, last_settled, observed) == expected
 
 
+NEWEST = Change(
+    generation=3,
+    base=2,
+    digest="d3",
+    content="{}",
+    state=RolloutState.RUNNING,
+    reason="",
+    author="me",
+    note="",
+    created_ms=0,
+    policy=RolloutPolicy(),
+    settle_ms=0,
+)
+REPORT = InstanceState(
+    name="i0",
+    boot="b1",
+    phase="serving",
+    generation=2,
+    digest="d2",
+    pid=7,
+    uptime_s=1.0,
+    build="0.2",
+    drained=[],
+    drains_revision=0,
+)
+
+
+@pytest.mark.parametrize(
+    ("generation", "digest", "delivery", "expected"),
+    [
+        (2, "d2", None, OUTDATED),
+        (2, "d2", Delivery("i0", "b1", DeliveryState.SENT), OUTDATED),
+        (2, "d2", Delivery("i0", "b1", DeliveryState.REJECTED), REJECTED),
+        (2, "d2", Delivery("i0", "b0", DeliveryState.REJECTED), OUTDATED),  # it has restarted since
+        (3, "d3", None, UP_TO_DATE),
+        (3, "d3", Delivery("i0", "b1", DeliveryState.REJECTED), UP_TO_DATE),  # its report counts
+        (3, "other", None, REJECTED),  # another document of that generation
+        (4, "d4", None, RolloutStatus.AHEAD),
+    ],
+)
+def test_the_status_of_an_instance_follows_its_report(
+    generation: int, digest: str, delivery: Delivery | None, expected: RolloutStatus
+) -> None:
+    observed = replace(REPORT, generation=generation, digest=digest)
+    assert status_by_report(NEWEST, observed, delivery) is expected
+
+
 def test_a_rollout_that_has_ended_can_not_be_controlled() -> None:
     assert state_after(RolloutState.RUNNING, RolloutAction.PAUSE) is RolloutState.PAUSED
     assert state_after(RolloutState.PAUSED, RolloutAction.RESUME) is RolloutState.RUNNING
