--- a/anisespool/cli/agent_client.py
+++ b/anisespool/cli/agent_client.py
@@ -26,7 +26,7 @@
 
 
 def load_operator_config(path: Path | None) -> OperatorConfig:
-    """Read the operator's file, which says where the agent's socket is.
+    """Read the operator's file, which has the path of the agent's socket.
 
     Raises:
         CommandError: No file was named, or it is invalid.
--- a/anisespool/cli/demo.py
+++ b/anisespool/cli/demo.py
@@ -27,8 +27,8 @@
 from anisespool.fakes.platform import member
 from anisespool.fakes.rule_checker import Drain, Verdict, check_rules
 
-ENDPOINT_COUNT = 6
-SIDECAR_COUNT = 3
+FLEET_ENDPOINTS = 6
+FLEET_INSTANCES = 3
 REQUESTS_PER_S = 40.0  # at each sidecar
 SLOW_START_S = 20.0
 DISCOVERY_DELAY_S = 0.5  # until discovery removes an endpoint that was killed
@@ -64,7 +64,7 @@
         self.problems: list[str] = []
         self._folder = folder
         self._endpoints = [
-            CountingEndpoint(f"push-{number}", slow_start_s=SLOW_START_S) for number in range(ENDPOINT_COUNT)
+            CountingEndpoint(f"push-{number}", slow_start_s=SLOW_START_S) for number in range(FLEET_ENDPOINTS)
         ]
         self._discovery: DiscoveryService  # these two: while `run` runs
         self._fleet: LocalFleet
@@ -86,7 +86,7 @@
         async with self._discovery.serve():
             self._fleet = LocalFleet(self._folder, self._discovery.address, members)
             try:
-                report_stage(f"starting {SIDECAR_COUNT} sidecars and the agent")
+                report_stage(f"starting {FLEET_INSTANCES} sidecars and the agent")
                 await self._start_fleet()
                 await self._run_steps(seconds, report_stage)
             finally:
@@ -96,8 +96,8 @@
         return check_rules(self.load.requests, self._endpoints, self._drains, self._restarted)
 
     async def _start_fleet(self) -> None:
-        names = [f"edge-{number}" for number in range(SIDECAR_COUNT)]
-        await asyncio.gather(*(self._fleet.start_sidecar(name, SIDECAR_COUNT) for name in names))
+        names = [f"edge-{number}" for number in range(FLEET_INSTANCES)]
+        await asyncio.gather(*(self._fleet.start_sidecar(name, FLEET_INSTANCES) for name in names))
         await self._fleet.start_agent()
 
     async def _run_steps(self, seconds: float, report_stage: ReportStage) -> None:
--- a/anisespool/cli/instance_views.py
+++ b/anisespool/cli/instance_views.py
@@ -1,4 +1,4 @@
-"""Answers of one instance's control socket, as the agent passes them on: what of them tables show.
+"""Answers of one instance's control socket, as the agent forwards them: the fields that tables show.
 
 Fields that tables don't show are not read. Where a field's name differs from its key on the socket,
 `msgspec.field(name=...)` or `rename` gives the key.
@@ -23,7 +23,7 @@
     state: str
     drained_by: str = msgspec.field(name="drained")  # sources joined by `+`; empty: not drained
     weight: float = msgspec.field(name="odds")  # share of the next picks, 0 to 1
-    slowdown: float  # recent response time over the usual one
+    slowdown: float  # recent latency over the typical one
     queue: float  # requests that wait there, by its last load report
     in_flight: int = msgspec.field(name="open")  # attempts of this instance
     idle: int  # connections
--- a/anisespool/cli/membership_matrix.py
+++ b/anisespool/cli/membership_matrix.py
@@ -11,7 +11,7 @@
 from anisespool.cli.output import format_duration
 from anisespool.cli.tables import Column, build_table
 
-MAX_MARKS = 200  # members shown; the counts include all
+MAX_DISPLAYED_MEMBERS = 200  # as marks; the counts include all
 
 
 class Mark(NamedTuple):
@@ -71,7 +71,7 @@
 def _styled_marks(row: NamedView) -> Text:
     _, view = row
     text = Text()
-    for mark in _marks(view)[:MAX_MARKS]:
+    for mark in _marks(view)[:MAX_DISPLAYED_MEMBERS]:
         text.append(mark.character, style=mark.colour)
     return text
 
--- a/anisespool/cli/rollout_progress.py
+++ b/anisespool/cli/rollout_progress.py
@@ -10,7 +10,7 @@
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli import output
 
-BAR_WIDTH = 40  # characters
+BAR_WIDTH_CHARACTERS = 40
 # Counters of agent.proto's Progress, in the order shown.
 STANDINGS = ("has", "sent", "lacks", "refused", "unreachable", "ahead")
 
@@ -23,7 +23,7 @@
     return text + (f" ({progress.reason})" if progress.reason else "")
 
 
-def progress_bar(progress: pb.Progress, width: int = BAR_WIDTH) -> Text:
+def progress_bar(progress: pb.Progress, width: int = BAR_WIDTH_CHARACTERS) -> Text:
     """Return a bar with a part for each standing, as wide as its share of instances, and the summary."""
     text = Text()
     if progress.total:
--- a/anisespool/cli/tables.py
+++ b/anisespool/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables from typed columns: a column says what its cells show of a row, whatever the rows are."""
+"""Tables from typed columns: each has the function that makes its cell of a row."""
 
 from __future__ import annotations
 
--- a/anisespool/cli/trace_tables.py
+++ b/anisespool/cli/trace_tables.py
@@ -1,7 +1,7 @@
 """What `anisespool trace` prints: tables for people, JSON lines for scripts.
 
 Parameters of records keep the names that they have in the log (docs/records.md). Values come from clients:
-nothing of them is printed before `_printable` has escaped what a terminal would obey.
+each is escaped by `_printable`, so that none holds a terminal's control sequence.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from anisespool.records.outcome import OUTCOME_NAMES
 from anisespool.records.reader import LineCounts, ParsedRecord
 
-BAR_WIDTH = 48  # characters
+BAR_WIDTH_CHARACTERS = 48
 OUTCOME_COLOURS = {
     "served": "green",
     "ok": "green",
@@ -31,8 +31,8 @@
 OTHER_OUTCOME_COLOUR = "red"
 ABSENT = "-"  # in place of a parameter that a record doesn't have
 MIN_DURATION_MS = 0.001  # of a path, which bars are drawn by
-CLIENT_ATTEMPT_MARK = "="  # what a client's attempt's bar consists of
-ATTEMPT_MARK = "-"  # the same of an attempt at an endpoint
+CLIENT_ATTEMPT_MARK = "="  # in the bar of a client's attempt
+ATTEMPT_MARK = "-"  # in the bar of an attempt at an endpoint
 
 console = Console(soft_wrap=False)
 
@@ -138,9 +138,10 @@
     """Return a bar of marks where the span lies in the whole duration; one mark at least."""
     if span.duration_ms is None:
         return ""
-    begin = min(BAR_WIDTH - 1, int(BAR_WIDTH * span.at_ms / duration_ms))
-    length = round(BAR_WIDTH * span.duration_ms / duration_ms)
-    return " " * begin + span.bar_mark * max(1, min(BAR_WIDTH - begin, length))
+    width = BAR_WIDTH_CHARACTERS
+    begin = min(width - 1, int(width * span.at_ms / duration_ms))
+    length = round(width * span.duration_ms / duration_ms)
+    return " " * begin + span.bar_mark * max(1, min(width - begin, length))
 
 
 def _attempt_summary(record: ParsedRecord) -> Text:
