--- a/anisespool/cli/agent_tables.py
+++ b/anisespool/cli/agent_tables.py
@@ -4,6 +4,8 @@
 
 import time
 from collections.abc import Iterable
+from itertools import starmap
+from typing import NamedTuple
 
 from rich.console import RenderableType
 from rich.table import Table
@@ -16,12 +18,27 @@
 from anisespool.cli.tables import Column, build_table
 
 DIGEST_PREFIX_CHARACTERS = 8
+STORE_WRITABLE = "ok"  # `StatusReply.store` in place of an error
 OUTCOMES = ("served", "refused", "failed", "gone")  # keys of a request class's counts
 
-Fact = tuple[str, object]
-"""The name of a property of an instance, as on the control socket, and its value; None: not reported."""
-ClassCounts = tuple[str, dict[str, int]]
-"""The name of a request class, and its final responses by outcome."""
+
+class Fact(NamedTuple):
+    """A property of an instance.
+
+    Attributes:
+        name: As on the control socket.
+        value: As reported; None: not reported.
+    """
+
+    name: str
+    value: str | int | float | None
+
+
+class ClassCounts(NamedTuple):
+    """The name of a request class, and its final responses by outcome."""
+
+    request_class: str
+    counts: dict[str, int]
 
 
 def reachability_name(value: int) -> str:
@@ -68,33 +85,36 @@
     return [
         build_table(f"Instance {description.name}", FACT_COLUMNS, _facts(description)),
         build_table(endpoints_title, ENDPOINT_COLUMNS, description.endpoints),
-        build_table("Final responses since its start", OUTCOME_COLUMNS, description.classes.items()),
+        build_table(
+            "Final responses since its start",
+            OUTCOME_COLUMNS,
+            starmap(ClassCounts, description.classes.items()),
+        ),
     ]
 
 
 def _facts(description: InstanceDescription) -> list[Fact]:
     clients = description.clients
     return [
-        ("phase", description.phase),
-        ("build", description.build),
-        ("pid", description.pid),
-        ("listen", description.listen),
-        ("generation", description.generation),
-        ("digest", description.digest),
-        ("uptime_s", description.uptime_s),
-        ("open", description.open_requests),
-        ("strain", description.queueing_ratio),
-        ("clients", f"{clients.open} connections, {clients.working} working"),
+        Fact("phase", description.phase),
+        Fact("build", description.build),
+        Fact("pid", description.pid),
+        Fact("listen", description.listen),
+        Fact("generation", description.generation),
+        Fact("digest", description.digest),
+        Fact("uptime_s", description.uptime_s),
+        Fact("open", description.open_requests),
+        Fact("strain", description.queueing_ratio),
+        Fact("clients", f"{clients.open} connections, {clients.working} working"),
     ]
 
 
 def _fact_value(fact: Fact) -> Text:
-    _, value = fact
-    return styled_state("" if value is None else str(value))
+    return styled_state("" if fact.value is None else str(fact.value))
 
 
 FACT_COLUMNS: list[Column[Fact]] = [
-    Column("property", lambda fact: fact[0]),
+    Column("property", lambda fact: fact.name),
     Column("value", _fact_value),
 ]
 ENDPOINT_COLUMNS: list[Column[EndpointDescription]] = [
@@ -112,11 +132,11 @@
 
 
 def _outcome_column(outcome: str) -> Column[ClassCounts]:
-    return Column(outcome, lambda row: str(row[1][outcome]), "right")
+    return Column(outcome, lambda row: str(row.counts[outcome]), "right")
 
 
 OUTCOME_COLUMNS: list[Column[ClassCounts]] = [
-    Column("class", lambda row: row[0]),
+    Column("class", lambda row: row.request_class),
     *map(_outcome_column, OUTCOMES),
 ]
 
@@ -131,7 +151,7 @@
     parts.append(build_table("Changes", CHANGE_COLUMNS, reply.history))
     if reply.drains:
         parts.append(Text("drained at all instances: " + ", ".join(reply.drains), style="yellow"))
-    if reply.store != "ok":
+    if reply.store != STORE_WRITABLE:
         parts.append(Text(f"the agent's store can't be written: {reply.store}", style="red"))
     return parts
 
--- a/anisespool/cli/change_commands.py
+++ b/anisespool/cli/change_commands.py
@@ -41,6 +41,7 @@
 
 NEWEST_GENERATION = -1  # in place of a generation's number: the newest when the command runs
 UNLIMITED = -1
+MS_PER_S = 1000
 STANDARD_INPUT = Path("-")
 # States of a rollout (`Progress.state` in agent.proto).
 COMPLETED_STATES = ("settled", "checked")
@@ -67,11 +68,11 @@
     file: ChangeFile, *, config: ConfigPath = None, rollout: RolloutOptions, as_json: AsJson = False
 ) -> None:
     """Roll a new generation of the configuration out to all instances, in waves."""
-    content = _read_live_config(file)
+    document = _read_live_config(file)
     with connect_to_agent(config) as stub:
         has_base = rollout.base_generation > NEWEST_GENERATION
         base_generation = rollout.base_generation if has_base else _newest_generation(stub)
-        request = _apply_request(rollout, base_generation, content, note=rollout.note or file.name)
+        request = _apply_request(rollout, base_generation, document, note=rollout.note or file.name)
         last = _follow(stub.Apply(request), as_json)
     raise typer.Exit(_rollout_exit_status(last))
 
@@ -134,12 +135,12 @@
         raise typer.Exit(ExitStatus.PARTIAL if reply.retired else ExitStatus.FAILED)
 
 
-def _read_live_config(file: Path) -> dict[str, Any]:
+def _read_live_config(file: Path) -> operator.LiveConfig:
     """Read and check a change document; `-` is standard input."""
     try:
         data = _read_standard_input() if file == STANDARD_INPUT else file.read_bytes()
         tables = operator.parse_toml(data, str(file))
-        return operator.to_tables(operator.parse_live_config(tables, str(file)))
+        return operator.parse_live_config(tables, str(file))
     except OSError as error:
         raise CommandError(ExitStatus.USAGE_ERROR, f"{file}: {error.strerror}") from None
     except ConfigError as error:
@@ -152,10 +153,10 @@
 
 
 def _apply_request(
-    rollout: RolloutOptions, base_generation: int, content: dict[str, Any], note: str
+    rollout: RolloutOptions, base_generation: int, document: operator.LiveConfig, note: str
 ) -> pb.ApplyRequest:
     return pb.ApplyRequest(
-        content_json=json.dumps(content),
+        content_json=json.dumps(operator.to_tables(document)),
         base_generation=base_generation,
         author=author(),
         note=note,
@@ -163,7 +164,7 @@
         first_wave=rollout.first_wave_size,
         most_refused=rollout.max_rejected,
         most_unreachable=rollout.max_unreachable,
-        settle_ms=int(rollout.settle_s * 1000),
+        settle_ms=int(rollout.settle_s * MS_PER_S),
         force=rollout.force,
         dry_run=rollout.dry_run,
     )
--- a/anisespool/cli/demo.py
+++ b/anisespool/cli/demo.py
@@ -8,6 +8,7 @@
 import time
 from collections import Counter
 from collections.abc import Awaitable, Callable
+from itertools import starmap
 from pathlib import Path
 from typing import NamedTuple
 
@@ -39,14 +40,25 @@
 
 ReportStage = Callable[[str], None]
 """Called with a line of text as a stage of the demo begins."""
-ClassCounts = tuple[str, Counter[str]]
-"""The name of a request class, and its answers by outcome."""
+
+
+class ClassCounts(NamedTuple):
+    """The name of a request class, and its answers by outcome."""
+
+    request_class: str
+    counts: Counter[str]
 
 
 class Step(NamedTuple):
-    """One action on the fleet while traffic runs."""
+    """One action on the fleet while traffic runs.
+
+    Attributes:
+        delay_share: Pause after the step before, as a share of the traffic's duration.
+        title: Shown as the step begins.
+        action: Carries it out.
+    """
 
-    delay: float  # after the step before, as a share of the traffic's time
+    delay_share: float
     title: str
     action: Callable[[], Awaitable[None]]
 
@@ -108,7 +120,7 @@
         ]
         traffic = asyncio.gather(*(client.run(REQUESTS_PER_S, end_s) for client in clients))
         for step in self._steps():
-            await asyncio.sleep(step.delay * seconds)
+            await asyncio.sleep(step.delay_share * seconds)
             report_stage(step.title)
             await step.action()
         report_stage("waiting for the last responses")
@@ -218,7 +230,7 @@
 
 
 def _answer_table(demo: Demo) -> Table:
-    return build_table("Answers", ANSWER_COLUMNS, demo.load.outcomes_by_class().items())
+    return build_table("Answers", ANSWER_COLUMNS, starmap(ClassCounts, demo.load.outcomes_by_class().items()))
 
 
 def _rule_table(rulings: list[Verdict]) -> Table:
@@ -226,11 +238,11 @@
 
 
 def _outcome_column(outcome: str) -> Column[ClassCounts]:
-    return Column(outcome, lambda row: str(row[1][outcome]), "right")
+    return Column(outcome, lambda row: str(row.counts[outcome]), "right")
 
 
 ANSWER_COLUMNS: list[Column[ClassCounts]] = [
-    Column("class", lambda row: row[0]),
+    Column("class", lambda row: row.request_class),
     *map(_outcome_column, CLIENT_OUTCOMES),
 ]
 RULE_COLUMNS: list[Column[Verdict]] = [
--- a/anisespool/cli/instance_views.py
+++ b/anisespool/cli/instance_views.py
@@ -56,6 +56,13 @@
     endpoints_total: int
 
 
+class FailedProbes(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """How many of the last probes failed, and of how many; a list on the socket."""
+
+    failed: int
+    total: int
+
+
 class MembershipView(
     msgspec.Struct,
     frozen=True,
@@ -81,7 +88,7 @@
         alive_min: At least so many are alive.
         alive_max: At most so many are.
         is_isolated: This member may be the one that is cut off.
-        failed_probes: How many of the last probes failed, and of how many.
+        failed_probes: Of the last probes.
         health_score: 0 is healthy.
         stats: Counts of the protocol.
         datagrams: Counts by what became of them.
@@ -98,7 +105,7 @@
     alive_min: int
     alive_max: int
     is_isolated: bool
-    failed_probes: tuple[int, int]
+    failed_probes: FailedProbes
     health_score: int
     stats: dict[str, int]
     datagrams: dict[str, int]
--- a/anisespool/cli/membership_matrix.py
+++ b/anisespool/cli/membership_matrix.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from itertools import starmap
 from typing import NamedTuple
 
 from rich.console import RenderableType
@@ -30,8 +31,12 @@
 ITSELF = Mark("o", "cyan")  # the instance whose view it is
 LEGEND = ". alive  / alive, reached only indirectly (a path is cut)  ? suspect  x dead  - left  o itself"
 
-NamedView = tuple[str, MembershipView]
-"""An instance's name, and its view."""
+
+class NamedView(NamedTuple):
+    """An instance's name, and its view."""
+
+    instance: str
+    view: MembershipView
 
 
 def member_marks(view: MembershipView) -> str:
@@ -46,7 +51,7 @@
         views: the view of each instance, by name.
         without_view: why an instance gave none, by name.
     """
-    table = build_table("Who sees whom", VIEW_COLUMNS, views.items())
+    table = build_table("Who sees whom", VIEW_COLUMNS, starmap(NamedView, views.items()))
     parts: list[RenderableType] = [table, Text(LEGEND, style="dim")]
     if views:
         parts.append(_agreement(len({view.live_members() for view in views.values()})))
@@ -69,41 +74,40 @@
 
 
 def _styled_marks(row: NamedView) -> Text:
-    _, view = row
     text = Text()
-    for mark in _marks(view)[:MAX_DISPLAYED_MEMBERS]:
+    for mark in _marks(row.view)[:MAX_DISPLAYED_MEMBERS]:
         text.append(mark.character, style=mark.colour)
     return text
 
 
 def _live_count(row: NamedView) -> str:
-    _, view = row
-    low = view.alive_min
-    high = view.alive_max
+    low = row.view.alive_min
+    high = row.view.alive_max
     return str(low) if low == high else f"{low} to {high}"
 
 
 def _datagram_counts(row: NamedView) -> str:
-    datagrams = row[1].datagrams
+    datagrams = row.view.datagrams
     return f"{datagrams.get('sent', 0)}/{datagrams.get('received', 0)}"
 
 
 def _isolation_warning(row: NamedView) -> str:
-    _, view = row
-    failed, total = view.failed_probes
-    return f"may be isolated: {failed} of {total} probes failed" if view.is_isolated else ""
+    probes = row.view.failed_probes
+    if not row.view.is_isolated:
+        return ""
+    return f"may be isolated: {probes.failed} of {probes.total} probes failed"
 
 
 VIEW_COLUMNS: list[Column[NamedView]] = [
-    Column("instance", lambda row: row[0]),
+    Column("instance", lambda row: row.instance),
     Column("sees", _styled_marks),
     Column("alive", _live_count),
-    Column("age", lambda row: format_duration(row[1].age_ms)),
-    Column("health", lambda row: str(row[1].health_score)),
+    Column("age", lambda row: format_duration(row.view.age_ms)),
+    Column("health", lambda row: str(row.view.health_score)),
     Column("datagrams", _datagram_counts),
-    Column("accusations", lambda row: str(row[1].stats["accusations"])),
-    Column("refutations", lambda row: str(row[1].stats["refutations"])),
-    Column("pauses", lambda row: str(row[1].stats["pauses"])),
+    Column("accusations", lambda row: str(row.view.stats["accusations"])),
+    Column("refutations", lambda row: str(row.view.stats["refutations"])),
+    Column("pauses", lambda row: str(row.view.stats["pauses"])),
     Column("warning", _isolation_warning),
 ]
 
--- a/anisespool/cli/output.py
+++ b/anisespool/cli/output.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable
-from typing import Any, NamedTuple
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, NamedTuple, TypeAlias
 
 from rich.console import Console
 from rich.progress import Progress, ProgressColumn, TextColumn
@@ -33,6 +33,10 @@
 }
 
 
+JsonValue: TypeAlias = "str | int | float | bool | Sequence[JsonValue] | Mapping[str, JsonValue] | None"
+JsonObject: TypeAlias = dict[str, JsonValue]
+
+
 class DurationUnit(NamedTuple):
     """A unit in which durations are shown."""
 
@@ -45,12 +49,12 @@
 console = Console(soft_wrap=False)
 
 
-def message_to_dict(message: Any) -> dict[str, Any]:
+def message_to_dict(message: Any) -> JsonObject:
     """Return a protobuf message's fields under the proto's own names, defaults included.
 
     Not protobuf's own JSON mapping, which turns 64-bit numbers into strings.
     """
-    fields: dict[str, Any] = {}
+    fields: JsonObject = {}
     for field in message.DESCRIPTOR.fields:
         value = getattr(message, field.name)
         if field.is_repeated:
--- a/anisespool/cli/trace_tables.py
+++ b/anisespool/cli/trace_tables.py
@@ -8,13 +8,14 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Any
+from itertools import starmap
+from typing import NamedTuple
 
 from rich.console import Console
 from rich.text import Text
 
 from anisespool.cli.errors import CommandError, ExitStatus
-from anisespool.cli.output import print_json
+from anisespool.cli.output import JsonObject, print_json
 from anisespool.cli.tables import Column, build_plain_table
 from anisespool.records import analysis
 from anisespool.records.outcome import OUTCOME_NAMES
@@ -74,7 +75,7 @@
             print_json({group_key: name} | _group_to_dict(stats))
         return
     outcomes = sorted({outcome for stats in groups.values() for outcome in stats.outcomes})
-    console.print(build_plain_table(_group_columns(group_key, outcomes), groups.items()))
+    console.print(build_plain_table(_group_columns(group_key, outcomes), starmap(NamedGroup, groups.items())))
 
 
 def print_missing(missing: analysis.MissingRecords, as_json: bool) -> None:
@@ -99,12 +100,16 @@
 # JSON ---------------------------------------------------------------------------------------------
 
 
-def _record_to_dict(record: ParsedRecord) -> dict[str, Any]:
-    attempts = [attempt._asdict() for attempt in record.attempts]
-    return {"at": record.timestamp, "process": record.process} | record.params | {"attempts": attempts}
+def _record_to_dict(record: ParsedRecord) -> JsonObject:
+    return {
+        "at": record.timestamp,
+        "process": record.process,
+        **record.params,
+        "attempts": [attempt._asdict() for attempt in record.attempts],
+    }
 
 
-def _group_to_dict(stats: analysis.GroupStats) -> dict[str, Any]:
+def _group_to_dict(stats: analysis.GroupStats) -> JsonObject:
     return {
         "count": stats.count,
         "outcomes": stats.outcomes,
@@ -247,20 +252,25 @@
     Column("unconfirmed", lambda account: _printable(account.params.get("unsure"))),
     Column("ended", lambda account: "yes" if account.params.get("last") == "1" else "not reported"),
 ]
-NamedGroup = tuple[str, analysis.GroupStats]
-"""A group's name, and its requests."""
+
+
+class NamedGroup(NamedTuple):
+    """A group's name, and its requests."""
+
+    name: str
+    stats: analysis.GroupStats
 
 
 def _group_columns(group_key: str, outcomes: list[str]) -> list[Column[NamedGroup]]:
     return [
-        Column(group_key, lambda row: _printable(row[0])),
-        Column("count", lambda row: str(row[1].count)),
+        Column(group_key, lambda group: _printable(group.name)),
+        Column("count", lambda group: str(group.stats.count)),
         *map(_outcome_column, outcomes),
-        Column("attempts each", lambda row: f"{row[1].attempts / row[1].count:.2f}"),
-        Column("mean ms", lambda row: f"{row[1].sum_ms / row[1].count:.1f}"),
-        Column("max ms", lambda row: f"{row[1].max_ms:.1f}"),
+        Column("attempts each", lambda group: f"{group.stats.attempts / group.stats.count:.2f}"),
+        Column("mean ms", lambda group: f"{group.stats.sum_ms / group.stats.count:.1f}"),
+        Column("max ms", lambda group: f"{group.stats.max_ms:.1f}"),
     ]
 
 
 def _outcome_column(outcome: str) -> Column[NamedGroup]:
-    return Column(_printable(outcome), lambda row: str(row[1].outcomes[outcome]))
+    return Column(_printable(outcome), lambda group: str(group.stats.outcomes[outcome]))
