--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -10,11 +10,11 @@
 from anisespool.agent.call_errors import DrainRejectedError
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError, ValidateBody
+from anisespool.agent.rollout.state import DRY_RUN_STATE
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.control import routes
 from anisespool.control.responses import JsonObject
 
-CHECKED_STATE = "checked"  # in place of a rollout's state: nothing was sent
 MAX_CONCURRENT_REQUESTS = 32
 MAX_DETAIL_CHARACTERS = 200
 NEVER_OLDER_REVISION = 2**52  # above the revision of any instance, so that a check is not rejected as older
@@ -32,7 +32,7 @@
     def message(self) -> pb.Progress:
         """Return the result as the only message of a dry run."""
         return pb.Progress(
-            state=CHECKED_STATE,
+            state=DRY_RUN_STATE,
             total=self.valid + self.unreachable + self.rejected,
             has=self.valid,
             unreachable=self.unreachable,
--- a/anisespool/agent/fleet_status.py
+++ b/anisespool/agent/fleet_status.py
@@ -8,7 +8,8 @@
 from anisespool.agent.control_client import ControlClient, Reachability
 from anisespool.agent.desired_state import DesiredState
 from anisespool.agent.instance_directory import InstanceDirectory
-from anisespool.agent.rollout.status import RolloutStatus, status_by_report
+from anisespool.agent.rollout.status import RolloutStatus
+from anisespool.agent.rollout.status_by_report import status_by_report
 
 MAX_PROBLEM_INSTANCES = 8  # named in a summary
 PROBLEM_STATUSES = frozenset((RolloutStatus.REJECTED, RolloutStatus.UNREACHABLE, RolloutStatus.AHEAD))
--- a/anisespool/agent/rollout/state.py
+++ b/anisespool/agent/rollout/state.py
@@ -16,6 +16,7 @@
     SUPERSEDED = "superseded"  # a newer change replaced it before it settled
 
 
+DRY_RUN_STATE = "checked"  # of a progress, in place of a RolloutState: validated and not sent
 PROPAGATING_STATES = frozenset((RolloutState.RUNNING, RolloutState.SETTLED))  # desired on every instance
 
 
--- a/anisespool/cli/change_commands.py
+++ b/anisespool/cli/change_commands.py
@@ -14,6 +14,7 @@
 
 import typer
 
+from anisespool.agent.rollout.state import DRY_RUN_STATE, RolloutState
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli import output, rollout_progress
 from anisespool.cli.agent_client import CALL_TIMEOUT_S, author, connect_to_agent
@@ -43,9 +44,9 @@
 UNLIMITED = -1
 MS_PER_S = 1000
 STANDARD_INPUT = Path("-")
-# States of a rollout (`Progress.state` in agent.proto).
-COMPLETED_STATES = ("settled", "checked")
-STOPPED_STATES = ("paused", "superseded")
+# `Progress.state` in agent.proto; a newer agent may send another one.
+COMPLETED_STATES = frozenset((RolloutState.SETTLED.value, DRY_RUN_STATE))
+STOPPED_STATES = frozenset((RolloutState.PAUSED.value, RolloutState.SUPERSEDED.value))
 
 
 @dataclass(frozen=True, slots=True)
--- a/anisespool/cli/inspection_commands.py
+++ b/anisespool/cli/inspection_commands.py
@@ -10,6 +10,7 @@
 
 import typer
 
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli import agent_tables, membership_matrix, output
 from anisespool.cli.agent_client import CALL_TIMEOUT_S, connect_to_agent
@@ -17,9 +18,8 @@
 from anisespool.cli.errors import CommandError, ExitStatus
 from anisespool.cli.instance_views import InstanceDescription, MembershipView, parse_view
 
-# Standings of a target (states in agent.proto) with which it needs no more attention: "" is one that
-# the change doesn't concern.
-COMPLETE_STANDINGS = ("has", "")
+NO_STATUS = ""  # `Target.standing` of an instance that the change does not concern
+COMPLETE_STATUSES = frozenset((RolloutStatus.UP_TO_DATE.value, NO_STATUS))
 
 
 def list_instances(
@@ -79,7 +79,7 @@
         output.print_json(output.message_to_dict(reply))
     else:
         output.console.print(*agent_tables.change_status(reply))
-    if any(target.standing not in COMPLETE_STANDINGS for target in reply.targets):
+    if any(target.standing not in COMPLETE_STATUSES for target in reply.targets):
         raise typer.Exit(ExitStatus.PARTIAL)
 
 
--- a/anisespool/cli/rollout_progress.py
+++ b/anisespool/cli/rollout_progress.py
@@ -3,33 +3,48 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from rich.live import Live
 from rich.text import Text
 
+from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli import output
 
 BAR_WIDTH_CHARACTERS = 40
-# Counters of agent.proto's Progress, in the order shown.
-STANDINGS = ("has", "sent", "lacks", "refused", "unreachable", "ahead")
+DISPLAY_ORDER = (
+    RolloutStatus.UP_TO_DATE,
+    RolloutStatus.IN_FLIGHT,
+    RolloutStatus.OUTDATED,
+    RolloutStatus.REJECTED,
+    RolloutStatus.UNREACHABLE,
+    RolloutStatus.AHEAD,
+)
+
+
+class StatusCount(NamedTuple):
+    """How many instances have a status; `name` is the counter's in agent.proto's Progress."""
+
+    name: str
+    instances: int
 
 
 def summary(progress: pb.Progress) -> str:
-    """Return a change's state and how many instances are where, as one line."""
-    counts = ", ".join(f"{getattr(progress, key)} {key}" for key in STANDINGS if getattr(progress, key))
+    """Return a change's state and the numbers of instances by status, as one line."""
+    counts = ", ".join(f"{count.instances} {count.name}" for count in _counts(progress) if count.instances)
     name = f"generation {progress.generation}: " if progress.generation else ""
     text = f"{name}{progress.state}, of {progress.total}: {counts or 'none'}"
     return text + (f" ({progress.reason})" if progress.reason else "")
 
 
 def progress_bar(progress: pb.Progress, width: int = BAR_WIDTH_CHARACTERS) -> Text:
-    """Return a bar with a part for each standing, as wide as its share of instances, and the summary."""
+    """Return a bar with a part for each status, as wide as its share of instances, and the summary."""
     text = Text()
     if progress.total:
-        for key in STANDINGS:
-            part = round(width * getattr(progress, key) / progress.total)
-            text.append("█" * part, style=output.STATE_COLOURS[key])
+        for count in _counts(progress):
+            part = round(width * count.instances / progress.total)
+            text.append("█" * part, style=output.STATE_COLOURS[count.name])
     text.append("  " + summary(progress))
     return text
 
@@ -43,6 +58,10 @@
     return last
 
 
+def _counts(progress: pb.Progress) -> list[StatusCount]:
+    return [StatusCount(status.value, getattr(progress, status.value)) for status in DISPLAY_ORDER]
+
+
 def _print_each(updates: Iterable[pb.Progress]) -> pb.Progress:
     last = pb.Progress()
     for last in updates:
--- a/tests/agent/test_rollout.py
+++ b/tests/agent/test_rollout.py
@@ -14,7 +14,8 @@
 from anisespool.agent.rollout.planner import Decision, RolloutStep, next_step
 from anisespool.agent.rollout.policy import RolloutPolicy
 from anisespool.agent.rollout.state import RolloutAction, RolloutState, state_after
-from anisespool.agent.rollout.status import RolloutStatus, status_by_report
+from anisespool.agent.rollout.status import RolloutStatus
+from anisespool.agent.rollout.status_by_report import status_by_report
 
 UP_TO_DATE = RolloutStatus.UP_TO_DATE
 OUTDATED = RolloutStatus.OUTDATED
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -52,6 +52,7 @@
     "agent/rollout/policy.py",
     "agent/rollout/state.py",
     "agent/rollout/status.py",
+    "agent/rollout/status_by_report.py",
     "balancer/admission/burst_capacity.py",
     "balancer/admission/controller.py",
     "balancer/admission/fleet_capacity.py",
