--- a/anisespool/cli/errors.py
+++ b/anisespool/cli/errors.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import IntEnum
 
 
@@ -15,13 +16,17 @@
     AGENT_UNAVAILABLE = 4
 
 
+@dataclass(eq=False)
 class CommandError(Exception):
     """Ends the command with one line on standard error.
 
     Attributes:
-        status: the exit status of the process.
+        status: Exit status of the process, by whose fault it is: the arguments', the agent's, the outcome's.
+        text: The line.
     """
 
-    def __init__(self, status: ExitStatus, text: str) -> None:
-        super().__init__(text)
-        self.status = status
+    status: ExitStatus
+    text: str
+
+    def __str__(self) -> str:
+        return self.text
