--- a/anisespool/cli/inspection_commands.py
+++ b/anisespool/cli/inspection_commands.py
@@ -12,12 +12,13 @@
 
 from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.cli import agent_tables, membership_matrix, output
+from anisespool.cli import change_tables, instance_tables, membership_matrix, output
 from anisespool.cli.agent_client import CALL_TIMEOUT_S, connect_to_agent
 from anisespool.cli.arguments import AsJson, ConfigPath, Generation, InstancePattern
 from anisespool.cli.errors import CommandError, ExitStatus
 from anisespool.cli.instance_views import InstanceDescription, MembershipView, parse_view
 
+MS_PER_S = 1000
 NO_STATUS = ""  # `Target.standing` of an instance that the change does not concern
 COMPLETE_STATUSES = frozenset((RolloutStatus.UP_TO_DATE.value, NO_STATUS))
 
@@ -30,10 +31,10 @@
         instances = list(stub.List(pb.ListRequest(pattern=pattern), timeout=CALL_TIMEOUT_S))
     if as_json:
         for instance in instances:
-            reachability = agent_tables.reachability_name(instance.reach)
+            reachability = instance_tables.reachability_name(instance.reach)
             output.print_json(output.message_to_dict(instance) | {"reach": reachability})
     else:
-        output.console.print(agent_tables.instance_table(instances))
+        output.console.print(instance_tables.instance_table(instances))
         silent = sum(instance.reach != pb.REACH_ANSWERS for instance in instances)
         output.console.print(f"{len(instances)} instances, {silent} of them unreachable")
     if not instances:
@@ -49,7 +50,7 @@
         output.print_json(description)
     else:
         view = parse_view(description, InstanceDescription, name)
-        output.console.print(*agent_tables.instance_details(view))
+        output.console.print(*instance_tables.instance_details(view))
 
 
 def show_peers(pattern: InstancePattern = "*", config: ConfigPath = None, as_json: AsJson = False) -> None:
@@ -78,7 +79,7 @@
     if as_json:
         output.print_json(output.message_to_dict(reply))
     else:
-        output.console.print(*agent_tables.change_status(reply))
+        output.console.print(*change_tables.change_status(reply))
     if any(target.standing not in COMPLETE_STATUSES for target in reply.targets):
         raise typer.Exit(ExitStatus.PARTIAL)
 
@@ -97,5 +98,5 @@
 
 
 def _print_event(event: pb.Event) -> None:
-    clock = time.strftime("%H:%M:%S", time.localtime(event.at_ms / 1000))
+    clock = time.strftime("%H:%M:%S", time.localtime(event.at_ms / MS_PER_S))
     output.console.print(f"{clock} {event.kind:8} {event.subject:16} {event.text}", markup=False)
--- a/anisespool/cli/agent_tables.py
+++ b/anisespool/cli/instance_tables.py
@@ -1,24 +1,20 @@
-"""Tables of what the agent reports: instances, one instance, one change."""
+"""Tables of all instances, and of one, as the agent reports them."""
 
 from __future__ import annotations
 
-import time
 from collections.abc import Iterable
 from itertools import starmap
 from typing import NamedTuple
 
-from rich.console import RenderableType
 from rich.table import Table
 from rich.text import Text
 
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli.instance_views import EndpointDescription, InstanceDescription
 from anisespool.cli.output import format_duration, styled_state
-from anisespool.cli.rollout_progress import progress_bar
 from anisespool.cli.tables import Column, build_table
 
 DIGEST_PREFIX_CHARACTERS = 8
-STORE_WRITABLE = "ok"  # `StatusReply.store` in place of an error
 OUTCOMES = ("served", "refused", "failed", "gone")  # keys of a request class's counts
 
 
@@ -139,40 +135,3 @@
     Column("class", lambda row: row.request_class),
     *map(_outcome_column, OUTCOMES),
 ]
-
-
-def change_status(reply: pb.StatusReply) -> list[RenderableType]:
-    """Return one change and its targets, the change history, drains, and any error of the store."""
-    parts: list[RenderableType] = []
-    if reply.HasField("progress"):
-        parts.append(progress_bar(reply.progress))
-    if reply.HasField("change"):
-        parts.append(build_table("Instances", TARGET_COLUMNS, reply.targets))
-    parts.append(build_table("Changes", CHANGE_COLUMNS, reply.history))
-    if reply.drains:
-        parts.append(Text("drained at all instances: " + ", ".join(reply.drains), style="yellow"))
-    if reply.store != STORE_WRITABLE:
-        parts.append(Text(f"the agent's store can't be written: {reply.store}", style="red"))
-    return parts
-
-
-def _created_at(change: pb.Change) -> str:
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(change.created_ms / 1000))
-
-
-def _note_and_reason(change: pb.Change) -> str:
-    return change.note + (f" ({change.reason})" if change.reason else "")
-
-
-TARGET_COLUMNS: list[Column[pb.Target]] = [
-    Column("name", lambda target: target.name),
-    Column("state", lambda target: styled_state(target.standing)),
-    Column("detail", lambda target: target.detail),
-]
-CHANGE_COLUMNS: list[Column[pb.Change]] = [
-    Column("generation", lambda change: str(change.generation)),
-    Column("state", lambda change: styled_state(change.state)),
-    Column("by", lambda change: change.author),
-    Column("when", _created_at),
-    Column("note", _note_and_reason),
-]
--- a/tests/cli/test_agent_tables.py
+++ b/tests/cli/test_instance_tables.py
@@ -1,11 +1,11 @@
-"""Tables of what the agent reports."""
+"""Tables of instances, as the agent reports them."""
 
 from __future__ import annotations
 
 import pytest
 
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.cli import agent_tables
+from anisespool.cli import instance_tables
 from anisespool.cli.errors import CommandError, ExitStatus
 from anisespool.cli.instance_views import InstanceDescription, parse_view
 from tests.cli.support import DESCRIPTION, cells, printed
@@ -22,19 +22,19 @@
         standing="has",
         drained=["s-0", "s-1"],
     )
-    row = cells(printed(agent_tables.instance_table([instance]))[4])
+    row = cells(printed(instance_tables.instance_table([instance]))[4])
     assert row == ["n0", "answers", "serving", "1.5 h", "4 abcdefgh", "has", "s-0, s-1", ""]
 
 
 def test_the_row_of_a_silent_instance_has_the_reason_and_how_long_it_has_been_silent() -> None:
     instance = pb.Instance(name="n1", reach=pb.REACH_SILENT, detail="no answer", silent_ms=4200)
-    row = cells(printed(agent_tables.instance_table([instance]))[4])
+    row = cells(printed(instance_tables.instance_table([instance]))[4])
     assert row == ["n1", "silent", "", "", "", "", "", "no answer, silent for 4.2 s"]
 
 
 def test_the_details_of_an_instance_list_its_endpoints_and_final_responses() -> None:
     description = parse_view(DESCRIPTION, InstanceDescription, "n0")
-    lines = printed(*agent_tables.instance_details(description))
+    lines = printed(*instance_tables.instance_details(description))
     rows = [cells(line) for line in lines if line.startswith("│")]
     assert ["strain", "0.25"] in rows
     assert ["clients", "3 connections, 1 working"] in rows
@@ -45,7 +45,7 @@
 
 def test_properties_that_an_older_instance_does_not_report_are_empty() -> None:
     older = {key: value for key, value in DESCRIPTION.items() if key not in ("strain", "clients", "build")}
-    lines = printed(*agent_tables.instance_details(parse_view(older, InstanceDescription, "n0")))
+    lines = printed(*instance_tables.instance_details(parse_view(older, InstanceDescription, "n0")))
     rows = [cells(line) for line in lines if line.startswith("│")]
     assert ["strain", ""] in rows
     assert ["build", ""] in rows
