--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -15,11 +15,11 @@
 from anisespool.agent.desired_state_repository import DesiredStateRepository
 from anisespool.agent.events import EventKind
 from anisespool.agent.task_scope import TaskScope
+from anisespool.agent.wall_clock import MS_PER_S
 from anisespool.control import routes
 from anisespool.control.generations import ApplyDecision
 from anisespool.log import log_event
 
-MS_PER_S = 1000
 # The instance has another configuration by now: its next state shows which.
 TRANSIENT_DECISIONS = frozenset((ApplyDecision.BASE_MISMATCH, ApplyDecision.STALE))
 
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -10,8 +10,8 @@
 from anisespool.agent.rollout.state import RolloutAction
 from anisespool.agent.rollout.status import RolloutStatus
 from anisespool.agent.v1 import agent_pb2 as pb
+from anisespool.agent.wall_clock import MS_PER_S
 
-MS_PER_S = 1000
 MAX_PROBLEM_INSTANCES = 8  # named in a drain's progress
 REACHABILITY_MESSAGES = {
     Reachability.UNKNOWN: pb.REACH_UNSPECIFIED,
--- a/anisespool/agent/wall_clock.py
+++ b/anisespool/agent/wall_clock.py
@@ -1,10 +1,11 @@
-"""The wall clock in the unit of the store and of agent.proto."""
+"""The wall clock in the unit of the store and of agent.proto, and factors to other units."""
 
 from __future__ import annotations
 
 from anisespool.config.clock import wall_ns
 
 NS_PER_MS = 1_000_000
+MS_PER_S = 1000
 
 
 def wall_ms() -> int:
--- a/anisespool/cli/change_commands.py
+++ b/anisespool/cli/change_commands.py
@@ -42,7 +42,6 @@
 
 NEWEST_GENERATION = -1  # in place of a generation's number: the newest when the command runs
 UNLIMITED = -1
-MS_PER_S = 1000
 STANDARD_INPUT = Path("-")
 # `Progress.state` in agent.proto; a newer agent may send another one.
 COMPLETED_STATES = frozenset((RolloutState.SETTLED.value, DRY_RUN_STATE))
@@ -165,7 +164,7 @@
         first_wave=rollout.first_wave_size,
         most_refused=rollout.max_rejected,
         most_unreachable=rollout.max_unreachable,
-        settle_ms=int(rollout.settle_s * MS_PER_S),
+        settle_ms=int(rollout.settle_s * output.MS_PER_S),
         force=rollout.force,
         dry_run=rollout.dry_run,
     )
--- a/anisespool/cli/change_tables.py
+++ b/anisespool/cli/change_tables.py
@@ -8,11 +8,10 @@
 from rich.text import Text
 
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.cli.output import styled_state
+from anisespool.cli.output import MS_PER_S, styled_state
 from anisespool.cli.rollout_progress import progress_bar
 from anisespool.cli.tables import Column, build_table
 
-MS_PER_S = 1000
 STORE_WRITABLE = "ok"  # `StatusReply.store` in place of an error
 
 
--- a/anisespool/cli/inspection_commands.py
+++ b/anisespool/cli/inspection_commands.py
@@ -18,7 +18,6 @@
 from anisespool.cli.errors import CommandError, ExitStatus
 from anisespool.cli.instance_views import InstanceDescription, MembershipView, parse_view
 
-MS_PER_S = 1000
 NO_STATUS = ""  # `Target.standing` of an instance that the change does not concern
 COMPLETE_STATUSES = frozenset((RolloutStatus.UP_TO_DATE.value, NO_STATUS))
 
@@ -98,5 +97,5 @@
 
 
 def _print_event(event: pb.Event) -> None:
-    clock = time.strftime("%H:%M:%S", time.localtime(event.at_ms / MS_PER_S))
+    clock = time.strftime("%H:%M:%S", time.localtime(event.at_ms / output.MS_PER_S))
     output.console.print(f"{clock} {event.kind:8} {event.subject:16} {event.text}", markup=False)
--- a/anisespool/cli/output.py
+++ b/anisespool/cli/output.py
@@ -10,6 +10,7 @@
 from rich.progress import Progress, ProgressColumn, TextColumn
 from rich.text import Text
 
+MS_PER_S = 1000
 # Colours of states, as the control socket and agent.proto name them.
 STATE_COLOURS = {
     "has": "green",
@@ -96,7 +97,7 @@
 
 def format_duration(duration_ms: float) -> str:
     """Return a duration in the largest unit that it fills once, such as `1.5 h`."""
-    seconds = duration_ms / 1000
+    seconds = duration_ms / MS_PER_S
     for unit in DURATION_UNITS:
         if seconds >= unit.seconds:
             return f"{seconds / unit.seconds:.1f} {unit.symbol}"
--- a/anisespool/cli/trace_path.py
+++ b/anisespool/cli/trace_path.py
@@ -7,11 +7,11 @@
 
 from rich.text import Text
 
+from anisespool.cli.output import MS_PER_S
 from anisespool.cli.tables import Column
 from anisespool.cli.trace_cells import ABSENT, printable, styled_outcome
 from anisespool.records.reader import ParsedRecord
 
-MS_PER_S = 1000
 BAR_WIDTH_CHARACTERS = 48
 CLIENT_ATTEMPT_MARK = "="  # in the bar of a client's attempt
 ATTEMPT_MARK = "-"  # in the bar of an attempt at an endpoint
--- a/anisespool/cli/trace_tables.py
+++ b/anisespool/cli/trace_tables.py
@@ -13,7 +13,7 @@
 from rich.text import Text
 
 from anisespool.cli.errors import CommandError, ExitStatus
-from anisespool.cli.output import JsonObject, print_json
+from anisespool.cli.output import MS_PER_S, JsonObject, print_json
 from anisespool.cli.tables import Column, build_plain_table
 from anisespool.cli.trace_cells import printable, styled_outcome
 from anisespool.cli.trace_path import span_columns, spans
@@ -21,7 +21,6 @@
 from anisespool.records.outcome import OUTCOME_NAMES
 from anisespool.records.reader import LineCounts, ParsedRecord
 
-MS_PER_S = 1000
 MIN_DURATION_MS = 0.001  # of a path, which bars are drawn by
 console = Console(soft_wrap=False)
 
