--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -12,8 +12,8 @@
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError, ValidateBody
 from anisespool.agent.rollout.state import DRY_RUN_STATE
 from anisespool.agent.v1 import agent_pb2 as pb
+from anisespool.config import operator
 from anisespool.control import routes
-from anisespool.control.responses import JsonObject
 
 MAX_CONCURRENT_REQUESTS = 32
 MAX_DETAIL_CHARACTERS = 200
@@ -42,16 +42,16 @@
 
 
 async def validate_everywhere(
-    clients: Iterable[ControlClient], content: JsonObject, force: bool
+    clients: Iterable[ControlClient], document: operator.LiveConfig, force: bool
 ) -> pb.Progress:
     """Have every instance validate a document, and return the counts; nothing is changed.
 
     Args:
         clients: The instances.
-        content: The document.
+        document: The document.
         force: Accept a document that drains the last endpoint.
     """
-    body = ValidateBody(content, force)
+    body = ValidateBody(operator.to_tables(document), force)
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     result = _ValidationResult()
 
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -36,7 +36,6 @@
 from anisespool.agent.store.writer import StoreWriter
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.agent.v1 import agent_pb2_grpc
-from anisespool.config import operator
 from anisespool.control import routes
 
 MAX_HISTORY_RECORDS = 20  # changes in a StatusReply
@@ -166,8 +165,8 @@
             command = validation.check_apply(request)
             await self._directory.synced.wait()
             if request.dry_run:
-                content = operator.to_tables(command.document)
-                yield await fan_out.validate_everywhere(self._status.targets(), content, request.force)
+                targets = self._status.targets()
+                yield await fan_out.validate_everywhere(targets, command.document, request.force)
                 return
             async for progress in self._roll_out(command.draft, request.base_generation):
                 yield progress
