--- a/tests/cli/test_membership_matrix.py
+++ b/tests/cli/test_membership_matrix.py
@@ -7,6 +7,7 @@
 import pytest
 
 from anisespool.cli import membership_matrix
+from anisespool.cli.errors import CommandError
 from anisespool.cli.instance_views import MembershipView, parse_view
 from tests.cli.support import PEERS, cells, printed
 
@@ -58,6 +59,12 @@
     assert str(membership_matrix.render(views, {})[-1]) == agreement
 
 
+@pytest.mark.parametrize("in_vain", [[5], [5, 8, 1], ["5", 8], {"failed": 5, "total": 8}])
+def test_failed_probes_are_a_list_of_two_numbers(in_vain: object) -> None:
+    with pytest.raises(CommandError, match=r"n2: not understood: .*in_vain"):
+        view(in_vain=in_vain)
+
+
 def test_an_instance_without_a_view_is_listed_with_the_reason() -> None:
     parts = membership_matrix.render({}, {"c": "talks to nobody"})
     assert [str(part) for part in parts[1:]] == [membership_matrix.LEGEND, "c: talks to nobody"]
