--- a/anisespool/cli/demo.py
+++ b/anisespool/cli/demo.py
@@ -1,4 +1,4 @@
-"""`anisespool demo`: a fleet on loopback under traffic, with injected faults, judged by the four rules."""
+"""`anisespool demo`: runs the demo's fleet with progress, and prints its verdict on the four rules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import tempfile
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from itertools import starmap
 from pathlib import Path
 from typing import NamedTuple
@@ -17,30 +17,16 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli import output
-from anisespool.cli.agent_client import CALL_TIMEOUT_S, connect_to_agent
+from anisespool.cli.demo_fleet import DemoFleet
 from anisespool.cli.tables import Column, build_table
-from anisespool.fakes.clients import Client, Load
-from anisespool.fakes.discovery import DiscoveryService
-from anisespool.fakes.endpoint import CountingEndpoint
-from anisespool.fakes.local_fleet import LocalFleet
-from anisespool.fakes.platform import member
-from anisespool.fakes.rule_checker import Drain, Verdict, check_rules
-
-FLEET_ENDPOINTS = 6
-FLEET_INSTANCES = 3
-REQUESTS_PER_S = 40.0  # at each sidecar
-SLOW_START_S = 20.0
-DISCOVERY_DELAY_S = 0.5  # until discovery removes an endpoint that was killed
-ENDING_S = 2  # of the progress bar, for the last responses
-CHANGE = "[connections]\nidle_per_endpoint = 16\n"
+from anisespool.fakes.rule_checker import Verdict
 
+ENDING_S = 2  # of the progress bar, for the last responses
+REFRESH_INTERVAL_S = 0.1
+REFRESHES_PER_S = 8
 CLIENT_OUTCOMES = ("served", "refused", "failed")  # as the clients count them
 
-ReportStage = Callable[[str], None]
-"""Called with a line of text as a stage of the demo begins."""
-
 
 class ClassCounts(NamedTuple):
     """The name of a request class, and its answers by outcome."""
@@ -49,131 +35,6 @@
     counts: Counter[str]
 
 
-class Step(NamedTuple):
-    """One action on the fleet while traffic runs.
-
-    Attributes:
-        delay_share: Pause after the step before, as a share of the traffic's duration.
-        title: Shown as the step begins.
-        action: Carries it out.
-    """
-
-    delay_share: float
-    title: str
-    action: Callable[[], Awaitable[None]]
-
-
-class Demo:
-    """The fleet, its traffic, and what is done to it.
-
-    Attributes:
-        load: requests of the clients, and their responses.
-        problems: what went wrong in commands, one line each.
-    """
-
-    def __init__(self, folder: Path) -> None:
-        self.load = Load()
-        self.problems: list[str] = []
-        self._folder = folder
-        self._endpoints = [
-            CountingEndpoint(f"push-{number}", slow_start_s=SLOW_START_S) for number in range(FLEET_ENDPOINTS)
-        ]
-        self._discovery: DiscoveryService  # these two: while `run` runs
-        self._fleet: LocalFleet
-        self._drains: list[Drain] = []
-        self._restarted: list[CountingEndpoint] = []
-
-    async def run(self, seconds: float, report_stage: ReportStage) -> list[Verdict]:
-        """Run the fleet under traffic for so many seconds, and check the four rules.
-
-        Args:
-            seconds: how long the traffic lasts.
-            report_stage: called with a line of text as each stage begins.
-        """
-        for endpoint in self._endpoints:
-            await endpoint.start()
-            endpoint.started_s -= SLOW_START_S  # as if it had been running for long
-        members = [member(endpoint.name, endpoint.address) for endpoint in self._endpoints]
-        self._discovery = DiscoveryService(members)
-        async with self._discovery.serve():
-            self._fleet = LocalFleet(self._folder, self._discovery.address, members)
-            try:
-                report_stage(f"starting {FLEET_INSTANCES} sidecars and the agent")
-                await self._start_fleet()
-                await self._run_steps(seconds, report_stage)
-            finally:
-                await self._fleet.close()
-        for endpoint in self._endpoints:
-            endpoint.kill()
-        return check_rules(self.load.requests, self._endpoints, self._drains, self._restarted)
-
-    async def _start_fleet(self) -> None:
-        names = [f"edge-{number}" for number in range(FLEET_INSTANCES)]
-        await asyncio.gather(*(self._fleet.start_sidecar(name, FLEET_INSTANCES) for name in names))
-        await self._fleet.start_agent()
-
-    async def _run_steps(self, seconds: float, report_stage: ReportStage) -> None:
-        end_s = time.monotonic() + seconds
-        clients = [
-            Client(address, self.load, seed, name)
-            for seed, (name, address) in enumerate(sorted(self._fleet.addresses.items()))
-        ]
-        traffic = asyncio.gather(*(client.run(REQUESTS_PER_S, end_s) for client in clients))
-        for step in self._steps():
-            await asyncio.sleep(step.delay_share * seconds)
-            report_stage(step.title)
-            await step.action()
-        report_stage("waiting for the last responses")
-        await traffic
-
-    def _steps(self) -> list[Step]:
-        return [
-            Step(0.15, "draining push-0 everywhere", self._drain_endpoint),
-            Step(0.15, "killing push-1", self._kill_endpoint),
-            Step(0.2, "a live change for all sidecars", self._apply_change),
-            Step(0.15, "push-1 is back, warming up", self._restart_endpoint),
-            Step(0.15, "push-0 is used again", self._undrain_endpoint),
-        ]
-
-    async def _run_command(self, *arguments: str) -> None:
-        status, lines = await self._fleet.command(*arguments)
-        if status:
-            self.problems.append(f"{' '.join(arguments)}: status {status}: {lines[-1]}")
-
-    async def _drain_endpoint(self) -> None:
-        # From before the agent is called: no sidecar can have applied the drain earlier.
-        self._drains.append(Drain(self._endpoints[0], time.monotonic()))
-        await asyncio.to_thread(self._request_drain, pb.DrainRequest(drain=["push-0"], author="demo"))
-
-    def _request_drain(self, request: pb.DrainRequest) -> None:
-        with connect_to_agent(self._fleet.file) as stub:
-            last = list(stub.Drain(request, timeout=CALL_TIMEOUT_S))[-1]
-        if last.told != last.total:
-            self.problems.append(f"drain: confirmed by {last.told} of {last.total} instances")
-
-    async def _undrain_endpoint(self) -> None:
-        self._drains[0] = self._drains[0]._replace(ended_s=time.monotonic())
-        await self._run_command("undrain", "push-0")
-
-    async def _apply_change(self) -> None:
-        change = self._folder / "change.toml"
-        change.write_text(CHANGE)
-        await self._run_command("apply", str(change), "--wave", "2")
-
-    async def _kill_endpoint(self) -> None:
-        endpoint = self._endpoints[1]
-        endpoint.kill()
-        await asyncio.sleep(DISCOVERY_DELAY_S)
-        self._discovery.publish(member(endpoint.name, endpoint.address, "removed"))
-
-    async def _restart_endpoint(self) -> None:
-        endpoint = self._endpoints[1]
-        await endpoint.start(endpoint.address.port)
-        self._restarted.append(endpoint)
-        up_since_ms = time.time_ns() // 1_000_000
-        self._discovery.publish(member(endpoint.name, endpoint.address, up_since_ms=up_since_ms))
-
-
 def run(seconds: float, as_json: bool) -> int:
     """Run the demo and print its verdict.
 
@@ -181,17 +42,17 @@
         0 only if all four rules were kept and every command on the way succeeded.
     """
     with tempfile.TemporaryDirectory() as folder:
-        demo = Demo(Path(folder))
+        fleet = DemoFleet(Path(folder))
         if as_json or not output.console.is_terminal:
-            rulings = asyncio.run(demo.run(seconds, _print_stage))
+            verdicts = asyncio.run(fleet.run(seconds, _print_stage))
         else:
-            rulings = asyncio.run(_run_with_progress(demo, seconds))
-    passed = all(ruling.kept for ruling in rulings) and not demo.problems
+            verdicts = asyncio.run(_run_with_progress(fleet, seconds))
+    passed = all(verdict.kept for verdict in verdicts) and not fleet.problems
     if as_json:
-        _print_json(demo, rulings, passed)
+        _print_json(fleet, verdicts, passed)
     else:
-        output.console.print(_answer_table(demo), _rule_table(rulings))
-        for problem in demo.problems:
+        output.console.print(_answer_table(fleet), _rule_table(verdicts))
+        for problem in fleet.problems:
             output.console.print(problem, style="red", markup=False)
     return int(not passed)
 
@@ -200,7 +61,7 @@
     print(title, file=sys.stderr)
 
 
-async def _run_with_progress(demo: Demo, seconds: float) -> list[Verdict]:
+async def _run_with_progress(fleet: DemoFleet, seconds: float) -> list[Verdict]:
     progress = Progress(TextColumn("{task.description:34}"), BarColumn(), TextColumn("{task.fields[counts]}"))
     task = progress.add_task("", total=seconds + ENDING_S, counts="")
 
@@ -208,33 +69,35 @@
         progress.update(task, description=title)
 
     started_s = time.monotonic()
-    with Live(Group(progress), console=output.console, refresh_per_second=8):
-        running = asyncio.ensure_future(demo.run(seconds, report_stage))
+    with Live(Group(progress), console=output.console, refresh_per_second=REFRESHES_PER_S):
+        running = asyncio.ensure_future(fleet.run(seconds, report_stage))
         while not running.done():
-            served = sum(request.status == 200 for request in demo.load.requests)
-            counts = f"{len(demo.load.requests)} asked, {served} served"
+            served = sum(request.status == HTTPStatus.OK for request in fleet.load.requests)
+            counts = f"{len(fleet.load.requests)} asked, {served} served"
             progress.update(task, completed=time.monotonic() - started_s, counts=counts)
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
     return await running
 
 
-def _print_json(demo: Demo, rulings: list[Verdict], passed: bool) -> None:
+def _print_json(fleet: DemoFleet, verdicts: list[Verdict], passed: bool) -> None:
     output.print_json(
         {
-            "rules": [ruling._asdict() for ruling in rulings],
-            "troubles": demo.problems,
-            "classes": {name: dict(counts) for name, counts in demo.load.outcomes_by_class().items()},
+            "rules": [verdict._asdict() for verdict in verdicts],
+            "troubles": fleet.problems,
+            "classes": {name: dict(counts) for name, counts in fleet.load.outcomes_by_class().items()},
             "kept": passed,
         }
     )
 
 
-def _answer_table(demo: Demo) -> Table:
-    return build_table("Answers", ANSWER_COLUMNS, starmap(ClassCounts, demo.load.outcomes_by_class().items()))
+def _answer_table(fleet: DemoFleet) -> Table:
+    return build_table(
+        "Answers", ANSWER_COLUMNS, starmap(ClassCounts, fleet.load.outcomes_by_class().items())
+    )
 
 
-def _rule_table(rulings: list[Verdict]) -> Table:
-    return build_table("Rules, by the clients' and the endpoints' own counts", RULE_COLUMNS, rulings)
+def _rule_table(verdicts: list[Verdict]) -> Table:
+    return build_table("Rules, by the clients' and the endpoints' own counts", RULE_COLUMNS, verdicts)
 
 
 def _outcome_column(outcome: str) -> Column[ClassCounts]:
@@ -246,7 +109,7 @@
     *map(_outcome_column, CLIENT_OUTCOMES),
 ]
 RULE_COLUMNS: list[Column[Verdict]] = [
-    Column("rule", lambda ruling: ruling.rule),
-    Column("kept", lambda ruling: "[green]yes" if ruling.kept else "[red]NO"),
-    Column("figures", lambda ruling: ruling.figures),
+    Column("rule", lambda verdict: verdict.rule),
+    Column("kept", lambda verdict: "[green]yes" if verdict.kept else "[red]NO"),
+    Column("figures", lambda verdict: verdict.figures),
 ]
