--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -4,23 +4,25 @@
 
 import asyncio
 import time
+from dataclasses import dataclass
 from enum import Enum
+from http import HTTPStatus
 from pathlib import Path
 
 from anisespool.agent.control_connection import ControlConnection
 from anisespool.agent.control_protocol import (
     ControlClientError,
-    InstanceState,
     InvalidStateError,
     RequestBody,
     RequestRejectedError,
+    parse_state,
 )
+from anisespool.agent.instance_state import InstanceState
 from anisespool.control import routes
 from anisespool.control.responses import JsonObject
 from anisespool.control.routes import Route
 
 MAX_DETAIL_CHARACTERS = 200
-STATUS_OK = 200
 
 
 class Reachability(Enum):
@@ -30,26 +32,34 @@
     REACHABLE = "answers"
     UNRESPONSIVE = "silent"  # its socket exists, no answer within the time limit
     NOT_LISTENING = "gone"
-    PROTOCOL_ERROR = "strange"  # what it answers is not the control protocol
+    PROTOCOL_ERROR = "strange"  # its answer is not of the control protocol
 
 
+@dataclass(eq=False)
 class UnreachableError(ControlClientError):
-    """The instance gave no answer that can be used."""
+    """The instance gave no answer that can be used.
 
-    def __init__(self, reachability: Reachability, text: str) -> None:
-        super().__init__(text)
-        self.reachability = reachability
+    Attributes:
+        reachability: What that shows.
+        text: Why, for people.
+    """
+
+    reachability: Reachability
+    text: str
+
+    def __str__(self) -> str:
+        return self.text
 
 
 class ControlClient:
-    """One instance, from the first sight of its socket until the socket is removed.
+    """One instance, from the scan that finds its socket until the socket is removed.
 
     Attributes:
-        path: of the control socket.
-        name: of the instance.
-        reachability: whether it answered the last request with its state.
-        detail: why it is not reachable; empty if it is.
-        state: as last reported.
+        path: Of the control socket.
+        name: Of the instance.
+        reachability: Whether it answered the last request with its state.
+        detail: Why it is not reachable; empty if it is.
+        state: As last reported; None before its first report.
         last_answer_at: time.monotonic() of that report, or of the client's creation.
     """
 
@@ -81,13 +91,15 @@
             try:
                 async with asyncio.timeout(self._timeout_s):
                     answer = await self._connection.exchange(route, body)
-            except BaseException as error:  # also when cancelled: half an answer may be on the connection
+            except (
+                BaseException
+            ) as error:  # also when cancelled: the connection may hold a part of the answer
                 self.close()
                 unreachable = self._unreachable_error(error)
                 if unreachable is None:
                     raise
                 raise unreachable from None
-        if answer.status != STATUS_OK:
+        if answer.status != HTTPStatus.OK:
             raise answer.rejection()
         return answer.body
 
@@ -101,7 +113,7 @@
         self._record_state(await self.request(route, body))
 
     def _unreachable_error(self, error: BaseException) -> UnreachableError | None:
-        """What a failed exchange says about the instance; None if the error is not the instance's."""
+        """Return the reachability that a failed exchange shows; None if the error is not the instance's."""
         if isinstance(error, TimeoutError):
             return UnreachableError(Reachability.UNRESPONSIVE, f"no answer within {self._timeout_s:g} s")
         if isinstance(error, ConnectionRefusedError | FileNotFoundError):
@@ -129,7 +141,7 @@
 
     def _record_state(self, answer: JsonObject) -> None:
         try:
-            self.state = InstanceState.from_answer(answer)
+            self.state = parse_state(answer)
         except InvalidStateError as error:
             self._record_protocol_error(str(error))
             return
--- a/anisespool/agent/control_protocol.py
+++ b/anisespool/agent/control_protocol.py
@@ -1,6 +1,6 @@
 """What the agent sends to an instance's control socket and reads from it (docs/fleet.md).
 
-The field names of the bodies and of `InstanceState` are the keys on the socket.
+The field names of the bodies are the keys on the socket.
 """
 
 from __future__ import annotations
@@ -11,31 +11,47 @@
 import msgspec
 
 from anisespool.agent.errors import AgentError
+from anisespool.agent.instance_state import InstanceState
+from anisespool.control.generations import ApplyDecision
 from anisespool.control.responses import JsonObject
 
 PROTOCOL_VERSION = 1
-DRAINING_PHASE = "draining"  # of an instance that is shutting down
+DECISIONS_BY_CODE = {decision.value: decision for decision in ApplyDecision}
 
 
 class ControlClientError(AgentError):
     """Base of the errors of a control request."""
 
 
+@dataclass(eq=False)
 class RequestRejectedError(ControlClientError):
-    """The instance rejected the request: a code for programs, a text for people."""
+    """The instance rejected the request.
 
-    def __init__(self, code: str, text: str) -> None:
-        super().__init__(text)
-        self.code = code
-        self.text = text
+    Attributes:
+        code: For programs: a code of docs/fleet.md, or the HTTP status.
+        text: For people.
+    """
 
+    code: str
+    text: str
 
+    def __str__(self) -> str:
+        return self.text
+
+    @property
+    def decision(self) -> ApplyDecision | None:
+        """What the instance decided about an update; None if it rejected the request for another reason."""
+        return DECISIONS_BY_CODE.get(self.code)
+
+
+@dataclass(eq=False)
 class InvalidStateError(ControlClientError):
-    """An answer that lacks a key of the instance's state, or has a value of another type."""
+    """An answer lacks the key `key` of the instance's state, or has a value of another type there."""
+
+    key: str
 
-    def __init__(self, key: str) -> None:
-        super().__init__(f"its state has no {key}")
-        self.key = key
+    def __str__(self) -> str:
+        return f"its state has no {self.key}"
 
 
 class RequestBody(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -77,13 +93,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """HTTP status and object of an answer."""
+    """HTTP status and JSON object of an answer."""
 
     status: int
     body: JsonObject
 
     def rejection(self) -> RequestRejectedError:
-        """The error that the answer reports, or its status where it has none."""
+        """Return the error that the answer reports, or one with its status where it reports none."""
         error = self.body.get("error")
         if not isinstance(error, dict):
             error = {}
@@ -91,44 +107,28 @@
         return RequestRejectedError(code, str(error.get("text", f"status {self.status}")))
 
 
-@dataclass(frozen=True, slots=True)
-class InstanceState:
-    """State of an instance as it reports it (`routes.GET_STATE`, and the answer to every change)."""
+def parse_state(answer: JsonObject) -> InstanceState:
+    """Return the state that an answer holds; further keys are ignored.
 
-    name: str
-    boot: str  # new with every start
-    phase: str  # starting, serving or draining
-    generation: int
-    digest: str
-    pid: int
-    uptime_s: float
-    build: str
-    drained: list[str]  # ids of endpoints
-    drains_revision: int
-
-    @classmethod
-    def from_answer(cls, answer: JsonObject) -> InstanceState:
-        """Read the state that an answer holds; further keys are ignored.
-
-        Raises:
-            InvalidStateError: a key is missing or has a value of another type.
-        """
-        return cls(
-            name=_value(answer, "name", str),
-            boot=_value(answer, "boot", str),
-            phase=_value(answer, "phase", str),
-            generation=_value(answer, "generation", int),
-            digest=_value(answer, "digest", str),
-            pid=_value(answer, "pid", int),
-            uptime_s=_value(answer, "uptime_s", int, float),
-            build=_value(answer, "build", str),
-            drained=_value(answer, "drained", list),
-            drains_revision=_value(answer, "drains_revision", int),
-        )
+    Raises:
+        InvalidStateError: a key is missing or has a value of another type.
+    """
+    return InstanceState(
+        name=_value(answer, "name", str),
+        boot=_value(answer, "boot", str),
+        phase=_value(answer, "phase", str),
+        generation=_value(answer, "generation", int),
+        digest=_value(answer, "digest", str),
+        pid=_value(answer, "pid", int),
+        uptime_s=_value(answer, "uptime_s", int, float),
+        build=_value(answer, "build", str),
+        drained=_value(answer, "drained", list),
+        drains_revision=_value(answer, "drains_revision", int),
+    )
 
 
 def _value(answer: JsonObject, key: str, *types: type) -> Any:
-    """The value of `key`, which has one of `types`."""
+    """Return the value of `key`, which has one of `types`."""
     value = answer.get(key)
     if not isinstance(value, types):
         raise InvalidStateError(key)
--- a/anisespool/agent/events.py
+++ b/anisespool/agent/events.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.config.clock import wall_ns
+from anisespool.agent.wall_clock import wall_ms
 
 MAX_QUEUED_EVENTS = 256  # that a watcher has not read
 
@@ -58,8 +58,8 @@
     """Publishes events to watchers, each with a bounded queue. A watcher that does not read is dropped.
 
     Attributes:
-        max_watchers: how many may subscribe; the caller of `subscribe` checks it.
-        queues: of the watchers; the last element of one that was dropped is None.
+        max_watchers: Bound of subscriptions; the caller of `subscribe` checks it.
+        queues: Of the watchers; the last element of one that was dropped is None.
     """
 
     def __init__(self, max_watchers: int) -> None:
@@ -73,7 +73,7 @@
 
     @contextmanager
     def subscribe(self) -> Iterator[asyncio.Queue[pb.Event | None]]:
-        """A queue of the events from now on, for as long as the block lasts."""
+        """Yield a queue of the events from now on, for as long as the block lasts."""
         queue: asyncio.Queue[pb.Event | None] = asyncio.Queue()
         self.queues.add(queue)
         try:
@@ -83,7 +83,7 @@
 
     def publish(self, kind: EventKind, subject: str, text: str) -> None:
         """Queue an event for every watcher."""
-        event = pb.Event(at_ms=wall_ns() // 1_000_000, kind=kind.value, subject=subject, text=text)
+        event = pb.Event(at_ms=wall_ms(), kind=kind.value, subject=subject, text=text)
         for queue in list(self.queues):
             if queue.qsize() >= MAX_QUEUED_EVENTS:
                 self.queues.discard(queue)
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -7,14 +7,14 @@
 from collections.abc import AsyncGenerator, Iterable
 from dataclasses import dataclass, field
 
-from anisespool.agent.call_errors import NotPossibleError
+from anisespool.agent.call_errors import DrainRejectedError
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import FleetDrainsBody, RequestRejectedError, ValidateBody
+from anisespool.agent.rollout.state import DRY_RUN_STATE
 from anisespool.agent.v1 import agent_pb2 as pb
+from anisespool.config import operator
 from anisespool.control import routes
-from anisespool.control.responses import JsonObject
 
-CHECKED_STATE = "checked"  # in place of a rollout's state: nothing was sent
 MAX_CONCURRENT_REQUESTS = 32
 MAX_DETAIL_CHARACTERS = 200
 NEVER_OLDER_REVISION = 2**52  # above the revision of any instance, so that a check is not rejected as older
@@ -30,9 +30,9 @@
     problems: list[str] = field(default_factory=list)
 
     def message(self) -> pb.Progress:
-        """The result as the only message of a dry run."""
+        """Return the result as the only message of a dry run."""
         return pb.Progress(
-            state=CHECKED_STATE,
+            state=DRY_RUN_STATE,
             total=self.valid + self.unreachable + self.rejected,
             has=self.valid,
             unreachable=self.unreachable,
@@ -42,10 +42,16 @@
 
 
 async def validate_everywhere(
-    clients: Iterable[ControlClient], content: JsonObject, force: bool
+    clients: Iterable[ControlClient], document: operator.LiveConfig, force: bool
 ) -> pb.Progress:
-    """Ask every instance whether it could apply a document; nothing is changed."""
-    body = ValidateBody(content, force)
+    """Have every instance validate a document, and return the counts; nothing is changed.
+
+    Args:
+        clients: The instances.
+        document: The document.
+        force: Accept a document that drains the last endpoint.
+    """
+    body = ValidateBody(operator.to_tables(document), force)
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     result = _ValidationResult()
 
@@ -66,10 +72,10 @@
 
 
 async def check_drains_everywhere(clients: Iterable[ControlClient], endpoints: list[str]) -> None:
-    """Check that no instance would be left without an endpoint: some may see fewer endpoints than others.
+    """Check that no instance would be left without an endpoint: their endpoint lists may differ.
 
     Raises:
-        NotPossibleError: an instance rejected it.
+        DrainRejectedError: an instance rejected it.
     """
     body = FleetDrainsBody(NEVER_OLDER_REVISION, endpoints, check=True)
     rejections: list[str] = []
@@ -84,12 +90,11 @@
 
     await asyncio.gather(*(check(client) for client in clients))
     if rejections:
-        more = f" (and {len(rejections) - 1} more)" if len(rejections) > 1 else ""
-        raise NotPossibleError(min(rejections) + more)
+        raise DrainRejectedError(rejections)
 
 
 async def members_everywhere(clients: Iterable[ControlClient]) -> AsyncGenerator[pb.PeersReply, None]:
-    """The membership view of each instance, in the order of `clients`. Close it to end what is in flight."""
+    """Yield the membership view of each instance, in the order of `clients`. Closing it cancels the rest."""
     gate = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     tasks = [asyncio.create_task(_members_of(client, gate)) for client in clients]
     try:
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -10,35 +10,40 @@
 from contextlib import aclosing, contextmanager
 from dataclasses import replace
 
-from anisespool.agent import conversion, fan_out, queries, validation
+from anisespool.agent import conversion, fan_out, validation
 from anisespool.agent.call_errors import (
     ConflictError,
     Context,
-    LimitExceededError,
-    NotFoundError,
-    NotPossibleError,
+    InstanceRejectedError,
+    InstanceUnavailableError,
+    SlowWatcherError,
     StoreUnavailableError,
-    UnavailableError,
+    TooManyWatchersError,
+    UnknownGenerationError,
+    UnknownInstanceError,
     errors_as_status,
 )
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import ControlClientError, EndpointBody, RequestRejectedError
+from anisespool.agent.desired_state import Change, ChangeDraft
 from anisespool.agent.events import ChangeSignal, EventBroadcaster
-from anisespool.agent.queries import Change, ChangeDraft, GenerationConflictError
+from anisespool.agent.operator_commands import OperatorCommands
 from anisespool.agent.reconciler import Reconciler
-from anisespool.agent.rollout import RolloutState, RolloutStatus
-from anisespool.agent.store_writer import StoreWriter
+from anisespool.agent.rollout.state import RolloutState
+from anisespool.agent.rollout.status import RolloutStatus
+from anisespool.agent.store import change_table
+from anisespool.agent.store.errors import GenerationConflictError
+from anisespool.agent.store.writer import StoreWriter
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.agent.v1 import agent_pb2_grpc
-from anisespool.config import operator
 from anisespool.control import routes
 
-MAX_HISTORY = 20  # changes in a StatusReply
+MAX_HISTORY_RECORDS = 20  # changes in a StatusReply
+STORE_WRITABLE = "ok"  # `StatusReply.store` in place of an error
 PROGRESS_INTERVAL_S = 0.1  # between two messages about a rollout
 DRAIN_PROGRESS_INTERVAL_S = 0.05  # between two messages about a drain
 PROGRESS_TIMEOUT_S = 1.0  # a rollout's progress is compared at least so often
-DRAIN_TIMEOUT_S = 10.0  # a drain's stream ends by then, settled or not
-MAX_ERROR_NAME_CHARACTERS = 80
+DRAIN_TIMEOUT_S = 10.0  # a drain's stream ends after it, settled or not
 
 
 class AgentService(agent_pb2_grpc.AgentServicer):  # type: ignore[misc]  # generated without type stubs
@@ -47,11 +52,13 @@
     def __init__(
         self,
         reconciler: Reconciler,
+        commands: OperatorCommands,
         store: StoreWriter,
         broadcaster: EventBroadcaster,
         change_signal: ChangeSignal,
     ) -> None:
-        self._reconciler = reconciler
+        self._commands = commands
+        self._desired = reconciler.desired
         self._directory = reconciler.directory
         self._status = reconciler.status
         self._store = store
@@ -69,7 +76,7 @@
                 yield conversion.instance_message(client, self._status.status_of(client))
 
     async def Inspect(self, request: pb.InspectRequest, context: Context) -> pb.InspectReply:
-        """Request one instance's whole description."""
+        """Return the complete description of one instance, requested from it now."""
         async with errors_as_status(context):
             client = await self._find_client(request.name)
             with _instance_errors_as_call_errors(client):
@@ -86,41 +93,40 @@
                 yield reply
 
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
-        """One change, the status of each instance against it, the latest changes and the drains."""
+        """Return one change, the status of each instance against it, the latest changes and the drains."""
         await self._directory.synced.wait()
-        desired = self._reconciler.desired
-        history = await self._store.execute(lambda db: queries.recent_changes(db, MAX_HISTORY))
+        history = await self._store.execute(lambda db: change_table.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
             history=[conversion.change_message(change) for change in history],
-            drains=desired.drains.endpoints,
-            drains_revision=desired.drains.revision,
-            store=self._store.last_error or "ok",
+            drains=self._desired.drains.endpoints,
+            drains_revision=self._desired.drains.revision,
+            store=self._store.last_error or STORE_WRITABLE,
         )
         async with errors_as_status(context):
             change = await self._find_change(request.generation)
         if change:
             reply.change.CopyFrom(conversion.change_message(change))
             reply.targets.extend(self._target_messages(change))
-            if desired.is_newest(change):
+            if self._desired.is_newest(change):
                 reply.progress.CopyFrom(self._progress(change))
         return reply
 
     async def _find_change(self, generation: int) -> Change | None:
-        """The change with this generation, or the newest if it is 0.
+        """Return the change with this generation, or the newest if it is 0.
 
         Raises:
-            NotFoundError: the store has no such generation.
+            UnknownGenerationError: the store has no such generation.
         """
         if not generation:
-            return self._reconciler.desired.newest
-        change = await self._store.execute(lambda db: queries.find_change(db, generation))
+            return self._desired.newest
+        change = await self._store.execute(lambda db: change_table.find_change(db, generation))
         if change is None:
-            raise NotFoundError(f"no generation {generation} is kept")
+            raise UnknownGenerationError(generation)
         return change
 
     def _target_messages(self, change: Change) -> list[pb.Target]:
         clients = sorted(self._status.targets(), key=lambda client: client.name)
-        if self._reconciler.desired.is_newest(change):
+        if self._desired.is_newest(change):
             return [
                 conversion.target_message(
                     client.name, self._status.status_of(client), self._status.detail_of(client)
@@ -145,32 +151,32 @@
         broadcaster = self._broadcaster
         async with errors_as_status(context):
             if broadcaster.is_full:
-                raise LimitExceededError(f"{broadcaster.max_watchers} watch already (agent.most_watchers)")
+                raise TooManyWatchersError(broadcaster.max_watchers)
             with broadcaster.subscribe() as queue:
                 while event := await queue.get():
                     yield event
-            raise LimitExceededError("events came faster than they were read")
+            raise SlowWatcherError
 
     # Changes --------------------------------------------------------------------------------------
 
     async def Apply(self, request: pb.ApplyRequest, context: Context) -> AsyncIterator[pb.Progress]:
-        """Start the rollout of a document, or only validate it on every instance (`dry_run`)."""
+        """Start the rollout of a document and stream its progress; with `dry_run` only validate it."""
         async with errors_as_status(context):
             command = validation.check_apply(request)
             await self._directory.synced.wait()
             if request.dry_run:
-                content = operator.to_tables(command.document)
-                yield await fan_out.validate_everywhere(self._status.targets(), content, request.force)
+                targets = self._status.targets()
+                yield await fan_out.validate_everywhere(targets, command.document, request.force)
                 return
             async for progress in self._roll_out(command.draft, request.base_generation):
                 yield progress
 
     async def Rollback(self, request: pb.RollbackRequest, context: Context) -> AsyncIterator[pb.Progress]:
-        """Start the rollout of the content before the newest change."""
+        """Start the rollout of the content before the newest change, and stream its progress."""
         await self._directory.synced.wait()
         async with errors_as_status(context):
             author = validation.bounded_name(request.author)
-            draft = await self._reconciler.rollback_draft(author)
+            draft = await self._commands.rollback_draft(author)
             policy = draft.policy._replace(wave_size=max(0, request.wave), first_wave_size=0)
             async for progress in self._roll_out(replace(draft, policy=policy), request.base_generation):
                 yield progress
@@ -178,14 +184,14 @@
     async def _roll_out(self, draft: ChangeDraft, base: int) -> AsyncIterator[pb.Progress]:
         """Start a rollout and stream its progress until it is no longer running."""
         try:
-            change = await self._reconciler.start_rollout(draft, base)
+            change = await self._commands.start_rollout(draft, base)
         except GenerationConflictError as error:
-            raise ConflictError(f"{error}; look at it (status) and apply again") from None
-        except Exception as error:  # whatever keeps the store from writing: the caller may try again
+            raise ConflictError(error) from None
+        except Exception as error:  # of any type: the operator may send the command again
             raise StoreUnavailableError(error) from error
         last_sent = None
         while True:
-            newest = self._reconciler.desired.newest
+            newest = self._desired.newest
             if newest is None or newest.generation != change.generation:
                 yield pb.Progress(generation=change.generation, state=RolloutState.SUPERSEDED.value)
                 return
@@ -199,11 +205,11 @@
             await self._change_signal.wait(PROGRESS_TIMEOUT_S)
 
     async def Steer(self, request: pb.SteerRequest, context: Context) -> pb.Progress:
-        """Pause, resume or abort the newest rollout."""
+        """Pause, resume or abort the newest rollout, and return its progress."""
         async with errors_as_status(context):
             action = validation.check_action(request)
             author = validation.bounded_name(request.author)
-            change = await self._reconciler.control_rollout(action, request.generation, author)
+            change = await self._commands.control_rollout(action, request.generation, author)
         return self._progress(change)
 
     async def Drain(self, request: pb.DrainRequest, context: Context) -> AsyncIterator[pb.DrainProgress]:
@@ -217,7 +223,7 @@
             revision = await self._start_drain(request)
         deadline = time.monotonic() + DRAIN_TIMEOUT_S
         while True:
-            drains = self._reconciler.desired.drains
+            drains = self._desired.drains
             progress = conversion.drain_progress_message(self._status.targets(), revision, drains)
             yield progress
             if progress.settled or time.monotonic() >= deadline:
@@ -225,19 +231,19 @@
             await asyncio.sleep(DRAIN_PROGRESS_INTERVAL_S)
 
     async def _start_drain(self, request: pb.DrainRequest) -> int:
-        """Record the drains and start to send them; the new revision."""
-        drained = validation.check_drained_count(request, self._reconciler.desired.drains.endpoints)
+        """Record the drains, start to send them, and return their new revision."""
+        drained = validation.check_drained_count(request, self._desired.drains.endpoints)
         if request.drain and not request.force:
             await fan_out.check_drains_everywhere(self._status.reachable_targets(), drained)
         author = validation.bounded_name(request.author)
         try:
-            drains = await self._reconciler.update_drains(request.drain, request.undrain, author)
-        except Exception as error:  # whatever keeps the store from writing: the caller may try again
+            drains = await self._commands.update_drains(request.drain, request.undrain, author)
+        except Exception as error:  # of any type: the operator may send the command again
             raise StoreUnavailableError(error) from error
         return drains.revision
 
     async def _drain_on_instance(self, request: pb.DrainRequest) -> pb.DrainProgress:
-        """Drain endpoints on one instance, until it ends."""
+        """Drain endpoints on one instance until its process ends, or end such drains."""
         client = await self._find_client(request.instance)
         with _instance_errors_as_call_errors(client):
             for endpoint in request.drain:
@@ -248,7 +254,7 @@
         return pb.DrainProgress(total=1, told=1, settled=True, drains=drained)
 
     async def Retire(self, request: pb.RetireRequest, context: Context) -> pb.RetireReply:
-        """Shut instances down gracefully."""
+        """Start the graceful shutdown of instances, and return which of them accepted it."""
         reply = pb.RetireReply()
         for name in request.names:
             client = self._directory.clients.get(name)
@@ -263,15 +269,15 @@
         return reply
 
     async def _find_client(self, name: str) -> ControlClient:
-        """The client of an instance.
+        """Return the client of an instance.
 
         Raises:
-            NotFoundError: no instance has that name.
+            UnknownInstanceError: no instance has that name.
         """
         await self._directory.synced.wait()
         client = self._directory.clients.get(name)
         if client is None:
-            raise NotFoundError(f"no instance {name[:MAX_ERROR_NAME_CHARACTERS]!r} in the folder")
+            raise UnknownInstanceError(name)
         return client
 
 
@@ -280,12 +286,12 @@
     """Fail the call where a request to an instance fails.
 
     Raises:
-        UnavailableError: the instance did not answer.
-        NotPossibleError: it rejected the request.
+        InstanceUnavailableError: the instance did not answer.
+        InstanceRejectedError: it rejected the request.
     """
     try:
         yield
     except UnreachableError as error:
-        raise UnavailableError(f"{client.name}: {error}") from None
+        raise InstanceUnavailableError(client.name, str(error)) from None
     except RequestRejectedError as error:
-        raise NotPossibleError(f"{client.name}: {error.text}") from None
+        raise InstanceRejectedError(client.name, error.text) from None
--- a/anisespool/agent/schema.py
+++ b/anisespool/agent/store/schema.py
@@ -8,9 +8,10 @@
 import sqlite3
 from pathlib import Path
 
-from anisespool.agent.errors import AgentError
+from anisespool.agent.store.errors import UnusableStoreError
 
-APPLICATION_ID = 0x616E6973  # "anis": SQLite's application_id of the agent's files
+APPLICATION_ID = int.from_bytes(b"anis")  # PRAGMA application_id of the agent's files
+QUICK_CHECK_PASSED = "ok"  # result of PRAGMA quick_check
 MIGRATIONS = (
     # 1: changes, and what each instance was sent and answered.
     """
@@ -37,19 +38,6 @@
 HINT = "it was left as it is: move it away, or restore a copy"
 
 
-class StoreError(AgentError):
-    """Base of the store's own errors."""
-
-
-class UnusableStoreError(StoreError):
-    """The database file can't be used. The text names the file and says what to do."""
-
-    def __init__(self, path: Path, reason: str) -> None:
-        super().__init__(f"{path}: {reason}")
-        self.path = path
-        self.reason = reason
-
-
 def open_store(path: Path) -> sqlite3.Connection:
     """Open the database, creating or migrating it where needed.
 
@@ -87,7 +75,7 @@
     if version > SCHEMA_VERSION:
         reason = f"version {version}, this agent knows {SCHEMA_VERSION}; run the newer agent"
         raise UnusableStoreError(path, reason)
-    if check_result != "ok":
+    if check_result != QUICK_CHECK_PASSED:
         raise UnusableStoreError(path, f"damaged ({check_result}); {HINT}")
 
 
--- a/anisespool/cli/instance_views.py
+++ b/anisespool/cli/instance_views.py
@@ -1,4 +1,4 @@
-"""Answers of one instance's control socket, as the agent passes them on: what of them tables show.
+"""Answers of one instance's control socket, as the agent forwards them: the fields that tables show.
 
 Fields that tables don't show are not read. Where a field's name differs from its key on the socket,
 `msgspec.field(name=...)` or `rename` gives the key.
@@ -23,7 +23,7 @@
     state: str
     drained_by: str = msgspec.field(name="drained")  # sources joined by `+`; empty: not drained
     weight: float = msgspec.field(name="odds")  # share of the next picks, 0 to 1
-    slowdown: float  # recent response time over the usual one
+    slowdown: float  # recent latency over the typical one
     queue: float  # requests that wait there, by its last load report
     in_flight: int = msgspec.field(name="open")  # attempts of this instance
     idle: int  # connections
@@ -56,6 +56,13 @@
     endpoints_total: int
 
 
+class FailedProbes(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """How many of the last probes failed, and of how many; a list on the socket."""
+
+    failed: int
+    total: int
+
+
 class MembershipView(
     msgspec.Struct,
     frozen=True,
@@ -81,7 +88,7 @@
         alive_min: At least so many are alive.
         alive_max: At most so many are.
         is_isolated: This member may be the one that is cut off.
-        failed_probes: How many of the last probes failed, and of how many.
+        failed_probes: Of the last probes.
         health_score: 0 is healthy.
         stats: Counts of the protocol.
         datagrams: Counts by what became of them.
@@ -98,7 +105,7 @@
     alive_min: int
     alive_max: int
     is_isolated: bool
-    failed_probes: tuple[int, int]
+    failed_probes: FailedProbes
     health_score: int
     stats: dict[str, int]
     datagrams: dict[str, int]
--- a/anisespool/cli/output.py
+++ b/anisespool/cli/output.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable
-from typing import Any, NamedTuple
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any, NamedTuple, TypeAlias
 
 from rich.console import Console
 from rich.progress import Progress, ProgressColumn, TextColumn
 from rich.text import Text
 
+MS_PER_S = 1000
 # Colours of states, as the control socket and agent.proto name them.
 STATE_COLOURS = {
     "has": "green",
@@ -33,6 +34,10 @@
 }
 
 
+JsonValue: TypeAlias = "str | int | float | bool | Sequence[JsonValue] | Mapping[str, JsonValue] | None"
+JsonObject: TypeAlias = dict[str, JsonValue]
+
+
 class DurationUnit(NamedTuple):
     """A unit in which durations are shown."""
 
@@ -45,12 +50,12 @@
 console = Console(soft_wrap=False)
 
 
-def message_to_dict(message: Any) -> dict[str, Any]:
+def message_to_dict(message: Any) -> JsonObject:
     """Return a protobuf message's fields under the proto's own names, defaults included.
 
     Not protobuf's own JSON mapping, which turns 64-bit numbers into strings.
     """
-    fields: dict[str, Any] = {}
+    fields: JsonObject = {}
     for field in message.DESCRIPTOR.fields:
         value = getattr(message, field.name)
         if field.is_repeated:
@@ -92,7 +97,7 @@
 
 def format_duration(duration_ms: float) -> str:
     """Return a duration in the largest unit that it fills once, such as `1.5 h`."""
-    seconds = duration_ms / 1000
+    seconds = duration_ms / MS_PER_S
     for unit in DURATION_UNITS:
         if seconds >= unit.seconds:
             return f"{seconds / unit.seconds:.1f} {unit.symbol}"
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -44,7 +44,16 @@
     "__main__": {"sidecar", "cli"},
 }
 PURE = (  # modules that decide: no I/O, no clock, no asyncio; time and randomness are passed in
-    "agent/rollout.py",
+    "agent/desired_state.py",
+    "agent/errors.py",
+    "agent/instance_state.py",
+    "agent/rollout/desired_generation.py",
+    "agent/rollout/errors.py",
+    "agent/rollout/planner.py",
+    "agent/rollout/policy.py",
+    "agent/rollout/state.py",
+    "agent/rollout/status.py",
+    "agent/rollout/status_by_report.py",
     "backoff.py",
     "balancer/admission/burst_capacity.py",
     "balancer/admission/controller.py",
