--- a/tests/agent/harness.py
+++ b/tests/agent/harness.py
@@ -107,6 +107,12 @@
     return {row.name: row.reach async for row in stub.List(pb.ListRequest())}
 
 
+async def wait_until_all_answer(stub: Any, count: int) -> None:
+    """Wait until the agent lists `count` instances, and each has answered its last poll."""
+    while list((await reachabilities(stub)).values()) != [pb.REACH_ANSWERS] * count:
+        await asyncio.sleep(0.01)
+
+
 async def last_message(stream: Any) -> Any:
     """The last message of a stream, once it has ended."""
     return [message async for message in stream][-1]
--- a/tests/agent/test_service.py
+++ b/tests/agent/test_service.py
@@ -21,7 +21,14 @@
 from anisespool.config import operator
 from anisespool.config.platform import ConfigError
 from anisespool.fakes import platform
-from tests.agent.harness import AgentHarness, apply, assert_call_fails, last_message, reachabilities
+from tests.agent.harness import (
+    AgentHarness,
+    apply,
+    assert_call_fails,
+    last_message,
+    reachabilities,
+    wait_until_all_answer,
+)
 from tests.harness.waiting import wait_until
 
 FAILED_PRECONDITION = grpc.StatusCode.FAILED_PRECONDITION
@@ -32,6 +39,7 @@
 
 async def test_all_instances_get_a_drain_and_the_last_endpoint_needs_force(harness: AgentHarness) -> None:
     async with harness.agent_with_instances(3) as stub:
+        await wait_until_all_answer(stub, 3)  # a drain is checked by the instances that can be reached
         instances = harness.instances
         instances["i1"].endpoints = ["s-1", "s-2"]  # fewer than the other instances see
         drain_all = stub.Drain(pb.DrainRequest(drain=["s-1", "s-2"]))
