--- a/anisespool/listener/connection.py
+++ b/anisespool/listener/connection.py
@@ -7,18 +7,16 @@
 import time
 from collections import deque
 from http import HTTPStatus
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from anisespool.codec import http1
 from anisespool.listener.connection_limits import ConnectionTable
 from anisespool.listener.keepalive import ReuseHistory
+from anisespool.listener.listener_context import ListenerContext
 from anisespool.listener.request import DuplicateTraceId, InvalidRequest, validate_request
 from anisespool.listener.transport import PEER_CLOSED_EVENTS, encode_final_response, poll_now
 from anisespool.proxy.call import FinalResponse
 
-if TYPE_CHECKING:
-    from anisespool.listener.server import Server
-
 MAX_PIPELINED_REQUESTS = 64  # read ahead on one connection
 MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # in all of them; hundreds of such clients need memory
 MIN_QUEUE_WAIT_NS = 1_000_000  # shorter waits behind other pipelined requests are not subtracted
@@ -51,12 +49,12 @@
         inactive_since_s: Since when no request is open and no part of one has arrived (monotonic clock).
     """
 
-    def __init__(self, server: Server, table: ConnectionTable) -> None:
+    def __init__(self, listener: ListenerContext, table: ConnectionTable) -> None:
         """Create a connection that its transport will complete."""
         self.history = ReuseHistory()
         self.has_sent_request = False
         self.inactive_since_s = time.monotonic()
-        self._server = server
+        self._listener = listener
         self._table = table
         self._transport: asyncio.Transport | None = None
         self._parser = http1.RequestParser(http1.MAX_REQUEST_BODY_BYTES)
@@ -172,7 +170,7 @@
         self._table.paused.discard(self)
         self._release_trace_id()
         if self._has_open_request and self._request_id:
-            self._server.proxy.client_disconnected(self._request_id)
+            self._listener.proxy.client_disconnected(self._request_id)
             self._has_open_request = False
 
     # Requests -------------------------------------------------------------------------------------
@@ -200,7 +198,7 @@
     def _start(self, request: http1.Request, received_ns: int) -> None:
         """Respond to a request here, or hand it to the proxy."""
         if request.target.partition(b"?")[0] == b"/healthz":
-            self._respond(FinalResponse(200 if self._server.proxy.ready else 503))
+            self._respond(FinalResponse(200 if self._listener.proxy.ready else 503))
             return
         if self._table.overloaded:
             self._keep_alive = False
@@ -209,7 +207,7 @@
             self._respond(response)
             return
         try:
-            call = validate_request(request, self._server.names, self._server.settings)
+            call = validate_request(request, self._listener.names, self._listener.settings)
             self._claim_trace_id(request.headers[b"x-trace-id"])
         except InvalidRequest as error:
             self._reject(FinalResponse(error.status, f"{error}\n".encode()), request)
@@ -217,7 +215,7 @@
         waited_ns = time.monotonic_ns() - received_ns
         if waited_ns > MIN_QUEUE_WAIT_NS:
             call = call._replace(timeout_ns=max(0, call.timeout_ns - waited_ns))
-        request_id = self._server.proxy.start_request(call, self._respond_and_continue)
+        request_id = self._listener.proxy.start_request(call, self._respond_and_continue)
         if self._has_open_request:
             self._request_id = request_id
 
@@ -230,14 +228,14 @@
         Raises:
             DuplicateTraceId: An open request has it.
         """
-        if trace_id in self._server.open_trace_ids:
+        if trace_id in self._listener.open_trace_ids:
             raise DuplicateTraceId("a request with this X-Trace-Id is open")
         self._trace_id = trace_id
-        self._server.open_trace_ids.add(trace_id)
+        self._listener.open_trace_ids.add(trace_id)
 
     def _release_trace_id(self) -> None:
         if self._trace_id:
-            self._server.open_trace_ids.discard(self._trace_id)
+            self._listener.open_trace_ids.discard(self._trace_id)
             self._trace_id = b""
 
     # Responses ------------------------------------------------------------------------------------
@@ -267,7 +265,7 @@
 
         It is never closed once the client has sent its next request, even if that is still unread.
         """
-        if self._server.stopping:
+        if self._listener.stopping:
             return self._has_more_input
         if self._pipelined or self._parser.partial:
             return True
@@ -294,8 +292,8 @@
 
     def _report_rejection(self, response: FinalResponse, request: http1.Request | None) -> None:
         """Report a response that did not come from the proxy."""
-        if self._server.on_reject:
-            self._server.on_reject(response, request)
+        if self._listener.on_reject:
+            self._listener.on_reject(response, request)
 
     # Closing --------------------------------------------------------------------------------------
 
@@ -313,7 +311,9 @@
         elif self._parser.partial:
             if inactive_s > PARTIAL_REQUEST_TIMEOUT_S:
                 self._reject(FinalResponse(HTTPStatus.REQUEST_TIMEOUT))
-        elif inactive_s > (self._server.idle_timeout_s if self.has_sent_request else FIRST_REQUEST_TIMEOUT_S):
+        elif inactive_s > (
+            self._listener.idle_timeout_s if self.has_sent_request else FIRST_REQUEST_TIMEOUT_S
+        ):
             self.close_if_idle()
 
     def close_if_peer_closed(self) -> None:
--- a/anisespool/listener/connection_limits.py
+++ b/anisespool/listener/connection_limits.py
@@ -4,12 +4,9 @@
 
 import time
 from itertools import chain, islice
-from typing import TYPE_CHECKING
 
 from anisespool.listener.keepalive import KeepAliveDecision, KeepAlivePolicy, ReuseHistory
-
-if TYPE_CHECKING:
-    from anisespool.listener.connection import ClientConnection
+from anisespool.listener.tracked_connection import TrackedConnection
 
 NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection for a request has sent it by then
 MAX_EVICTION_CANDIDATES = 16  # looked at for one that can be closed
@@ -34,21 +31,21 @@
         self.keep_alive_policy = keep_alive_policy
         self.max_connections = max_connections
         self.accepting = 0
-        self.paused: set[ClientConnection] = set()
-        self.active: set[ClientConnection] = set()
-        self._new: dict[ClientConnection, None] = {}
-        self._idle: dict[ClientConnection, None] = {}
+        self.paused: set[TrackedConnection] = set()
+        self.active: set[TrackedConnection] = set()
+        self._new: dict[TrackedConnection, None] = {}
+        self._idle: dict[TrackedConnection, None] = {}
 
     def __len__(self) -> int:
         return len(self._new) + len(self._idle) + len(self.active) + self.accepting
 
     @property
-    def connections(self) -> list[ClientConnection]:
+    def connections(self) -> list[TrackedConnection]:
         """All connections."""
         return [*self._new, *self._idle, *self.active]
 
     @property
-    def inactive(self) -> list[ClientConnection]:
+    def inactive(self) -> list[TrackedConnection]:
         """Connections without an open request."""
         return [*self._new, *self._idle]
 
@@ -61,25 +58,25 @@
         """
         return len(self.active) > self.max_connections
 
-    def add(self, connection: ClientConnection) -> None:
+    def add(self, connection: TrackedConnection) -> None:
         """Add a connection whose socket was accepted."""
         self.accepting -= 1
         self.keep_alive_policy.connection_opened(time.monotonic())
         self.mark_inactive(connection)
 
-    def mark_active(self, connection: ClientConnection) -> None:
+    def mark_active(self, connection: TrackedConnection) -> None:
         """A request is open on the connection; it is not closed to make room."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self.active.add(connection)
 
-    def mark_inactive(self, connection: ClientConnection) -> None:
+    def mark_inactive(self, connection: TrackedConnection) -> None:
         """No request is open on the connection (any more)."""
         self.discard(connection)
         connection.inactive_since_s = time.monotonic()
         (self._idle if connection.has_sent_request else self._new)[connection] = None
 
-    def discard(self, connection: ClientConnection) -> None:
+    def discard(self, connection: TrackedConnection) -> None:
         """Remove a connection, if it is there."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -10,10 +10,10 @@
 from anisespool.balancer import Settings
 from anisespool.codec import http1
 from anisespool.config.platform import Address, NameIndex
-from anisespool.listener import shutdown
 from anisespool.listener.connection import IDLE_TIMEOUT_S, ClientConnection
 from anisespool.listener.connection_limits import ConnectionTable
 from anisespool.listener.keepalive import KeepAlivePolicy
+from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
 from anisespool.proxy.call import FinalResponse
 from anisespool.proxy.proxy import Proxy
@@ -62,7 +62,7 @@
         self._accept_tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def connections(self) -> list[ClientConnection]:
+    def connections(self) -> list[TrackedConnection]:
         """All open connections."""
         return self.table.connections
 
@@ -105,10 +105,6 @@
             for connection in list(self.table.paused):
                 connection.close_if_peer_closed()
 
-    async def shut_down(self, accept_s: float, timeout_s: float) -> None:
-        """Shut down gracefully; see `anisespool.listener.shutdown`."""
-        await shutdown.shut_down(self, accept_s, timeout_s)
-
     async def close_listener(self) -> None:
         """Accept what waits in the backlog, and no more."""
         if self._listener:
--- a/anisespool/listener/shutdown.py
+++ b/anisespool/listener/shutdown.py
@@ -3,14 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
 
+from anisespool.listener.server import Server
+from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
 
-if TYPE_CHECKING:
-    from anisespool.listener.connection import ClientConnection
-    from anisespool.listener.server import Server
-
 PARTIAL_REQUEST_GRACE_S = 1.0  # for requests half received when the listener closes; clients need less
 POLL_INTERVAL_S = 0.01
 FLUSH_RESERVE_S = 0.05  # between the proxy's last response and the end of the shutdown
@@ -51,7 +48,7 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _in_use(connection: ClientConnection, partial_until_s: float) -> bool:
+def _in_use(connection: TrackedConnection, partial_until_s: float) -> bool:
     """Whether a response is due, a request is half received (up to the given time), or input is unread."""
     if connection.has_pending_response:
         return True
--- a/anisespool/sidecar/shutdown.py
+++ b/anisespool/sidecar/shutdown.py
@@ -8,6 +8,7 @@
 
 from anisespool.balancer.interface import Settings
 from anisespool.listener.server import Server
+from anisespool.listener.shutdown import shut_down
 
 ACCEPT_AFTER_SIGTERM_S = 0.5
 SIGKILL_MARGIN_S = 0.7
@@ -23,4 +24,4 @@
 
 async def stop_listener(server: Server, settings: Settings) -> None:
     """Accept for a little longer, then close; return when every request is answered."""
-    await server.shut_down(ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_MARGIN_S)
+    await shut_down(server, ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_MARGIN_S)
--- a/tests/listener/harness.py
+++ b/tests/listener/harness.py
@@ -8,10 +8,11 @@
 
 from anisespool.fakes.endpoint import OK, Endpoint
 from anisespool.fakes.http1 import Response, read_response
-from anisespool.listener.connection import ClientConnection
 from anisespool.listener.server import Server
+from anisespool.listener.tracked_connection import TrackedConnection
 from tests.harness.client import request_bytes
 from tests.harness.running_sidecar import RunningSidecar
+from tests.harness.transports import transport_of
 from tests.harness.waiting import wait_until
 
 LARGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 1_000_000
@@ -74,18 +75,16 @@
     return reader, writer
 
 
-def pause_reading(server: Server) -> ClientConnection:
+def pause_reading(server: Server) -> TrackedConnection:
     """Stop reading: what the one client writes from now on stays in the kernel."""
     (connection,) = server.connections
-    assert connection._transport
-    connection._transport.pause_reading()
+    transport_of(connection).pause_reading()
     return connection
 
 
-async def unread_input(connection: ClientConnection) -> None:
+async def unread_input(connection: TrackedConnection) -> None:
     await wait_until(lambda: connection.has_unread_input)
 
 
-def resume_reading(connection: ClientConnection) -> None:
-    assert connection._transport
-    connection._transport.resume_reading()
+def resume_reading(connection: TrackedConnection) -> None:
+    transport_of(connection).resume_reading()
--- a/tests/listener/test_client_disconnect.py
+++ b/tests/listener/test_client_disconnect.py
@@ -16,6 +16,7 @@
 from anisespool.listener.server import Server
 from tests.harness.client import request_bytes, send_request
 from tests.harness.running_sidecar import running_sidecar
+from tests.harness.transports import transport_of
 from tests.harness.waiting import wait_until
 from tests.listener.harness import (
     LARGE_RESPONSE,
@@ -35,8 +36,8 @@
         _, writer = await idle_connection(sidecar)
         (client,) = servers[0].connections
         (upstream,) = servers[0].proxy._cluster.connections
-        for transport in (client._transport, upstream._transport):
-            assert transport
+        for connection in (client, upstream):
+            transport = transport_of(connection)
             assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         writer.close()
 
