--- a/anisespool/proxy/observed.py
+++ b/anisespool/proxy/observed.py
@@ -17,7 +17,7 @@
 from anisespool.proxy.event_log import EndpointListChanged, EventLog
 from anisespool.proxy.exchange import Exchange
 from anisespool.proxy.proxy import Proxy
-from anisespool.upstream.cluster import Cluster
+from anisespool.upstream.cluster import Cluster, EndpointConnections
 
 
 @dataclass(slots=True)
@@ -94,11 +94,11 @@
         self, max_idle: int, reuse_delay_s: float, connect_timeout_s: float | None
     ) -> None:
         """See `Cluster.configure_connections`."""
-        self._cluster.configure_connections(max_idle, reuse_delay_s, connect_timeout_s)
+        self.cluster.configure_connections(max_idle, reuse_delay_s, connect_timeout_s)
 
-    def connection_counts(self, number: int) -> tuple[int, int]:
+    def connection_counts(self, number: int) -> EndpointConnections:
         """See `Cluster.connection_counts`."""
-        return self._cluster.connection_counts(number)
+        return self.cluster.connection_counts(number)
 
     def endpoint_ids(self) -> dict[int, str]:
         """Ids of the listed endpoints by number."""
--- a/anisespool/proxy/proxy.py
+++ b/anisespool/proxy/proxy.py
@@ -29,12 +29,15 @@
 
     `ObservedProxy` and `RecordedProxy` extend `_respond`, `_attempt_finished`, `_remove_if_finished` and
     `_apply_endpoint_list`, so that counters and records cost a plain sidecar nothing.
+
+    Attributes:
+        cluster: Carries attempts to endpoints.
     """
 
     def __init__(self, config: PlatformConfig, cluster: Cluster) -> None:
         """Create a proxy without endpoints; `update_endpoints` brings them."""
         self._classes = config.settings.classes
-        self._cluster = cluster
+        self.cluster = cluster
         self._registry = EndpointRegistry(cluster, self._reapply_listings)
         self._driver = BalancerDriver(
             Balancer(config.settings, config.seed),
@@ -184,7 +187,7 @@
             self._attempt_finished,
         )
         exchange.attempts.append(attempt)
-        self._cluster.send(attempt)
+        self.cluster.send(attempt)
 
     def _reject(self, action: api.Reject) -> None:
         self._finish(action.request, FinalResponse(503, b"refused\n", action.retry_after_ns / 1e9))
@@ -205,7 +208,7 @@
         print(action.text, file=sys.stderr)
 
     def _close_idle(self, action: api.CloseIdleConnections) -> None:
-        self._cluster.close_idle(action.endpoint)
+        self.cluster.close_idle(action.endpoint)
 
     # Exactly one final response -------------------------------------------------------------------
 
--- a/anisespool/upstream/cluster.py
+++ b/anisespool/upstream/cluster.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 import time
+from typing import NamedTuple
 
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.config.platform import Address
@@ -22,10 +23,22 @@
 MAX_SWEEP_INTERVAL_S = 1.0
 
 
+class EndpointConnections(NamedTuple):
+    """Connections to one endpoint that carry no attempt, by their number."""
+
+    idle: int
+    connecting: int
+    """Attempts that wait for a new connection."""
+
+
 class Cluster:
     """The endpoints that requests may be sent to, each with its connection pool.
 
-    Endpoints are known by the proxy's numbers (proxy/endpoint_registry.py).
+    Endpoints are identified by the proxy's numbers (proxy/endpoint_registry.py).
+
+    Attributes:
+        connections: All open connections.
+        connecting_count: Connects under way, to all endpoints together.
     """
 
     def __init__(
@@ -55,9 +68,14 @@
         )
         self._max_connections = max_connections
         self._pools: dict[int, ConnectionPool] = {}
-        self._opening = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self.connections: set[PooledConnection] = set()
+        self.connecting_count = 0
+
+    @property
+    def pools(self) -> list[ConnectionPool]:
+        """The connections to each endpoint."""
+        return list(self._pools.values())
 
     def configure_connections(
         self, max_idle: int, reuse_delay_s: float, connect_timeout_s: float | None
@@ -75,10 +93,12 @@
         self._settings.reuse_delay_s = reuse_delay_s
         self._settings.connect_timeout_s = connect_timeout_s or self._default_connect_timeout_s
 
-    def connection_counts(self, number: int) -> tuple[int, int]:
-        """Idle connections to an endpoint, and attempts that wait for a new one."""
+    def connection_counts(self, number: int) -> EndpointConnections:
+        """The connections to an endpoint, by its number; none to one that is not listed."""
         pool = self._pools.get(number)
-        return (len(pool.idle), len(pool.connecting)) if pool else (0, 0)
+        return (
+            EndpointConnections(len(pool.idle), len(pool.connecting)) if pool else EndpointConnections(0, 0)
+        )
 
     def update(self, number: int, address: Address, started_ns: int, accepts_requests: bool) -> None:
         """Add an endpoint, or apply its new entry in the endpoint list.
@@ -113,10 +133,10 @@
         if connection := pool.take_idle():
             connection.start(attempt)
             return
-        if len(self.connections) + self._opening >= self._max_connections and not self._evict_idle():
+        if len(self.connections) + self.connecting_count >= self._max_connections and not self._evict_idle():
             attempt.finish(AttemptStatus.CONNECT_FAILED)
             return
-        self._opening += 1
+        self.connecting_count += 1
         pool.connecting.add(attempt)
         task = asyncio.get_running_loop().create_task(self._connect_and_start(pool, attempt))
         self._tasks.add(task)
@@ -139,7 +159,7 @@
         try:
             connection = await self._connect(pool, attempt)
         finally:
-            self._opening -= 1
+            self.connecting_count -= 1
             pool.connecting.discard(attempt)
         if connection is None:
             attempt.finish(AttemptStatus.CONNECT_FAILED)
--- a/tests/listener/harness.py
+++ b/tests/listener/harness.py
@@ -47,8 +47,8 @@
 
 def open_work(server: Server) -> list[Any]:
     """Everything that is still open, wherever the sidecar tracks it."""
-    cluster = server.proxy._cluster
-    pools = list(cluster._pools.values())
+    cluster = server.proxy.cluster
+    pools = cluster.pools
     waiting: list[Any] = [item for pool in pools for item in (*pool.connecting, *pool.active)]
     waiting += cluster.connections.difference(waiting, *(pool.idle for pool in pools))
     return [
@@ -57,7 +57,7 @@
         *server.table.paused,
         *server.table.active,
         *waiting,
-        *range(cluster._opening),
+        *range(cluster.connecting_count),
     ]
 
 
--- a/tests/listener/test_client_disconnect.py
+++ b/tests/listener/test_client_disconnect.py
@@ -35,7 +35,7 @@
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         _, writer = await idle_connection(sidecar)
         (client,) = servers[0].connections
-        (upstream,) = servers[0].proxy._cluster.connections
+        (upstream,) = servers[0].proxy.cluster.connections
         for connection in (client, upstream):
             transport = transport_of(connection)
             assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -113,7 +113,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(loop, "sock_connect", connect_when_allowed)
             writer.write(request_bytes("once", "t0", 60_000))
-            await wait_until(lambda: servers[0].proxy._cluster._opening == 1)
+            await wait_until(lambda: servers[0].proxy.cluster.connecting_count == 1)
         writer.close()
         await wait_until(lambda: not servers[0].proxy.open_request_count)
         may_complete.set()
--- a/tests/proxy/harness.py
+++ b/tests/proxy/harness.py
@@ -79,6 +79,7 @@
     cluster = Cluster(("queue",), 100 * MS, SECOND, 16)
     proxy = Proxy(config, cluster)
     balancer = ScriptedBalancer(decide)
+    # A proxy builds its own balancer: only tests put another in its place.
     proxy._driver.balancer = balancer  # type: ignore[assignment]
     proxy.update_endpoints(config.initial_endpoints, EndpointListKind.CACHED)
     yield ProxyHarness(proxy, cluster, balancer)
--- a/tests/proxy/test_single_response.py
+++ b/tests/proxy/test_single_response.py
@@ -59,8 +59,8 @@
 
 def all_connections_idle(cluster: Cluster) -> bool:
     """Whether none is being opened, and each open one is in its pool."""
-    idle = {connection for pool in cluster._pools.values() for connection in pool.idle}
-    return not cluster._opening and cluster.connections == idle
+    idle = {connection for pool in cluster.pools for connection in pool.idle}
+    return not cluster.connecting_count and cluster.connections == idle
 
 
 async def end_request(
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -148,6 +148,7 @@
     error = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
     async with Endpoint(error).serve() as bad, ResettingDiscovery().serve() as discovery:
         process = await start(write_config(tmp_path, discovery.address, [member("s-0", bad.address)], listen))
+        # asyncio's process closes its end of standard error only with the process itself.
         pipe = process._transport.get_pipe_transport(2)  # type: ignore[attr-defined]
         pipe.close()
         connections_before = discovery.connection_count
--- a/tests/upstream/test_connection_timing.py
+++ b/tests/upstream/test_connection_timing.py
@@ -45,10 +45,10 @@
         harness = ClusterHarness(endpoint.address)
         monkeypatch.setattr(loop, "create_connection", notify_late)
         assert (await harness.result()).status is AttemptStatus.OK
-        (pool,) = harness.cluster._pools.values()
+        (pool,) = harness.cluster.pools
         assert harness.cluster.connections == set(pool.idle)
         assert len(pool.idle) == 1
-        assert not harness.cluster._opening
+        assert not harness.cluster.connecting_count
         assert not pool.connecting
         assert not pool.active
 
@@ -65,9 +65,10 @@
         await harness.result()
         (connection,) = harness.cluster.connections
         sock = transport_of(connection).get_extra_info("socket")
+        # A stream reader has no public way to stop reading.
         endpoint.connections[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
         with pytest.raises(BlockingIOError):
-            fill_send_buffer(sock._sock)
+            fill_send_buffer(sock._sock)  # asyncio's wrapper of a socket has no send()
         attempt = harness.send()
         assert connection.nothing_sent
         assert attempt.status is None
