--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -3,7 +3,7 @@
 A request has three instants. After its latency objective an answer is late; after its end of use an answer is
 of no value to its client; at its deadline the client gives up. Without an attempt in flight, a request whose
 end of use can't be met any more is answered at once: rejected where that is harmless to repeat, else failed
-(retry/idempotency.py). The proxy keeps two reserves before the client's deadline (proxy/exchange.py), and a
+(retry/idempotency.py). The proxy keeps two reserves before the client's deadline (proxy/deadlines.py), and a
 graceful shutdown has its own end (sidecar/shutdown.py).
 """
 
--- a/anisespool/listener/shutdown.py
+++ b/anisespool/listener/shutdown.py
@@ -10,7 +10,7 @@
 
 PARTIAL_REQUEST_GRACE_S = 1.0  # for requests half received when the listener closes; clients need less
 POLL_INTERVAL_S = 0.01
-FLUSH_RESERVE_S = 0.05  # between the proxy's last response and the end of the shutdown
+FLUSH_RESERVE_S = 0.05  # between the proxy's last response and the end of the shutdown (proxy/deadlines.py)
 
 
 async def shut_down(server: Server, accept_s: float, timeout_s: float) -> None:
--- a/anisespool/proxy/exchange.py
+++ b/anisespool/proxy/exchange.py
@@ -12,11 +12,6 @@
 from anisespool.proxy.call import Call, FinalResponse
 from anisespool.upstream.attempt import Attempt
 
-# Kept of the client's time for the response's way to it: a client that has hung up got no response.
-RESPONSE_RESERVE_NS = 10_000_000
-# Before the client's time is up: the last moment at which the proxy responds without the balancer.
-BACKSTOP_RESERVE_NS = 4_000_000
-
 
 class Completion(NamedTuple):
     """How a request ended, for request records."""
@@ -29,11 +24,11 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request's state. Times are monotonic ns."""
+    """A request's state. Instants are monotonic ns."""
 
     call: Call
-    deadline_ns: int
-    """End of the attempts, `RESPONSE_RESERVE_NS` before the client gives up."""
+    attempts_end_at: int
+    """Before the client gives up (proxy/deadlines.py)."""
     send_response: Callable[[FinalResponse], None] | None
     """Delivers the final response. None: it was sent, or the client disconnected."""
     attempts: list[Attempt] = field(default_factory=list)
--- a/anisespool/proxy/proxy.py
+++ b/anisespool/proxy/proxy.py
@@ -18,8 +18,9 @@
 from anisespool.log import log_event
 from anisespool.proxy.balancer_driver import BalancerDriver
 from anisespool.proxy.call import Call, FinalResponse
+from anisespool.proxy.deadlines import attempts_end_at, backstop_at
 from anisespool.proxy.endpoint_registry import EndpointRegistry
-from anisespool.proxy.exchange import BACKSTOP_RESERVE_NS, RESPONSE_RESERVE_NS, Exchange
+from anisespool.proxy.exchange import Exchange
 from anisespool.upstream.attempt import Attempt
 from anisespool.upstream.cluster import Cluster
 
@@ -56,7 +57,7 @@
         )
         self._exchanges: dict[int, Exchange] = {}
         self._last_request_id = 0
-        self._shutdown_deadline_ns: int | None = None
+        self._shutdown_deadline_at: int | None = None
 
     @property
     def ready(self) -> bool:
@@ -79,19 +80,18 @@
         self._last_request_id += 1
         request_id = self._last_request_id
         now = time.monotonic_ns()
-        timeout_ns = call.timeout_ns
-        if self._shutdown_deadline_ns is not None:
-            timeout_ns = min(timeout_ns, self._shutdown_deadline_ns - now)
-        left_ns = max(0, timeout_ns - RESPONSE_RESERVE_NS)
-        exchange = Exchange(call, now + left_ns, send_response)
+        gives_up_at = now + call.timeout_ns
+        if self._shutdown_deadline_at is not None:
+            gives_up_at = min(gives_up_at, self._shutdown_deadline_at)
+        attempts_end = max(now, attempts_end_at(gives_up_at))
+        exchange = Exchange(call, attempts_end, send_response)
         self._exchanges[request_id] = exchange
-        backstop_ns = now + max(0, timeout_ns - BACKSTOP_RESERVE_NS)
-        exchange.set_backstop(backstop_ns, self._backstop_expired, request_id)
+        exchange.set_backstop(max(now, backstop_at(gives_up_at)), self._backstop_expired, request_id)
         self._driver.submit(
             api.RequestArrived(
                 request_id,
                 call.request_class,
-                left_ns,
+                attempts_end - now,
                 call.size_hint_ns,
                 call.affinity_key,
                 call.tenant,
@@ -107,17 +107,20 @@
             exchange.close()
             self._abandon(request_id, exchange)
 
-    def set_shutdown_deadline(self, deadline_ns: int) -> None:
-        """Respond to all requests by `deadline_ns` (monotonic), however long their clients would wait.
+    def set_shutdown_deadline(self, deadline_at: int) -> None:
+        """Respond to all requests in time for this instant, however long their clients would wait.
 
         For the graceful shutdown; it holds for requests that are open and for those yet to come.
+
+        Args:
+            deadline_at: When each client counts as giving up, monotonic ns.
         """
-        self._shutdown_deadline_ns = deadline_ns
+        self._shutdown_deadline_at = deadline_at
+        attempts_end = attempts_end_at(deadline_at)
         for request_id, exchange in self._exchanges.items():
-            if exchange.send_response and exchange.deadline_ns > deadline_ns - RESPONSE_RESERVE_NS:
-                exchange.deadline_ns = deadline_ns - RESPONSE_RESERVE_NS
-                backstop_ns = deadline_ns - BACKSTOP_RESERVE_NS
-                exchange.set_backstop(backstop_ns, self._backstop_expired, request_id)
+            if exchange.send_response and exchange.attempts_end_at > attempts_end:
+                exchange.attempts_end_at = attempts_end
+                exchange.set_backstop(backstop_at(deadline_at), self._backstop_expired, request_id)
 
     # Called by control and discovery --------------------------------------------------------------
 
@@ -175,7 +178,7 @@
         exchange = self._exchanges.get(action.request)
         if exchange is None or exchange.send_response is None:
             return  # nothing is sent for a request that has its final response
-        deadline_ns = exchange.deadline_ns
+        deadline_ns = exchange.attempts_end_at
         if action.timeout_ns:
             deadline_ns = min(time.monotonic_ns() + action.timeout_ns, deadline_ns)
         attempt = Attempt(
@@ -259,7 +262,7 @@
         """Respond in the balancer's place, before the client's time is up or the process ends."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.send_response:
-            reason = "no_decision" if self._shutdown_deadline_ns is None else "shutdown"
+            reason = "no_decision" if self._shutdown_deadline_at is None else "shutdown"
             log_event("backstop_response_sent", request=request_id, reason=reason)
             self._respond(exchange, exchange.backstop_response(self._classes[exchange.call.request_class]))
             self._abandon(request_id, exchange)
--- a/anisespool/records/recorded_proxy.py
+++ b/anisespool/records/recorded_proxy.py
@@ -9,7 +9,8 @@
 from anisespool.balancer.interface import EndpointListKind
 from anisespool.config.platform import EndpointList, PlatformConfig
 from anisespool.proxy.call import FinalResponse
-from anisespool.proxy.exchange import RESPONSE_RESERVE_NS, Completion, Exchange
+from anisespool.proxy.deadlines import RESPONSE_RESERVE_NS
+from anisespool.proxy.exchange import Completion, Exchange
 from anisespool.proxy.observed import ObservedProxy
 from anisespool.records.outcome import Outcome
 from anisespool.records.recorder import Recorder, request_fingerprint
@@ -80,7 +81,7 @@
             tenant,
             request_fingerprint(call.request, tenant),
             call.is_retry,
-            exchange.deadline_ns - max(0, call.timeout_ns - RESPONSE_RESERVE_NS),
+            exchange.attempts_end_at - max(0, call.timeout_ns - RESPONSE_RESERVE_NS),
             finished_ns,
             retry_after_s,
             attempts,
--- a/anisespool/sidecar/shutdown.py
+++ b/anisespool/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""How long a graceful shutdown may take.
+"""How long a graceful shutdown may take; proxy/deadlines.py gives the order of all instants.
 
 The figures are the platform's protocol: after SIGTERM clients open new connections for up to 0.4 s, and
 SIGKILL comes no sooner than the longest deadline of a request class (3 s at most) and 0.7 s more.
@@ -13,7 +13,7 @@
 ACCEPT_AFTER_SIGTERM_S = 0.5
 SIGKILL_MARGIN_S = 0.7
 MAX_SIGKILL_DEADLINE_S = 3.0
-EXIT_MARGIN_S = 0.1  # the last response is written so long before SIGKILL
+EXIT_RESERVE_S = 0.1  # between the end of the shutdown and SIGKILL
 
 
 def sigkill_after_s(settings: Settings) -> float:
@@ -23,5 +23,5 @@
 
 
 async def stop_listener(server: Server, settings: Settings) -> None:
-    """Accept for a little longer, then close; return when every request is answered."""
-    await shut_down(server, ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_MARGIN_S)
+    """Accept until clients have noticed the shutdown, then close; return when every request is answered."""
+    await shut_down(server, ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_RESERVE_S)
--- a/anisespool/upstream/cluster.py
+++ b/anisespool/upstream/cluster.py
@@ -96,9 +96,9 @@
     def connection_counts(self, number: int) -> EndpointConnections:
         """The connections to an endpoint, by its number; none to one that is not listed."""
         pool = self._pools.get(number)
-        return (
-            EndpointConnections(len(pool.idle), len(pool.connecting)) if pool else EndpointConnections(0, 0)
-        )
+        if pool is None:
+            return EndpointConnections(0, 0)
+        return EndpointConnections(len(pool.idle), len(pool.connecting))
 
     def update(self, number: int, address: Address, started_ns: int, accepts_requests: bool) -> None:
         """Add an endpoint, or apply its new entry in the endpoint list.
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -1,4 +1,4 @@
-"""docs/decisions.md names what exists, and has every constant of the decision module."""
+"""docs/decisions.md names what exists, and has every constant of the decision module and of giving up."""
 
 from __future__ import annotations
 
@@ -91,8 +91,12 @@
         assert event in events_in_code()
 
 
-def test_each_constant_of_the_decision_module_has_its_rule() -> None:
-    in_code = set().union(*(constants(ROOT / f"anisespool/balancer/{name}.py") for name in DECISION_MODULES))
+def test_each_constant_of_a_rule_has_its_row() -> None:
+    modules = [f"balancer/{name}.py" for name in DECISION_MODULES] + [
+        "proxy/deadlines.py",
+        "sidecar/shutdown.py",
+    ]
+    in_code = set().union(*(constants(ROOT / "anisespool" / module) for module in modules))
     on_page = {name for rule in RULES for name in names(rule.constants)}
     assert len(in_code) > 50
     assert on_page == in_code
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -105,6 +105,7 @@
     "membership/suspicion.py",
     "membership/updates.py",
     "membership/view.py",
+    "proxy/deadlines.py",
     "records/accounting.py",
     "records/backoff.py",
     "records/buffer.py",
