--- a/anisespool/listener/connection.py
+++ b/anisespool/listener/connection.py
@@ -10,26 +10,20 @@
 from typing import NamedTuple
 
 from anisespool.codec import http1
-from anisespool.listener.connection_limits import ConnectionTable
+from anisespool.listener import timeouts
+from anisespool.listener.connection_table import ConnectionTable
 from anisespool.listener.keepalive import ReuseHistory
 from anisespool.listener.listener_context import ListenerContext
 from anisespool.listener.request import DuplicateTraceId, InvalidRequest, validate_request
+from anisespool.listener.timeouts import TimeoutAction
 from anisespool.listener.transport import PEER_CLOSED_EVENTS, encode_final_response, poll_now
 from anisespool.proxy.call import FinalResponse
 
 MAX_PIPELINED_REQUESTS = 64  # read ahead on one connection
-MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # in all of them; hundreds of such clients need memory
+MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # of all of them, as hundreds of clients may pipeline
 MIN_QUEUE_WAIT_NS = 1_000_000  # shorter waits behind other pipelined requests are not subtracted
 DISCARD_PAUSE_S = 0.004  # between two reads of input that is discarded
 
-# Timeouts of what a client has to do. The platform has no setting for them, as deadlines begin with the last
-# byte of a request. Correct clients may be slow; others have to be closed within 3 s.
-FIRST_REQUEST_TIMEOUT_S = 2.1
-PARTIAL_REQUEST_TIMEOUT_S = 2.6  # for the rest of a request
-IDLE_TIMEOUT_S = 10.0  # after a response; a client whose connection was closed opens another
-WRITE_TIMEOUT_S = 10.0  # for a response that the client does not read
-LINGER_TIMEOUT_S = 1.0  # for the client to read why its connection ends
-
 
 class PipelinedRequest(NamedTuple):
     """A request that waits for those before it on its connection."""
@@ -300,20 +294,26 @@
     def apply_timeouts(self, now_s: float) -> None:
         """Close or reject a connection without open request whose client took too long.
 
-        Otherwise clients that send nothing, half a request, or more input after an error would hold
-        descriptors for ever.
+        Otherwise clients that send nothing, half a request, or more input after an error would occupy
+        descriptors without a limit in time.
         """
         inactive_s = now_s - self.inactive_since_s
         if self._closing or self.has_unsent_output:
-            # A client that reads slowly still gets its response.
-            if inactive_s > (WRITE_TIMEOUT_S if self.has_unsent_output else LINGER_TIMEOUT_S):
-                self.abort()
-        elif self._parser.partial:
-            if inactive_s > PARTIAL_REQUEST_TIMEOUT_S:
-                self._reject(FinalResponse(HTTPStatus.REQUEST_TIMEOUT))
-        elif inactive_s > (
-            self._listener.idle_timeout_s if self.has_sent_request else FIRST_REQUEST_TIMEOUT_S
-        ):
+            action = timeouts.write_action(inactive_s, self.has_unsent_output)
+        else:
+            idle_timeout_s = self._listener.idle_timeout_s
+            if not self.has_sent_request:
+                idle_timeout_s = timeouts.FIRST_REQUEST_TIMEOUT_S
+            action = timeouts.read_action(inactive_s, self._parser.partial, idle_timeout_s)
+        if action is not None:
+            self._apply(action)
+
+    def _apply(self, action: TimeoutAction) -> None:
+        if action is TimeoutAction.ABORT:
+            self.abort()
+        elif action is TimeoutAction.REJECT:
+            self._reject(FinalResponse(HTTPStatus.REQUEST_TIMEOUT))
+        else:
             self.close_if_idle()
 
     def close_if_peer_closed(self) -> None:
--- a/anisespool/listener/connection_limits.py
+++ b/anisespool/listener/connection_table.py
@@ -1,16 +1,18 @@
-"""Connections of one listener by their state, and which of them closes when descriptors run short."""
+"""Connections of one listener by their state, and their limit."""
 
 from __future__ import annotations
 
 import time
-from itertools import chain, islice
+from itertools import islice
 
+from anisespool.listener.eviction import (
+    MAX_CANDIDATE_CONNECTIONS,
+    connection_to_evict,
+    silent_connections,
+)
 from anisespool.listener.keepalive import KeepAliveDecision, KeepAlivePolicy, ReuseHistory
 from anisespool.listener.tracked_connection import TrackedConnection
 
-NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection for a request has sent it by then
-MAX_EVICTION_CANDIDATES = 16  # looked at for one that can be closed
-
 
 class ConnectionTable:
     """All open connections: new (no request so far), idle (served before) and active (with a request).
@@ -95,42 +97,25 @@
 
     def close_oldest_idle(self) -> None:
         """Close the connection that has been idle longest, unless its next request waits unread."""
-        for connection in islice(self._idle, MAX_EVICTION_CANDIDATES):
+        for connection in islice(self._idle, MAX_CANDIDATE_CONNECTIONS):
             if connection.close_if_idle():
                 self.discard(connection)
                 return
 
     def evict_if_full(self) -> None:
-        """At the connection limit, abort one connection so that the accepted one can be served.
-
-        Hundreds of connections without a request must not displace those with one. So the oldest new ones go
-        first, then those idle longest, and connections just opened only if there is nothing else. A
-        connection whose request waits unread is passed over.
-        """
+        """At the connection limit, abort one connection so that the accepted one can be served."""
         if len(self) < self.max_connections:
             return
-        latest_s = time.monotonic() - NEW_CONNECTION_GRACE_S
-        silent = (connection for connection in self._new if connection.inactive_since_s < latest_s)
-        for connection in chain(
-            islice(silent, MAX_EVICTION_CANDIDATES),
-            islice(self._idle, MAX_EVICTION_CANDIDATES),
-            islice(self._new, MAX_EVICTION_CANDIDATES),
-        ):
-            if not connection.has_unread_input:
-                self.discard(connection)
-                connection.abort()
-                return
+        if connection := connection_to_evict(self._new, self._idle, time.monotonic()):
+            self.discard(connection)
+            connection.abort()
 
     def close_silent(self, now_s: float) -> None:
         """Close connections without a request where they use up what a client process may hold.
 
         Such a client could open no further connection, so that `evict_if_full` would never be called.
         """
-        silent = [
-            connection
-            for connection in self._new
-            if now_s - connection.inactive_since_s > NEW_CONNECTION_GRACE_S and connection.is_idle
-        ]
+        silent = silent_connections(self._new, now_s)
         excess = max(0, int(len(self) - self.keep_alive_policy.crowded_above))
         for connection in silent[:excess]:
             if connection.close_if_idle():
--- a/anisespool/listener/keepalive.py
+++ b/anisespool/listener/keepalive.py
@@ -20,16 +20,17 @@
 CLIENT_DESCRIPTOR_FRACTION = 1 / 3  # descriptors assumed of a client process, of those of this sidecar
 MAX_IDLE_FRACTION = 1 / 3  # of the client's descriptors: the most that may be idle while others have requests
 CROWDED_FRACTION = 0.75  # of the client's descriptors: above it connections without a request are closed
-MIN_IDLE = 4  # connections that may be idle whatever else is open
+MIN_IDLE_CONNECTIONS = 4  # may be idle whatever else is open
 RATE_HALF_LIFE_S = 2.0
 GAP_WEIGHT = 0.3  # of a connection's newest gap in its mean
-FIRST_GAP_WEIGHT = 0.1  # of one connection's first gap in the mean over all connections
+FIRST_GAP_WEIGHT = 0.1  # of one connection's first gap in that of all connections
 REUSE_WEIGHT = 0.05  # of one connection in the share that was reused after the first request
 UNRESTRICTED_FRACTION = 0.5  # of the idle limit: below it every connection stays open
 MIN_REUSE_RATIO = 0.5  # reused share at which connections with one request stay open above that
 ARRIVAL_RESERVE_S = 0.5  # descriptors are reserved for the new connections of this time
+MIN_RESPONSES_PER_S = 1e-9  # before the first response
 
-LN_2 = 0.693  # ln 2, as rates with a half-life grow by it per event
+RATE_STEP_FACTOR = 0.693  # ln 2: an event adds it, over the half-life, to a rate that decays
 
 
 class KeepAliveDecision(Enum):
@@ -69,7 +70,7 @@
         """Create a policy for a process that may hold `descriptors` descriptors."""
         self.client_capacity = descriptors * CLIENT_DESCRIPTOR_FRACTION
         self.crowded_above = self.client_capacity * CROWDED_FRACTION
-        self.max_idle_limit = max(MIN_IDLE, int(self.client_capacity * MAX_IDLE_FRACTION))
+        self.max_idle_limit = max(MIN_IDLE_CONNECTIONS, int(self.client_capacity * MAX_IDLE_FRACTION))
         self.reuse_ratio = 1.0
         self._first_gap_s = 0.0
         self._responses_per_s = 0.0
@@ -79,7 +80,7 @@
     def connection_opened(self, now_s: float) -> None:
         """Count a new connection."""
         self._decay_rates(now_s)
-        self._arrivals_per_s += LN_2 / RATE_HALF_LIFE_S
+        self._arrivals_per_s += RATE_STEP_FACTOR / RATE_HALF_LIFE_S
 
     def request_received(self, history: ReuseHistory, idle_s: float) -> None:
         """Count a request on a connection that was idle for `idle_s` after a response or its opening."""
@@ -104,17 +105,17 @@
     def max_idle(self, active: int, new: int) -> int:
         """How many connections may be idle beside those with a request and those without one so far.
 
-        There may be hundreds without a request; they time out soon, so MIN_IDLE stays allowed.
+        There may be hundreds without a request; they time out soon, so MIN_IDLE_CONNECTIONS stays allowed.
         """
         free = self.client_capacity - active - new - self._arrivals_per_s * ARRIVAL_RESERVE_S
-        return max(MIN_IDLE, min(self.max_idle_limit, int(free)))
+        return max(MIN_IDLE_CONNECTIONS, min(self.max_idle_limit, int(free)))
 
     def decide(
         self, now_s: float, history: ReuseHistory, idle: int, active: int, new: int
     ) -> KeepAliveDecision:
         """Decide on a connection with a response, beside `idle`, `active` and `new` others."""
         self._decay_rates(now_s)
-        self._responses_per_s += LN_2 / RATE_HALF_LIFE_S
+        self._responses_per_s += RATE_STEP_FACTOR / RATE_HALF_LIFE_S
         max_idle = self.max_idle(active, new)
         if idle < max_idle * UNRESTRICTED_FRACTION:
             return KeepAliveDecision.KEEP
@@ -127,7 +128,7 @@
 
     def _max_useful_gap_s(self, max_idle: int) -> float:
         """Time in which as many responses are sent as connections may be idle."""
-        return max_idle / max(self._responses_per_s, 1e-9)
+        return max_idle / max(self._responses_per_s, MIN_RESPONSES_PER_S)
 
     def _update_reuse_ratio(self, reused: float) -> None:
         self.reuse_ratio += REUSE_WEIGHT * (reused - self.reuse_ratio)
--- a/anisespool/listener/request.py
+++ b/anisespool/listener/request.py
@@ -14,7 +14,7 @@
 from anisespool.proxy.call import Call
 
 MAX_CLIENT_TIMEOUT_MS = 3_600_000  # an hour: timers have a range, and the client may send any number
-MAX_NUMBER_DIGITS = 18
+MAX_NUMBER_CHARACTERS = 18  # of a numeric header: its value fits 64 bits
 
 # The only values that are forwarded in a request head to an endpoint.
 PRINTABLE_TOKEN = re.compile(rb"[!-~]{1,200}")
@@ -131,7 +131,7 @@
     value = headers.get(name)
     if value is None:
         return None
-    if not value.isdigit() or len(value) > MAX_NUMBER_DIGITS:
+    if not value.isdigit() or len(value) > MAX_NUMBER_CHARACTERS:
         raise InvalidRequest(f"{name.decode()} is no whole number")
     return int(value)
 
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -10,16 +10,17 @@
 from anisespool.balancer import Settings
 from anisespool.codec import http1
 from anisespool.config.platform import Address, NameIndex
-from anisespool.listener.connection import IDLE_TIMEOUT_S, ClientConnection
-from anisespool.listener.connection_limits import ConnectionTable
+from anisespool.listener.connection import ClientConnection
+from anisespool.listener.connection_table import ConnectionTable
 from anisespool.listener.keepalive import KeepAlivePolicy
+from anisespool.listener.timeouts import IDLE_TIMEOUT_S
 from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
 from anisespool.proxy.call import FinalResponse
 from anisespool.proxy.proxy import Proxy
 
-BACKLOG = 512
-MAX_ACCEPTS_PER_WAKEUP = 8
+BACKLOG_CONNECTIONS = 512  # accepted by the kernel; it drops more
+MAX_ACCEPTED_CONNECTIONS = 8  # in one iteration of the event loop
 ACCEPT_RETRY_S = 0.05  # with no descriptor left
 SWEEP_INTERVAL_S = 0.1
 
@@ -90,7 +91,7 @@
             OSError: Another process listens on the address.
         """
         assert self._listener
-        self._listener.listen(BACKLOG)
+        self._listener.listen(BACKLOG_CONNECTIONS)
         self._start_accepting()
         return Address(*self._listener.getsockname())
 
@@ -121,12 +122,11 @@
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        """Accept a few connections.
+        """Accept at most `MAX_ACCEPTED_CONNECTIONS`.
 
-        Each may need another one closed to make room, and that descriptor is free only in the loop's next
-        iteration.
+        Each may evict another connection, whose descriptor is free only in the loop's next iteration.
         """
-        for _ in range(MAX_ACCEPTS_PER_WAKEUP):
+        for _ in range(MAX_ACCEPTED_CONNECTIONS):
             if not self._accept_one():
                 return
 
--- a/tests/listener/test_bad_clients.py
+++ b/tests/listener/test_bad_clients.py
@@ -11,7 +11,7 @@
 
 from anisespool.fakes.endpoint import Endpoint
 from anisespool.fakes.http1 import read_response
-from anisespool.listener import connection, server
+from anisespool.listener import server, timeouts
 from tests.harness.client import request_bytes, send_request
 from tests.harness.running_sidecar import running_sidecar
 from tests.harness.waiting import wait_until
@@ -24,7 +24,7 @@
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("FIRST_REQUEST_TIMEOUT_S", "PARTIAL_REQUEST_TIMEOUT_S", "LINGER_TIMEOUT_S"):
-        monkeypatch.setattr(connection, name, 0.1)
+        monkeypatch.setattr(timeouts, name, 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
 
--- a/tests/listener/test_keepalive.py
+++ b/tests/listener/test_keepalive.py
@@ -11,8 +11,13 @@
 from anisespool.config.platform import Address
 from anisespool.fakes.endpoint import Endpoint
 from anisespool.fakes.http1 import read_response
-from anisespool.listener import connection
-from anisespool.listener.keepalive import MIN_IDLE, KeepAliveDecision, KeepAlivePolicy, ReuseHistory
+from anisespool.listener import timeouts
+from anisespool.listener.keepalive import (
+    MIN_IDLE_CONNECTIONS,
+    KeepAliveDecision,
+    KeepAlivePolicy,
+    ReuseHistory,
+)
 from tests.harness.client import request_bytes
 from tests.harness.running_sidecar import running_sidecar
 from tests.harness.waiting import wait_until
@@ -83,7 +88,7 @@
 @pytest.mark.parametrize(("working", "silent"), [(CLIENT_CAPACITY, 0), (0, 1000), (CLIENT_CAPACITY, 1000)])
 def test_a_few_idle_connections_are_allowed_whatever_else_is_open(working: int, silent: int) -> None:
     policy = KeepAlivePolicy(DESCRIPTORS)
-    assert policy.max_idle(working, silent) == MIN_IDLE
+    assert policy.max_idle(working, silent) == MIN_IDLE_CONNECTIONS
     assert policy.decide(1.0, reused_connection(policy, 0.05), 0, working, silent) is KeepAliveDecision.KEEP
 
 
@@ -187,7 +192,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With all descriptors used by silent connections no new one arrives that would evict one."""
-    monkeypatch.setattr(connection, "FIRST_REQUEST_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(timeouts, "FIRST_REQUEST_TIMEOUT_S", 60.0)
     async with (
         Endpoint().serve() as endpoint,
         running_sidecar(tmp_path, endpoint, sockets=DESCRIPTORS) as sidecar,
--- a/tests/listener/test_shutdown.py
+++ b/tests/listener/test_shutdown.py
@@ -9,7 +9,7 @@
 
 from anisespool.balancer import interface as api
 from anisespool.fakes.endpoint import Endpoint
-from anisespool.listener import connection as client_connection
+from anisespool.listener import timeouts
 from anisespool.listener.server import Server
 from anisespool.sidecar import shutdown
 from tests.harness.client import request_bytes
@@ -130,7 +130,7 @@
 async def test_a_client_that_never_reads_does_not_delay_shutdown(
     tmp_path: Path, servers: list[Server], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "WRITE_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr(timeouts, "WRITE_TIMEOUT_S", 1000.0)
     async with Endpoint(LARGE_RESPONSE).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         client = await unreading_client(sidecar, endpoint, servers[0])
         sidecar.signals.stop.set()
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -88,6 +88,7 @@
     "control/generations.py",
     "discovery/drains.py",
     "listener/keepalive.py",
+    "listener/timeouts.py",
     "membership/anti_entropy.py",
     "membership/codec.py",
     "membership/config.py",
