--- a/anisespool/proxy/call.py
+++ b/anisespool/proxy/call.py
@@ -17,7 +17,7 @@
 
 
 class Call(NamedTuple):
-    """A client's request with what the balancer needs to know of it."""
+    """A client's request, with its properties that the balancer decides by."""
 
     request: http1.Request
     request_class: int
--- a/anisespool/proxy/endpoint_registry.py
+++ b/anisespool/proxy/endpoint_registry.py
@@ -42,7 +42,15 @@
         self._drain_tracker = DrainTracker()
 
     def apply(self, update: EndpointList, kind: EndpointListKind) -> list[api.EndpointListing]:
-        """Take over a list, or changes to it, and return the listings that hold now."""
+        """Apply a list, or changes to one, and notify the connection pools.
+
+        Args:
+            update: The list or the changes.
+            kind: How `update` relates to the list before.
+
+        Returns:
+            The listings that hold now, after earlier and operator drains, for the balancer.
+        """
         if kind is not EndpointListKind.DELTA:
             self._remove_all_but({entry.id for entry in update.endpoints}, update.revision)
         listings: list[api.EndpointListing] = []
@@ -72,7 +80,11 @@
         self._cluster.remove(number)
 
     def listed(self, endpoint_id: str) -> EndpointEntry:
-        """The endpoint as last received from discovery, before drains are applied. KeyError: not listed."""
+        """The endpoint as last received from discovery, before drains are applied.
+
+        Raises:
+            KeyError: It is not listed.
+        """
         return self._listed[endpoint_id]
 
     def ready_ids(self) -> set[str]:
@@ -81,8 +93,8 @@
 
     def last_listings(self, endpoint_ids: list[str]) -> EndpointList:
         """Entries of these endpoints as last received from discovery, without those that are gone."""
-        members = tuple(self._listed[name] for name in endpoint_ids if name in self._listed)
-        return EndpointList(self._revision, False, members)
+        entries = tuple(self._listed[name] for name in endpoint_ids if name in self._listed)
+        return EndpointList(self._revision, False, entries)
 
     def _number_of(self, entry: EndpointEntry) -> int:
         """The endpoint's number; a new one where it has none."""
@@ -112,7 +124,7 @@
     ) -> int:
         """The state that holds after earlier drains.
 
-        An endpoint may be listed as gone by its id alone: then the start that is known of it holds.
+        An endpoint may be listed as gone by its id alone: then the start in its last listing holds.
         """
         if state == EndpointState.GONE and endpoint_id in self._listed:
             listing = self._listed[endpoint_id].listing
--- a/anisespool/proxy/event_log.py
+++ b/anisespool/proxy/event_log.py
@@ -11,7 +11,7 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import Any, ClassVar, Protocol, TypedDict
+from typing import Any, ClassVar, NamedTuple, Protocol, TypedDict
 
 import msgspec
 
@@ -68,10 +68,24 @@
     ms: int
 
 
+class RecordedEvent(NamedTuple):
+    """An event in the log."""
+
+    number: int
+    at_ns: int
+    event: Event
+
+    def as_json(self) -> dict[str, Any]:
+        """The event as the control socket sends it; its fields differ from event to event."""
+        fields: dict[str, Any] = msgspec.to_builtins(self.event)
+        return {"n": self.number, "at_ns": self.at_ns, "what": self.event.what} | fields
+
+
 class EventPage(TypedDict):
-    """Part of the log, as the control socket answers it."""
+    """Part of the log, as the control socket sends it."""
 
     events: list[dict[str, Any]]
+    """Each a `RecordedEvent` as JSON."""
     dropped: int
     """Events after the requested number that are no longer kept."""
     next: int
@@ -84,23 +98,22 @@
     def __init__(self, clock: Callable[[], int] = time.monotonic_ns) -> None:
         """Create an empty log. `clock` gives monotonic ns."""
         self._clock = clock
-        self._events: deque[dict[str, Any]] = deque(maxlen=MAX_EVENTS)
+        self._events: deque[RecordedEvent] = deque(maxlen=MAX_EVENTS)
         self._count = 0
 
     def record(self, event: Event) -> None:
         """Append an event, with the next number and the time."""
         self._count += 1
-        numbered = {"n": self._count, "at_ns": self._clock(), "what": event.what}
-        self._events.append(numbered | msgspec.to_builtins(event))
+        self._events.append(RecordedEvent(self._count, self._clock(), event))
 
     def after(self, number: int) -> EventPage:
         """The events after that number, the oldest first, `MAX_EVENTS_IN_ANSWER` at most."""
-        found = [event for event in self._events if event["n"] > number][:MAX_EVENTS_IN_ANSWER]
-        first = self._events[0]["n"] if self._events else self._count + 1
+        found = [event for event in self._events if event.number > number][:MAX_EVENTS_IN_ANSWER]
+        first = self._events[0].number if self._events else self._count + 1
         return {
-            "events": found,
+            "events": [event.as_json() for event in found],
             "dropped": max(0, first - 1 - number),
-            "next": found[-1]["n"] if found else max(number, self._count),
+            "next": found[-1].number if found else max(number, self._count),
         }
 
 
--- a/anisespool/proxy/exchange.py
+++ b/anisespool/proxy/exchange.py
@@ -12,6 +12,10 @@
 from anisespool.proxy.call import Call, FinalResponse
 from anisespool.upstream.attempt import Attempt
 
+# 503 allows the client a retry, so it is sent only where one is harmless; 504 promises nothing.
+RETRY_IS_HARMLESS = FinalResponse(503, b"no decision in time\n")
+MAY_HAVE_EXECUTED = FinalResponse(504, b"no answer in time\n")
+
 
 class Completion(NamedTuple):
     """How a request ended, for request records."""
@@ -53,15 +57,10 @@
     @property
     def is_finished(self) -> bool:
         """Whether nobody waits for a response and no attempt is under way."""
-        return self.send_response is None and all(a.status is not None for a in self.attempts)
+        return self.send_response is None and all(attempt.status is not None for attempt in self.attempts)
 
     def backstop_response(self, request_class: RequestClass) -> FinalResponse:
-        """The response where the balancer made no decision in time.
-
-        503 allows the client a retry, so it is sent only where a retry is sure to be harmless (the balancer's
-        rule as well); 504 promises nothing.
-        """
+        """The response where the balancer made no decision in time; the balancer's rule on retries holds."""
         may_have_executed = any(attempt.may_have_executed for attempt in self.attempts)
-        if may_client_retry(request_class, may_have_executed):
-            return FinalResponse(503, b"no decision in time\n")
-        return FinalResponse(504, b"no answer in time\n")
+        is_harmless = may_client_retry(request_class, may_have_executed)
+        return RETRY_IS_HARMLESS if is_harmless else MAY_HAVE_EXECUTED
--- a/anisespool/proxy/observed.py
+++ b/anisespool/proxy/observed.py
@@ -1,6 +1,6 @@
 """The proxy with counters, an event log and a view into the balancer, for the control socket.
 
-Loaded only where the operator's file asks for a control socket.
+Loaded only where an operator's file is given.
 """
 
 from __future__ import annotations
@@ -105,11 +105,15 @@
         return {number: endpoint_id for endpoint_id, number in self._registry.numbers.items()}
 
     def set_tenant_shares(self, shares: dict[int, float]) -> Settings:
-        """Change tenants' shares, by index, and return the settings that hold now."""
+        """Change tenants' shares, by index, and return the settings that are in force now."""
         return set_tenant_shares(self._driver.balancer, shares)
 
     def describe_endpoint(self, endpoint_id: str) -> EndpointDescription:
-        """The endpoint as discovery lists it, before drains are applied. KeyError: not listed."""
+        """The endpoint as discovery lists it, before drains are applied.
+
+        Raises:
+            KeyError: It is not listed.
+        """
         entry = self._registry.listed(endpoint_id)
         address = "{}:{}".format(*entry.address)
         return EndpointDescription(address, EndpointState(entry.listing.state).name.lower())
--- a/anisespool/proxy/proxy.py
+++ b/anisespool/proxy/proxy.py
@@ -24,6 +24,9 @@
 from anisespool.upstream.attempt import Attempt
 from anisespool.upstream.cluster import Cluster
 
+FAILED = FinalResponse(502, b"failed\n")
+NO_DECISION = FinalResponse(504, b"no decision\n")  # the balancer failed on an event of the request
+
 
 class Proxy:
     """One sidecar's requests, for any listener and any protocol to the endpoints.
@@ -196,7 +199,7 @@
         self._finish(action.request, FinalResponse(503, b"refused\n", action.retry_after_ns / 1e9))
 
     def _fail(self, action: api.Fail) -> None:
-        self._finish(action.request, FinalResponse(502, b"failed\n"))
+        self._finish(action.request, FAILED)
 
     def _cancel(self, action: api.Cancel) -> None:
         exchange = self._exchanges.get(action.request)
@@ -271,7 +274,7 @@
         """Respond to a request whose event the balancer failed on, and stop its attempts."""
         exchange = self._exchanges.get(request_id)
         if exchange:
-            self._respond(exchange, FinalResponse(504, b"no decision\n"))
+            self._respond(exchange, NO_DECISION)
             self._abort_attempts(request_id, exchange)
 
     def _abandon(self, request_id: int, exchange: Exchange) -> None:
