--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -9,14 +9,13 @@
 from typing import TYPE_CHECKING
 
 from anisespool.balancer.interface import DiscoveryMode, EndpointListKind
-from anisespool.config.platform import Address, ConfigError, PlatformConfig, PlatformConfigError
-from anisespool.config.platform_loader import read_discovery_address
+from anisespool.config.platform import Address, PlatformConfig, PlatformConfigError
 from anisespool.discovery.watch import EndpointWatch, watch_timing
 from anisespool.listener.server import Server
-from anisespool.log import log_event
 from anisespool.proxy.proxy import Proxy
 from anisespool.sidecar.live_controls import SidecarControls
 from anisespool.sidecar.process_signals import Signals
+from anisespool.sidecar.reload import reload_when_signalled
 from anisespool.sidecar.shutdown import stop_listener
 from anisespool.upstream.cluster import Cluster
 
@@ -26,10 +25,10 @@
 
 # Reference cycles are rare here, as parsers drop theirs at their end: the collector can run seldom.
 GC_THRESHOLDS = (10_000, 20, 20)
-RESERVED_SOCKETS = 32  # for all but clients and endpoints, and for connections that are closing
-MIN_SOCKETS = 16
-# Of the other sockets. Many clients' connections are idle; each busy one needs one to an endpoint.
-CLIENT_SOCKET_SHARE = 0.6
+RESERVED_CONNECTIONS = 32  # sockets for all but clients and endpoints, and for connections that are closing
+MIN_CONNECTIONS = 16  # to clients and endpoints, whatever the platform allows
+# Of the connections to clients and endpoints: many clients' are idle, each busy one needs one to an endpoint.
+CLIENT_CONNECTION_SHARE = 0.6
 
 
 async def run(
@@ -38,7 +37,7 @@
     on_listening: Callable[[Address], None],
     operator_config: OperatorConfig | None = None,
 ) -> None:
-    """Run one sidecar until `signals.stop` is set and every request that it accepted is answered.
+    """Run one sidecar until `signals.stop` is set and every request that it accepted has its response.
 
     Args:
         config: From the platform.
@@ -89,13 +88,13 @@
         self, config: PlatformConfig, signals: Signals, operator_config: OperatorConfig | None
     ) -> None:
         settings = config.settings
-        sockets = max(MIN_SOCKETS, config.max_sockets - RESERVED_SOCKETS)
-        client_sockets = int(sockets * CLIENT_SOCKET_SHARE)
+        connections = max(MIN_CONNECTIONS, config.max_sockets - RESERVED_CONNECTIONS)
+        client_connections = int(connections * CLIENT_CONNECTION_SHARE)
         self.cluster = Cluster(
             settings.load_report_columns,
             settings.connect_timeout_ns,
             config.keepalive_ns,
-            sockets - client_sockets,
+            connections - client_connections,
         )
         self.features = _optional_features(config, operator_config, self.cluster)
         recorder = self.features.recorder if self.features else None
@@ -108,7 +107,7 @@
             proxy.update_endpoints,
             watch_timing(settings),
         )
-        self.server = Server(proxy, config.names, settings, client_sockets, config.max_sockets)
+        self.server = Server(proxy, config.names, settings, client_connections, config.max_sockets)
         self.server.on_reject = recorder.record_rejection if recorder else None
         self.controls = SidecarControls(signals, proxy, self.server, self.watch, config.discovery, recorder)
 
@@ -127,7 +126,7 @@
     return [
         asyncio.create_task(parts.watch.run()),
         asyncio.create_task(parts.cluster.sweep()),
-        asyncio.create_task(_reload_when_signalled(config_path, parts.controls, signals.reload)),
+        asyncio.create_task(reload_when_signalled(config_path, parts.controls, signals.reload)),
         asyncio.create_task(parts.server.sweep()),
     ]
 
@@ -135,8 +134,8 @@
 async def _wait_for_current_list(watch: EndpointWatch, config: PlatformConfig) -> None:
     """Where an agent pushes the endpoint list, wait for it before the first request.
 
-    A drain that the agent already has counts as known to this sidecar from its first moment, and the initial
-    list may be older than that. The wait ends with the drain's grace period: without an agent the initial
+    A drain that the agent already has holds from this sidecar's first moment, and the initial list may be
+    older than that. The wait ends with the drain's grace period: without an agent the initial
     list has to serve.
     """
     if config.settings.discovery_mode is DiscoveryMode.PUSH:
@@ -144,17 +143,6 @@
             await asyncio.wait_for(watch.first_attempt_done.wait(), config.settings.drain_grace_ns / 1e9)
 
 
-async def _reload_when_signalled(path: str, controls: SidecarControls, reload: asyncio.Event) -> None:
-    """Read the platform's file again at each signal; only discovery's address can change while running."""
-    while True:
-        await reload.wait()
-        reload.clear()
-        try:
-            controls.set_platform_discovery(read_discovery_address(path))
-        except ConfigError as error:  # a bad file must cost a log line, not the sidecar
-            log_event("config_reload_failed", error=error)
-
-
 @contextmanager
 def _listen_errors() -> Iterator[None]:
     """An error of the listening socket as one of the variable that names its address."""
--- a/anisespool/sidecar/program.py
+++ b/anisespool/sidecar/program.py
@@ -5,6 +5,7 @@
 import asyncio
 import os
 import sys
+from enum import IntEnum
 from typing import TYPE_CHECKING, TextIO, cast
 
 from anisespool.config.platform import ConfigError
@@ -16,8 +17,13 @@
 if TYPE_CHECKING:
     from anisespool.config.operator import OperatorConfig
 
-EXIT_OK = 0
-EXIT_BAD_CONFIG = 2
+
+class ExitStatus(IntEnum):
+    """Of the process, for the platform."""
+
+    OK = 0
+    BAD_CONFIG = 2
+    """The platform's or the operator's configuration can't be used; standard error has the reason."""
 
 
 def main(operator_config_path: str | None = None) -> int:
@@ -27,15 +33,15 @@
         operator_config_path: The operator's file; without one nothing that it could switch on is imported.
 
     Returns:
-        The process's exit status.
+        An `ExitStatus`.
     """
     sys.stderr = cast(TextIO, NonBlockingStderr(sys.stderr))
     try:
         asyncio.run(_run_until_signalled(operator_config_path))
     except ConfigError as error:
         print(f"anisespool: {error}", file=sys.stderr)
-        return EXIT_BAD_CONFIG
-    return EXIT_OK
+        return ExitStatus.BAD_CONFIG
+    return ExitStatus.OK
 
 
 async def _run_until_signalled(operator_config_path: str | None) -> None:
--- a/anisespool/sidecar/shutdown.py
+++ b/anisespool/sidecar/shutdown.py
@@ -10,9 +10,9 @@
 from anisespool.listener.server import Server
 from anisespool.listener.shutdown import shut_down
 
-ACCEPT_AFTER_SIGTERM_S = 0.5
-SIGKILL_MARGIN_S = 0.7
-MAX_SIGKILL_DEADLINE_S = 3.0
+ACCEPT_AFTER_SIGTERM_S = 0.5  # longer than clients open new connections
+SIGKILL_MARGIN_S = 0.7  # the platform's, after the longest deadline
+MAX_SIGKILL_DEADLINE_S = 3.0  # longer deadlines count as this one
 EXIT_RESERVE_S = 0.1  # between the end of the shutdown and SIGKILL
 
 
@@ -23,5 +23,10 @@
 
 
 async def stop_listener(server: Server, settings: Settings) -> None:
-    """Accept until clients have noticed the shutdown, then close; return when every request is answered."""
+    """Accept until clients have noticed the shutdown, close, and return once all requests are responded to.
+
+    Args:
+        server: The listener.
+        settings: The platform's, with the deadlines of the request classes.
+    """
     await shut_down(server, ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_RESERVE_S)
