--- /dev/null
+++ b/anisespool/codec/http1/message_buffer.py
@@ -0,0 +1,90 @@
+"""A message while it is received: headers, parts of the body, and the checks on its framing."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from anisespool.codec.http1.limits import CHUNKED_OVERHEAD_FACTOR, MAX_HEAD_BYTES
+
+# A message with two of these could mean one thing here and another at the next hop: request smuggling
+# (RFC 9112, 11.2).
+SINGLE_VALUE_HEADERS = frozenset(
+    (b"content-length", b"transfer-encoding", b"host", b"x-trace-id", b"idempotency-key", b"x-expires-in-ms")
+)
+
+
+@dataclass(slots=True, eq=False)
+class MessageBuffer:
+    """Headers and body of one message while it is received, within limits.
+
+    httptools buffers a header's name and value before it calls back. So the limits are checked on the bytes
+    that were fed in as well as on those that came out.
+
+    Attributes:
+        max_body_bytes: Limit on the body.
+        raw_bytes: Bytes fed to the parser for this message.
+        in_head: Whether the head is not complete.
+        ambiguous: Whether another HTTP implementation could read the message differently.
+    """
+
+    max_body_bytes: int
+    headers: dict[bytes, bytes] = field(default_factory=dict)
+    body: list[bytes] = field(default_factory=list)
+    raw_bytes: int = 0
+    head_bytes: int = 0
+    body_bytes: int = 0
+    in_head: bool = True
+    ambiguous: bool = False
+
+    @property
+    def too_large(self) -> bool:
+        """Whether a limit is exceeded."""
+        max_raw_bytes = MAX_HEAD_BYTES
+        if not self.in_head:
+            max_raw_bytes += CHUNKED_OVERHEAD_FACTOR * self.max_body_bytes
+        return (
+            self.body_bytes > self.max_body_bytes
+            or self.head_bytes > MAX_HEAD_BYTES
+            or self.raw_bytes > max_raw_bytes
+        )
+
+    @property
+    def content_length(self) -> int:
+        """Declared length of the body, 0 without one; httptools accepts only a number."""
+        declared = self.headers.get(b"content-length")
+        return int(declared) if declared else 0
+
+    @property
+    def has_framing(self) -> bool:
+        """Whether the headers delimit the body (RFC 9112, 6.3)."""
+        return b"content-length" in self.headers or b"transfer-encoding" in self.headers
+
+    @property
+    def closes_connection(self) -> bool:
+        """Whether its sender has announced that the connection closes after it."""
+        options = self.headers.get(b"connection", b"").lower().split(b",")
+        return b"close" in (option.strip() for option in options)
+
+    def add_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; trailers only count towards the limit."""
+        name = name.lower()
+        value = value or b""
+        self.head_bytes += len(name) + len(value)
+        if self.in_head:
+            if name not in self.headers:
+                self.headers[name] = value
+            elif name in SINGLE_VALUE_HEADERS:
+                self.ambiguous = True
+
+    def add_body(self, data: bytes) -> None:
+        """Add a part of the body; beyond the limit it is only counted."""
+        self.body_bytes += len(data)
+        if self.body_bytes <= self.max_body_bytes:
+            self.body.append(data)
+
+    def end_head(self) -> None:
+        """Check the framing headers, once all are there."""
+        self.in_head = False
+        encoding = self.headers.get(b"transfer-encoding")
+        if encoding is not None and (encoding.lower() != b"chunked" or b"content-length" in self.headers):
+            self.ambiguous = True
--- /dev/null
+++ b/anisespool/codec/http1/request_parser.py
@@ -0,0 +1,106 @@
+"""From received bytes to the requests of one connection."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+import httptools
+
+from anisespool.codec.http1.limits import MAX_BODY_BYTES, MAX_HEAD_BYTES
+from anisespool.codec.http1.message import Request
+from anisespool.codec.http1.message_buffer import MessageBuffer
+
+
+class RequestParser:
+    """Turns received bytes into complete requests.
+
+    Attributes:
+        error_status: Status of the response to invalid input, after which nothing more is parsed; 0: none.
+        expects_continue: Whether the client waits for `100 Continue` before it sends the body.
+    """
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """Create a parser for one connection."""
+        self.error_status = 0
+        self.expects_continue = False
+        self._max_body_bytes = max_body_bytes
+        self._completed: list[Request] = []
+        self._message = MessageBuffer(max_body_bytes)
+        self._target = b""
+        self._message_begun = False
+        self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+
+    @property
+    def partial(self) -> bool:
+        """Whether part of a request has been received."""
+        return self._message_begun or self._message.raw_bytes > 0
+
+    def close(self) -> None:
+        """Release the httptools parser, which holds a reference cycle with this object."""
+        self._parser = None
+
+    def feed(self, data: bytes) -> list[Request]:
+        """Parse received bytes; returns the requests that they complete, also those before an error."""
+        if not self.error_status and self._parser:
+            message_before = self._message
+            try:
+                self._parser.feed_data(data)
+            except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # no upgrade is supported
+                self.error_status = self.error_status or HTTPStatus.BAD_REQUEST
+                # The declared length may not fit what follows: the last message received together with the
+                # invalid bytes has no certain end, and may hide another request.
+                if self._completed:
+                    self._completed.pop()
+            if message_before is self._message:
+                message_before.raw_bytes += len(data)
+            if self._message.too_large:
+                self.error_status = self.error_status or HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        completed = self._completed
+        self._completed = []
+        return completed
+
+    # Called by httptools --------------------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """Note that a request has begun."""
+        self._message_begun = True
+
+    def on_url(self, url: bytes) -> None:
+        """Collect a part of the target."""
+        self._target += url
+        self._message.head_bytes += len(url)
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a header or trailer."""
+        self._message.add_header(name, value)
+
+    def on_headers_complete(self) -> None:
+        """Reject a head that is ambiguous or too large before its body arrives."""
+        message = self._message
+        message.end_head()
+        if message.ambiguous:
+            self.error_status = HTTPStatus.BAD_REQUEST
+        elif message.content_length > message.max_body_bytes or message.head_bytes > MAX_HEAD_BYTES:
+            self.error_status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        elif message.headers.get(b"expect", b"").lower() == b"100-continue":
+            self.expects_continue = True
+
+    def on_body(self, data: bytes) -> None:
+        """Collect a part of the body."""
+        self._message.add_body(data)
+
+    def on_message_complete(self) -> None:
+        """Complete the request, and begin the next one."""
+        message = self._message
+        parser = self._parser
+        if message.too_large:
+            self.error_status = self.error_status or HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        if parser and not self.error_status:
+            body = b"".join(message.body)
+            keep_alive = parser.should_keep_alive()
+            request = Request(parser.get_method(), self._target, message.headers, body, keep_alive)
+            self._completed.append(request)
+        self._message = MessageBuffer(self._max_body_bytes)
+        self._target = b""
+        self._message_begun = False
+        self.expects_continue = False
--- /dev/null
+++ b/anisespool/codec/http1/response_parser.py
@@ -0,0 +1,126 @@
+"""From received bytes to one response."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+import httptools
+
+from anisespool.codec.http1.limits import MAX_RESPONSE_BODY_BYTES
+from anisespool.codec.http1.message import Response
+from anisespool.codec.http1.message_buffer import MessageBuffer
+
+
+class ResponseParser:
+    """Turns received bytes into one response.
+
+    Attributes:
+        response: The complete response; None: not complete yet.
+        status: From the status line; 0: the head is not complete.
+        failed: Whether the input is invalid or too large, so that there will be no response.
+    """
+
+    def __init__(self, on_body: Callable[[bytes], None] | None = None) -> None:
+        """Create a parser for one response.
+
+        Args:
+            on_body: Receives the body in parts and without a limit, for a stream that has no end; the
+                response's own body stays empty.
+        """
+        self.response: Response | None = None
+        self.status = 0
+        self.failed = False
+        self._on_body = on_body
+        self._message = MessageBuffer(MAX_RESPONSE_BODY_BYTES)
+        self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
+
+    def close(self) -> None:
+        """Release the httptools parser, which holds a reference cycle with this object."""
+        self._parser = None
+
+    def feed(self, data: bytes) -> Response | None:
+        """Parse received bytes; returns the response once it is complete."""
+        if self._parser and not self.failed:
+            try:
+                self._parser.feed_data(data)
+            except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+                self._invalid_input()
+            # Interim responses (1xx) and the final head share one limit: both can be endless.
+            self._message.raw_bytes += len(data)
+            streaming = self._on_body and self.status
+            if self.response is None and self._message.too_large and not streaming:
+                self.failed = True
+        return None if self.failed else self.response
+
+    def feed_eof(self) -> Response | None:
+        """The connection was closed in order, which ends a body without framing (RFC 9112, 8).
+
+        A reset does not end a body, and must not be reported here.
+        """
+        message = self._message
+        complete = self.status >= HTTPStatus.OK and not message.has_framing
+        if self.response is None and complete and not self.failed:
+            self.response = Response(self.status, message.headers, b"".join(message.body), False)
+        return self.response
+
+    def _invalid_input(self) -> None:
+        """Fail; after a complete response only the connection can't be used any more."""
+        if self.response is None:
+            self.failed = True
+        else:
+            self.response = self.response._replace(keep_alive=False)
+
+    # Called by httptools --------------------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        """A second message behind the response is invalid."""
+        if self.response is not None:
+            self._invalid_input()
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a header or trailer."""
+        if self.response is None:
+            self._message.add_header(name, value)
+
+    def on_headers_complete(self) -> None:
+        """Read the status, and reject a head whose body would be ambiguous, endless or too large."""
+        if self.response is not None or self._parser is None:
+            return
+        message = self._message
+        self.status = self._parser.get_status_code()
+        message.end_head()
+        if self._on_body is None and self.status >= HTTPStatus.OK:
+            # Without a length, and without notice that the connection closes after it, a body may never end.
+            unframed = self.status == HTTPStatus.OK and not message.has_framing
+            endless = unframed and not message.closes_connection
+            self.failed = (
+                self.failed or message.ambiguous or endless or message.content_length > message.max_body_bytes
+            )
+
+    def on_body(self, data: bytes) -> None:
+        """Pass a part of the body on, or collect it."""
+        if self._on_body:
+            self._on_body(data)
+        elif self.response is None:
+            self._message.add_body(data)
+
+    def on_message_complete(self) -> None:
+        """Complete the response, or begin anew after an interim one (1xx)."""
+        if self.response is not None or self._parser is None:
+            return
+        if self.status == HTTPStatus.SWITCHING_PROTOCOLS:
+            self.failed = True
+        elif self.status < HTTPStatus.OK:
+            self.status = 0
+            raw_bytes = self._message.raw_bytes
+            self._message = MessageBuffer(MAX_RESPONSE_BODY_BYTES)
+            self._message.raw_bytes = raw_bytes
+        elif not self.failed:
+            message = self._message
+            # Bytes beyond the limit were not kept: the rest must not pass for the whole body.
+            self.failed = message.too_large
+            if not self.failed:
+                body = b"".join(message.body)
+                keep_alive = self._parser.should_keep_alive()
+                self.response = Response(self.status, message.headers, body, keep_alive)
