--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -67,10 +67,6 @@
         """All open connections."""
         return self.table.connections
 
-    def connection_counts(self) -> dict[str, int]:
-        """Connections in all, and those with an open request; the keys are the control socket's."""
-        return {"open": len(self.table), "working": len(self.table.active)}
-
     def bind(self, address: Address) -> None:
         """Reserve the address; connections are refused until `listen`.
 
--- a/anisespool/proxy/event_log.py
+++ b/anisespool/proxy/event_log.py
@@ -15,6 +15,8 @@
 
 import msgspec
 
+JsonObject = dict[str, Any]  # fields differ from event to event
+
 MAX_EVENTS = 1000  # kept; the oldest are dropped, and counted
 MAX_EVENTS_IN_ANSWER = 500
 PAUSE_CHECK_INTERVAL_S = 0.1
@@ -75,16 +77,16 @@
     at_ns: int
     event: Event
 
-    def as_json(self) -> dict[str, Any]:
-        """The event as the control socket sends it; its fields differ from event to event."""
-        fields: dict[str, Any] = msgspec.to_builtins(self.event)
+    def as_json(self) -> JsonObject:
+        """The event as the control socket sends it."""
+        fields: JsonObject = msgspec.to_builtins(self.event)
         return {"n": self.number, "at_ns": self.at_ns, "what": self.event.what} | fields
 
 
 class EventPage(TypedDict):
     """Part of the log, as the control socket sends it."""
 
-    events: list[dict[str, Any]]
+    events: list[JsonObject]
     """Each a `RecordedEvent` as JSON."""
     dropped: int
     """Events after the requested number that are no longer kept."""
--- a/anisespool/proxy/runtime_controls.py
+++ b/anisespool/proxy/runtime_controls.py
@@ -15,13 +15,13 @@
 
     @property
     def phase(self) -> str:
-        """`starting` (no endpoint known yet), `serving` or `draining`."""
+        """`starting` (no endpoint is ready), `serving` or `draining` (the graceful shutdown has begun)."""
 
     def begin_shutdown(self) -> None:
         """Start the graceful shutdown, as SIGTERM does."""
 
     def client_connections(self) -> dict[str, int]:
-        """Client connections: `open`, and `working` of these."""
+        """Client connections: `open`, and of these `working`, with an open request."""
 
     def set_client_idle_timeout(self, timeout_s: float) -> None:
         """Set how long a client connection may stay idle after a response."""
--- a/anisespool/sidecar/live_controls.py
+++ b/anisespool/sidecar/live_controls.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 from anisespool.config.platform import Address
@@ -15,6 +16,16 @@
     from anisespool.records.recorder import Recorder
 
 
+class Phase(StrEnum):
+    """Part of a sidecar's life, under the control socket's name."""
+
+    STARTING = "starting"
+    """No endpoint is ready."""
+    SERVING = "serving"
+    DRAINING = "draining"
+    """The graceful shutdown has begun."""
+
+
 class SidecarControls:
     """The `RuntimeControls` (proxy/runtime_controls.py) of this process."""
 
@@ -37,19 +48,20 @@
         self._operator_discovery: Address | None = None
 
     @property
-    def phase(self) -> str:
-        """`starting` (no endpoint known yet), `serving` or `draining`."""
+    def phase(self) -> Phase:
+        """The phase now."""
         if self._server.stopping or self._signals.stop.is_set():
-            return "draining"
-        return "serving" if self._proxy.ready else "starting"
+            return Phase.DRAINING
+        return Phase.SERVING if self._proxy.ready else Phase.STARTING
 
     def begin_shutdown(self) -> None:
         """Shut down as by SIGTERM."""
         self._signals.stop.set()
 
     def client_connections(self) -> dict[str, int]:
-        """The clients' connections: `open` and `working`."""
-        return self._server.connection_counts()
+        """Clients' connections under the control socket's names: all, and those with an open request."""
+        table = self._server.table
+        return {"open": len(table), "working": len(table.active)}
 
     def set_client_idle_timeout(self, timeout_s: float) -> None:
         """Close clients' connections that are idle for so long after a response."""
