--- a/anisespool/codec/json_stream.py
+++ b/anisespool/codec/json_stream.py
@@ -115,7 +115,7 @@
 def _parse_first_line(line: bytes) -> Any:
     """Parse a document that may end with its first line; None: it continues.
 
-    A document with an error may never end, and would swallow those behind it. No JSON token continues after
+    A document with an error may have no end, and would include those behind it. No JSON token continues after
     a line's end, so what is invalid before it can be rejected at once.
 
     Raises:
--- a/anisespool/listener/connection.py
+++ b/anisespool/listener/connection.py
@@ -21,7 +21,7 @@
 
 MAX_PIPELINED_REQUESTS = 64  # read ahead on one connection
 MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # of all of them, as hundreds of clients may pipeline
-MIN_QUEUE_WAIT_NS = 1_000_000  # shorter waits behind other pipelined requests are not subtracted
+MIN_QUEUE_WAIT_NS = 1_000_000  # a shorter wait in the pipeline is not subtracted from the client's timeout
 DISCARD_PAUSE_S = 0.004  # between two reads of input that is discarded
 
 
@@ -52,6 +52,7 @@
         self._table = table
         self._transport: asyncio.Transport | None = None
         self._parser = http1.RequestParser(http1.MAX_REQUEST_BODY_BYTES)
+        # Plain attributes: a type of its own for the pipeline would cost each request two calls.
         self._pipelined: deque[PipelinedRequest] = deque()
         self._pipelined_body_bytes = 0
         self._idle_before_request_s = 0.0
@@ -148,7 +149,7 @@
         self._parser.close()
 
     def _discard_input(self) -> None:
-        """Throttle a client that goes on sending after an error, which would use up the CPU."""
+        """Throttle a client that continues to send after an error: reading it all would use up the CPU."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(DISCARD_PAUSE_S, self._resume_reading)
@@ -158,7 +159,7 @@
             self._transport.resume_reading()
 
     def _cancel(self) -> None:
-        """The client has disconnected: nothing more is done for its requests."""
+        """Cancel the open request and discard the pipelined ones, as the client has disconnected."""
         self._closing = True
         self._pipelined.clear()
         self._table.paused.discard(self)
@@ -271,9 +272,9 @@
     def _reject(self, response: FinalResponse, request: http1.Request | None = None) -> None:
         """Send an error response and end the connection.
 
-        Kept open it would bring the same error again at once. Closed with unread input the kernel would reset
-        it, and the client would never read the response: so only the output ends, and the client has a
-        little time to close its side.
+        On a connection that stays open the client would repeat the error at once. Closed with unread input,
+        the kernel would reset it, and the client would never read the response: so only the output ends, and
+        the client has `LINGER_TIMEOUT_S` (timeouts.py) to close its side.
         """
         self._has_open_request = False
         self._closing = True
--- a/anisespool/listener/connection_table.py
+++ b/anisespool/listener/connection_table.py
@@ -67,13 +67,13 @@
         self.mark_inactive(connection)
 
     def mark_active(self, connection: TrackedConnection) -> None:
-        """A request is open on the connection; it is not closed to make room."""
+        """Note that a request is open on the connection, which protects it from eviction."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self.active.add(connection)
 
     def mark_inactive(self, connection: TrackedConnection) -> None:
-        """No request is open on the connection (any more)."""
+        """Note that no request is open on the connection."""
         self.discard(connection)
         connection.inactive_since_s = time.monotonic()
         (self._idle if connection.has_sent_request else self._new)[connection] = None
--- a/anisespool/listener/request.py
+++ b/anisespool/listener/request.py
@@ -73,7 +73,7 @@
         tenant=len(names.tenants) if tenant is None else tenant,
         timeout_ns=class_settings.deadline_ns if timeout_ms is None else _timeout_ns(timeout_ms),
         size_hint_ns=None if size_hint_us is None else size_hint_us * 1000,
-        # Digests take CPU: computed only where the key has a meaning.
+        # Computed only where the class or the settings use the key, to save CPU.
         affinity_key=_affinity_key(segments[-1]) if has_affinity else 0,
         is_retry=headers.get(b"x-second-try") == b"1",
     )
@@ -95,7 +95,7 @@
 def _percent_decoded(name: bytes) -> bytes:
     """The name that a path segment encodes.
 
-    Only classes with names beyond ASCII need it, so the import is here: the module costs a process 0.4 MB.
+    Imported here, as only class names beyond ASCII need it and the module takes 0.4 MB of memory.
     """
     from urllib.parse import unquote_to_bytes
 
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -74,7 +74,7 @@
             OSError: The address is in use or not available.
         """
         # Unless the protocol is named, asyncio leaves TCP_NODELAY off on accepted sockets: a response behind
-        # another would be held back by the kernel, and lost with a reset.
+        # another would be delayed by the kernel, and lost with a reset.
         self._listener = listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
@@ -103,7 +103,7 @@
                 connection.close_if_peer_closed()
 
     async def close_listener(self) -> None:
-        """Accept what waits in the backlog, and no more."""
+        """Accept the connections in the backlog, then close the socket."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
             while self._accept_one():  # closing resets whatever is left in the backlog
--- a/anisespool/listener/shutdown.py
+++ b/anisespool/listener/shutdown.py
@@ -8,7 +8,7 @@
 from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
 
-PARTIAL_REQUEST_GRACE_S = 1.0  # for requests half received when the listener closes; clients need less
+PARTIAL_REQUEST_GRACE_S = 1.0  # for the rest of a request that is half received when the listener closes
 POLL_INTERVAL_S = 0.01
 FLUSH_RESERVE_S = 0.05  # between the proxy's last response and the end of the shutdown (proxy/deadlines.py)
 
--- a/anisespool/listener/transport.py
+++ b/anisespool/listener/transport.py
@@ -1,4 +1,4 @@
-"""What a client connection needs below its requests: kernel events of its socket, and encoded responses."""
+"""Kernel events of a client connection's socket, and its encoded responses."""
 
 from __future__ import annotations
 
--- a/anisespool/proxy/balancer_driver.py
+++ b/anisespool/proxy/balancer_driver.py
@@ -21,7 +21,7 @@
     """The balancer's event queue.
 
     An action may end an attempt at once, and so cause an event while another is being handled; it is queued
-    and handled afterwards. An exception in the balancer costs one request, not all that are open.
+    and handled afterwards. An exception in the balancer fails one request, not all that are open.
     """
 
     def __init__(
--- a/anisespool/proxy/deadlines.py
+++ b/anisespool/proxy/deadlines.py
@@ -21,8 +21,8 @@
 
 from __future__ import annotations
 
-RESPONSE_RESERVE_NS = 10_000_000  # for the response's way: a client that has hung up got no response
-BACKSTOP_RESERVE_NS = 4_000_000  # less than the response's: the balancer's own answer comes first
+RESPONSE_RESERVE_NS = 10_000_000  # to send the response: after its timeout a client does not read it
+BACKSTOP_RESERVE_NS = 4_000_000  # shorter, so that the balancer's own decision is sent where it makes one
 
 
 def attempts_end_at(client_gives_up_at: int) -> int:
--- a/anisespool/proxy/exchange.py
+++ b/anisespool/proxy/exchange.py
@@ -56,7 +56,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nobody waits for a response and no attempt is under way."""
+        """Whether the response was sent, or the client disconnected, and every attempt has its status."""
         return self.send_response is None and all(attempt.status is not None for attempt in self.attempts)
 
     def backstop_response(self, request_class: RequestClass) -> FinalResponse:
--- a/anisespool/proxy/proxy.py
+++ b/anisespool/proxy/proxy.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, config: PlatformConfig, cluster: Cluster) -> None:
-        """Create a proxy without endpoints; `update_endpoints` brings them."""
+        """Create a proxy without endpoints; `update_endpoints` adds them."""
         self._classes = config.settings.classes
         self.cluster = cluster
         self._registry = EndpointRegistry(cluster, self._reapply_listings)
@@ -104,7 +104,7 @@
         return request_id
 
     def client_disconnected(self, request_id: int) -> None:
-        """End a request whose client is gone: its attempts are cancelled."""
+        """Cancel the attempts of a request whose client has disconnected."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.send_response:
             exchange.close()
@@ -250,7 +250,7 @@
             self._remove_if_finished(request_id)
 
     def _respond(self, exchange: Exchange, response: FinalResponse) -> None:
-        """Send the final response, unless the request has one or its client is gone."""
+        """Send the final response, unless the request has one or its client has disconnected."""
         send_response = exchange.send_response
         exchange.close()
         if send_response:
@@ -278,7 +278,7 @@
             self._abort_attempts(request_id, exchange)
 
     def _abandon(self, request_id: int, exchange: Exchange) -> None:
-        """Notify the balancer that nobody waits for the request any more, and stop its attempts."""
+        """Notify the balancer that the request needs no response any more, and cancel its attempts."""
         self._driver.submit(api.ClientDisconnected(request_id))
         self._abort_attempts(request_id, exchange)
 
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -23,7 +23,7 @@
     from anisespool.config.operator import OperatorConfig
     from anisespool.sidecar.optional_features import OptionalFeatures
 
-# Reference cycles are rare here, as parsers drop theirs at their end: the collector can run seldom.
+# Reference cycles are rare, as parsers break theirs when they end: infrequent collections suffice.
 GC_THRESHOLDS = (10_000, 20, 20)
 RESERVED_CONNECTIONS = 32  # sockets for all but clients and endpoints, and for connections that are closing
 MIN_CONNECTIONS = 16  # to clients and endpoints, whatever the platform allows
@@ -77,7 +77,7 @@
     await _wait_for_current_list(parts.watch, config)
     with _listen_errors():
         on_listening(parts.server.listen())
-    gc.freeze()  # what start-up created is never freed: no collection need visit it
+    gc.freeze()  # objects of the start-up are never freed: collections skip them
     gc.set_threshold(*GC_THRESHOLDS)
 
 
@@ -135,8 +135,7 @@
     """Where an agent pushes the endpoint list, wait for it before the first request.
 
     A drain that the agent already has holds from this sidecar's first moment, and the initial list may be
-    older than that. The wait ends with the drain's grace period: without an agent the initial
-    list has to serve.
+    older than that. The wait ends with the drain's grace period: without an agent the initial list is used.
     """
     if config.settings.discovery_mode is DiscoveryMode.PUSH:
         with suppress(TimeoutError):
--- a/anisespool/sidecar/process_signals.py
+++ b/anisespool/sidecar/process_signals.py
@@ -14,7 +14,7 @@
 
     Attributes:
         stop: Set once the process has to end.
-        reload: Set by each SIGHUP; whoever handles it clears it.
+        reload: Set by each SIGHUP; its handler clears it.
     """
 
     def __init__(self) -> None:
--- a/anisespool/sidecar/stderr_log.py
+++ b/anisespool/sidecar/stderr_log.py
@@ -1,4 +1,4 @@
-"""Standard error that never holds the process up."""
+"""Standard error that never blocks the process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
             self._poll.register(stream.fileno(), select.POLLOUT)
 
     def write(self, text: str) -> int:
-        """Write the complete lines of what came so far; keep the rest for the next call."""
+        """Write complete lines; keep the unfinished rest for the next call."""
         *lines, unfinished = (self._unfinished_line + text).split("\n")
         for line in lines:
             self._write_or_drop(line)
--- a/anisespool/upstream/cluster.py
+++ b/anisespool/upstream/cluster.py
@@ -119,7 +119,7 @@
         )
 
     def remove(self, number: int) -> None:
-        """Forget an endpoint that is gone. Attempts at it that were sent finish."""
+        """Remove an endpoint. Attempts that were sent to it finish."""
         if pool := self._pools.pop(number, None):
             pool.retire()
 
--- a/anisespool/upstream/connection.py
+++ b/anisespool/upstream/connection.py
@@ -97,7 +97,7 @@
         self._finish_attempt(AttemptStatus.CONNECT_FAILED)
 
     def on_response_timeout(self, since_ns: int) -> None:
-        """Drop the endpoint's idle connections if nothing at all has come from it since `since_ns`."""
+        """Close the endpoint's idle connections if it has sent nothing since `since_ns` (monotonic)."""
         self._pool.close_idle_if_silent(since_ns)
 
     def data_received(self, data: bytes) -> None:
--- a/anisespool/upstream/connection_pool.py
+++ b/anisespool/upstream/connection_pool.py
@@ -93,18 +93,19 @@
     def close_idle_if_silent(self, since_ns: int) -> None:
         """Close all idle connections if nothing has come from the endpoint since `since_ns` (monotonic).
 
-        A machine that vanished leaves its connections open. A request written to one of them would end in a
-        timeout, or in a reset when the machine is back, which proves nothing; a new connection that does not
-        come up proves that nothing was executed.
+        A machine that lost power or network leaves its connections open. A request written to one of them
+        would end in a timeout, or in a reset after the machine's restart, and count as possibly executed; a
+        connect that fails proves that nothing was executed.
         """
         if self.last_received_ns < since_ns:
             self.close_idle()
 
     def retire(self) -> None:
-        """Stop using the endpoint: it drains, is gone, or was replaced.
+        """Stop using the endpoint: it is draining, not listed any more, or another process.
 
-        An attempt that still waits for a connection, or of which no byte has left, would arrive after the
-        drain. It ends as not executed, so that the balancer may send it elsewhere. Others finish.
+        An attempt that still waits for a connection, or of which no byte was handed to the kernel, would
+        arrive after the drain. It ends as not executed, so that the balancer may retry it elsewhere. Others
+        finish.
         """
         self.accepts_requests = False
         self.close_idle()
