--- a/tests/listener/test_request_validation.py
+++ b/tests/listener/test_request_validation.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from anisespool.codec.http1 import Request
-from anisespool.config.platform import Address
+from anisespool.config.platform import Address, PlatformConfig
 from anisespool.config.platform_loader import load_platform_config
 from anisespool.fakes import platform
 from anisespool.fakes.discovery import DiscoveryService
@@ -18,12 +18,30 @@
 from tests.harness.client import send_request
 from tests.harness.platform_config import platform_settings
 
+KEY = "Idempotency-Key: k\r\n"
+FITTING = [("GET", ""), ("POST", KEY), ("POST", "")]  # method and headers, for the classes in their order
+
+
+async def assert_only_fitting_requests_are_served(address: Address, classes: tuple[str, ...]) -> None:
+    for name, fits in zip(classes, FITTING, strict=True):
+        percent = quote(name, safe="")
+        for text in (percent, percent.lower()):
+            for method, key in FITTING:
+                data = f"{method} /{text}/7 HTTP/1.1\r\nX-Trace-Id: t\r\n{key}\r\n"
+                status = (await send_request(address, data.encode())).status
+                case = f"{classes}, {name}: {method} {text} {key} {status}"
+                assert (status == 200) is ((method, key) == fits), case
+
+
+def tenant_index(config: PlatformConfig, request_class: str, tenant: str) -> int:
+    headers = {b"x-trace-id": b"t", b"x-customer": tenant.encode()}
+    request = Request(b"GET", f"/{quote(request_class, safe='')}".encode(), headers, b"", True)
+    return validate_request(request, config.names, config.settings).tenant
+
 
 async def test_two_configurations_in_one_process_are_isolated(tmp_path: Path) -> None:
     """The same names with other idempotency, and names beyond ASCII; each by its own settings alone."""
     class_names = [("look", "envío urgente", "a/b"), ("a/b", "look", "envío urgente")]
-    keyed = "Idempotency-Key: k\r\n"
-    fitting = [("GET", ""), ("POST", keyed), ("POST", "")]
     async with (
         Endpoint().serve() as endpoint,
         DiscoveryService([member("s-0", endpoint.address)]).serve() as roster,
@@ -36,18 +54,7 @@
             config = load_platform_config(platform.write_config(tmp_path, roster.address, [], raw))
             listening = asyncio.get_running_loop().create_future()
             task = asyncio.create_task(run(config, Signals(), listening.set_result))
-            address: Address = await listening
-            for name, fits in zip(classes, fitting, strict=True):
-                percent = quote(name, safe="")
-                for text in (percent, percent.lower()):
-                    for method, key in fitting:
-                        data = f"{method} /{text}/7 HTTP/1.1\r\nX-Trace-Id: t\r\n{key}\r\n"
-                        status = (await send_request(address, data.encode())).status
-                        case = f"configuration {number}, {name}: {method} {text} {key} {status}"
-                        assert (status == 200) is ((method, key) == fits), case
-            headers = {b"x-trace-id": b"t", b"x-customer": f"café {number}".encode()}
-            request = Request(b"GET", f"/{quote(classes[0], safe='')}".encode(), headers, b"", True)
-            assert validate_request(request, config.names, config.settings).tenant == 0
-            headers[b"x-customer"] = f"café {1 - number}".encode()
-            assert validate_request(request, config.names, config.settings).tenant == 1  # an unknown tenant
+            await assert_only_fitting_requests_are_served(await listening, classes)
+            assert tenant_index(config, classes[0], f"café {number}") == 0
+            assert tenant_index(config, classes[0], f"café {1 - number}") == 1  # an unknown tenant
             task.cancel()
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -144,7 +144,12 @@
         (UNTIL_CLOSED, b"ok", "never", AttemptStatus.TIMEOUT),
         (UNTIL_CLOSED, b"x" * 2_000_000, "never", AttemptStatus.RESET),
         (UNTIL_CLOSED[:-2], b"", "close", AttemptStatus.RESET),
-        (b"HTTP/1.1 200 OK\r\n\r\n", b"ok", "never", AttemptStatus.RESET),  # whether it ends is not said
+        (
+            b"HTTP/1.1 200 OK\r\n\r\n",
+            b"ok",
+            "never",
+            AttemptStatus.RESET,
+        ),  # neither a length nor a close announced
         (UNTIL_CLOSED.replace(b"200 OK", b"500 Oops"), b"", "close", AttemptStatus.ERROR),
     ],
 )
