--- a/anisespool/listener/listener_context.py
+++ b/anisespool/listener/listener_context.py
@@ -14,6 +14,9 @@
 from anisespool.proxy.call import FinalResponse
 from anisespool.proxy.proxy import Proxy
 
+RejectionCallback = Callable[[FinalResponse, http1.Request | None], None]
+"""Called with a response that the listener gives itself, and with the request, if one was parsed."""
+
 
 class ListenerContext(Protocol):
     """State that all connections of one listener share.
@@ -25,7 +28,7 @@
         stopping: Whether a graceful shutdown has begun; connections close with their response.
         idle_timeout_s: After which an idle connection that was used before is closed.
         open_trace_ids: Trace ids of the open requests.
-        on_reject: Called with each response that the listener gives itself, and with the request, if any.
+        on_reject: Called with each response that the listener gives itself; None: not needed.
     """
 
     proxy: Proxy
@@ -34,4 +37,4 @@
     stopping: bool
     idle_timeout_s: float
     open_trace_ids: set[bytes]
-    on_reject: Callable[[FinalResponse, http1.Request | None], None] | None
+    on_reject: RejectionCallback | None
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -5,18 +5,16 @@
 import asyncio
 import socket
 import time
-from collections.abc import Callable
 
 from anisespool.balancer import Settings
-from anisespool.codec import http1
 from anisespool.config.platform import Address, NameIndex
 from anisespool.listener.connection import ClientConnection
 from anisespool.listener.connection_table import ConnectionTable
 from anisespool.listener.keepalive import KeepAlivePolicy
+from anisespool.listener.listener_context import RejectionCallback
 from anisespool.listener.timeouts import IDLE_TIMEOUT_S
 from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
-from anisespool.proxy.call import FinalResponse
 from anisespool.proxy.proxy import Proxy
 
 BACKLOG_CONNECTIONS = 512  # accepted by the kernel; it drops more
@@ -36,7 +34,7 @@
         stopping: Whether a graceful shutdown has begun; connections close with their response.
         idle_timeout_s: After which an idle connection that was used before is closed.
         open_trace_ids: Trace ids of the open requests.
-        on_reject: Called with each response that the listener gives itself, and with the request, if any.
+        on_reject: Called with each response that the listener gives itself; None: not needed.
     """
 
     def __init__(
@@ -58,7 +56,7 @@
         self.stopping = False
         self.idle_timeout_s = IDLE_TIMEOUT_S
         self.open_trace_ids: set[bytes] = set()
-        self.on_reject: Callable[[FinalResponse, http1.Request | None], None] | None = None
+        self.on_reject: RejectionCallback | None = None
         self._listener: socket.socket | None = None
         self._accept_tasks: set[asyncio.Task[None]] = set()
 
--- a/anisespool/upstream/cluster.py
+++ b/anisespool/upstream/cluster.py
@@ -9,7 +9,8 @@
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.config.platform import Address
 from anisespool.upstream.attempt import Attempt
-from anisespool.upstream.connection_pool import ConnectionPool, ConnectionSettings
+from anisespool.upstream.connection_pool import ConnectionPool
+from anisespool.upstream.connection_settings import ConnectionSettings
 from anisespool.upstream.connector import open_connection
 from anisespool.upstream.pooled_connection import PooledConnection
 
--- a/anisespool/upstream/connection_pool.py
+++ b/anisespool/upstream/connection_pool.py
@@ -8,23 +8,10 @@
 from anisespool.balancer.interface import AttemptStatus
 from anisespool.config.platform import Address
 from anisespool.upstream.attempt import Attempt
+from anisespool.upstream.connection_settings import ConnectionSettings
 from anisespool.upstream.pooled_connection import PooledConnection
 
 
-@dataclass(slots=True)
-class ConnectionSettings:
-    """Settings that all pools share. The operator may change some of them at run time."""
-
-    report_columns: tuple[str, ...]
-    """Columns of an endpoint's load report, in the balancer's order."""
-    connect_timeout_s: float
-    idle_timeout_s: float
-    reuse_delay_s: float
-    """How long a connection stays idle after a response before it may carry the next request."""
-    max_idle: int
-    """Idle connections kept to one endpoint."""
-
-
 @dataclass(slots=True, eq=False)
 class ConnectionPool:
     """The connections to one endpoint at one address, for one start of its process."""
