--- a/anisespool/balancer/selection/key_affinity.py
+++ b/anisespool/balancer/selection/key_affinity.py
@@ -6,7 +6,7 @@
 from anisespool.balancer.hashing import hash_pair
 from anisespool.balancer.interface import Settings
 
-AFFINITY_SHARE = 0.6  # weight of the affine endpoint against that of all others together
+AFFINITY_SHARE = 0.6  # of the number of candidates, by which the affine endpoint's weight is multiplied
 
 
 def affine_endpoint(settings: Settings, key: int, candidates: list[Endpoint]) -> Endpoint | None:
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -12,7 +12,7 @@
 from anisespool.balancer.estimates.decaying_value import RATE_NORMALIZATION_FACTOR, DecayingValue
 
 PLANNED_ALLOWANCE_SHARE = 0.6  # of the allowance: traffic is uneven, estimates are rough
-INITIAL_WARMUP_REQUESTS = 1.5  # in flight to an endpoint that has answered nothing yet
+INITIAL_WARMUP_REQUESTS = 1.5  # of decaying work sent, to an endpoint that has answered nothing yet
 HALF_LIFE_WINDOW_PERCENT = 25  # of the overload window
 
 
--- a/anisespool/balancer/selection/weights.py
+++ b/anisespool/balancer/selection/weights.py
@@ -14,8 +14,8 @@
 from anisespool.balancer.selection.key_affinity import affine_endpoint, affinity_factor
 from anisespool.balancer.selection.slow_start import SlowStart
 
-CROSS_ZONE_COST_OBJECTIVES = 20.0  # a cost of one request's value counts like so long a wait
-HANDSHAKE_COST_OBJECTIVES = 100.0  # more: endpoints with open connections have answered well before
+CROSS_ZONE_COST_OBJECTIVES = 20.0  # for a cost of one request's value
+HANDSHAKE_COST_OBJECTIVES = 100.0  # the same; more, as endpoints with open connections have answered well
 MIN_DIVISOR_LATENCIES = 1e-9
 
 
--- a/anisespool/config/operator/sections.py
+++ b/anisespool/config/operator/sections.py
@@ -76,7 +76,7 @@
         ping_timeout_ms: For a direct acknowledgement, before indirect probes are requested.
         probe_timeout_ms: For any acknowledgement, direct or not, before the target is suspected.
         indirect_probes: Members that are requested to probe the target (SWIM's ping-req).
-        suspicion_min_ms: From suspicion to confirmed dead, once `confirmations` others suspect it too.
+        suspicion_min_ms: From a failed probe's start to dead, once `confirmations` others suspect it too.
         suspicion_max_ms: The same where nobody else suspects it.
         confirmations: Independent suspicions that bring the timeout down to its minimum.
         gossip_interval_ms: Between two rounds of dissemination.
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -5,6 +5,8 @@
 import ast
 import re
 from collections.abc import Iterator
+from fractions import Fraction
+from importlib import import_module
 from pathlib import Path
 from typing import NamedTuple
 
@@ -24,6 +26,7 @@
     "sidecar/shutdown.py",
     "upstream/cluster.py",
 )
+MODULES = (*(f"balancer/{name}.py" for name in DECISION_MODULES), *RULE_MODULES)
 COLUMNS = ("question", "inputs", "rule", "constants", "function", "log event", "test")
 
 
@@ -101,8 +104,25 @@
 
 
 def test_each_constant_of_a_rule_has_its_row() -> None:
-    modules = [f"balancer/{name}.py" for name in DECISION_MODULES]
-    in_code = set().union(*(constants(ROOT / "anisespool" / module) for module in (*modules, *RULE_MODULES)))
+    in_code = set().union(*(constants(ROOT / "anisespool" / module) for module in MODULES))
     on_page = {name for rule in RULES for name in names(rule.constants)}
     assert len(in_code) > 50
     assert on_page == in_code
+
+
+def value(module: str, constant: str) -> float:
+    """A constant's value, or the default of a field of a `...Limits` type."""
+    name, _, field = constant.partition(".")
+    found = getattr(import_module(f"anisespool.{module.removesuffix('.py').replace('/', '.')}"), name)
+    return float(getattr(found(), field) if field else found)
+
+
+@pytest.mark.parametrize("module", MODULES)
+def test_a_constant_has_the_value_on_the_page(module: str) -> None:
+    on_page = {
+        name: float(Fraction(number.replace("_", "")))
+        for rule in RULES
+        for name, number in re.findall(r"`([^`]+)` ([^,\s]+)", rule.constants)
+    }
+    for name in constants(ROOT / "anisespool" / module):
+        assert on_page[name] == value(module, name), name
