--- a/tests/records/test_sending.py
+++ b/tests/records/test_sending.py
@@ -123,6 +123,7 @@
     async with run_receiver("udp", tmp_path) as (receiver, section):
         recorder = start_recorder(parse_options(section, max_record_bytes=65_000, max_value_bytes=65_000))
         assert recorder.sender
+        # Private, as no option allows a record that the kernel rejects: the sender gets another encoder.
         recorder.sender._encoder = dataclasses.replace(
             recorder.encoder, max_record_bytes=200_000, max_value_bytes=200_000
         )
