--- a/anisespool/balancer/endpoint.py
+++ b/anisespool/balancer/endpoint.py
@@ -85,7 +85,3 @@
         self.machine_group = MachineGroup(listing.machine_type, listing.zone)
         self.weight = listing.weight if 0 < listing.weight < MAX_CONFIGURED_WEIGHT else 1.0
         self.ready = listing.state == api.EndpointState.READY
-
-    def is_warming_up(self, now: int) -> bool:
-        """Return whether the endpoint may not have reached its full capacity yet."""
-        return now < self.warm_at
--- a/anisespool/balancer/estimates/slowdown.py
+++ b/anisespool/balancer/estimates/slowdown.py
@@ -69,7 +69,9 @@
         """Move an endpoint's slowdown, `before` over all classes, toward the sample of one attempt."""
         in_class = self.slowdown(endpoint, now, class_index)
         alpha = SUCCESS_SMOOTHING_FACTOR if succeeded else FAILURE_SMOOTHING_FACTOR
-        known = endpoint.slowdown_by_class.setdefault(class_index, ClassSlowdown(in_class, now))
+        known = endpoint.slowdown_by_class.get(class_index)
+        if known is None:
+            known = endpoint.slowdown_by_class[class_index] = ClassSlowdown(in_class, now)
         known.slowdown = in_class + alpha * (sample - in_class)
         known.sampled_at = now
         self._set(endpoint, before + SUCCESS_SMOOTHING_FACTOR * (sample - before), now)
--- a/anisespool/balancer/retry/policy.py
+++ b/anisespool/balancer/retry/policy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from anisespool.balancer.interface import Idempotency, Settings
+from anisespool.balancer.interface import Settings
 from anisespool.balancer.request import PendingRequest
 from anisespool.balancer.retry.budget import RetryBudget
 from anisespool.balancer.retry.idempotency import may_retry
@@ -45,9 +45,7 @@
         leaves_time = now + timeout_ns + next_needs_ns < request.deadlines.objective_at
         is_last = len(request.attempts) + 1 >= self._max_attempts
         # An attempt that was given up may have executed, so an idempotent class is needed.
-        is_repeatable = (
-            request_class.idempotency is not Idempotency.NOT_IDEMPOTENT and not request_class.stream
-        )
+        is_repeatable = may_retry(request_class, may_have_executed=True) and not request_class.stream
         if leaves_time and not is_last and is_repeatable and self.budget.has_token():
             return timeout_ns
         return 0
