--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -20,7 +20,7 @@
 from anisespool.balancer.admission.tenant_quota import OVER_QUOTA_CAPACITY_SHARE
 
 
-class Verdict(NamedTuple):
+class AdmissionDecision(NamedTuple):
     """The decision on one request, and the figures behind it."""
 
     is_shed: bool
@@ -32,7 +32,7 @@
     """How many of them can be answered in time; 0: not asked, the latencies decided."""
 
 
-ADMITTED = Verdict(False)
+ADMITTED = AdmissionDecision(False)
 
 
 class AdmissionController:
@@ -89,7 +89,7 @@
         exceeds_quota: bool,
         open_requests: int,
         source: SnapshotSource,
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Return whether a request is shed: past the capacity all queues would grow until all is late.
 
         Args:
@@ -124,14 +124,14 @@
             return ADMITTED
         return self._shed_by_capacity(now, in_time, capacity, max(rate, service_rate))
 
-    def _shed_by_latency(self, now: int, excess_ratio: float, open_requests: int) -> Verdict:
+    def _shed_by_latency(self, now: int, excess_ratio: float, open_requests: int) -> AdmissionDecision:
         excess_ns = excess_ratio * self.objective_ns
         rate = self.offered.answer_rate.read(now)
-        return Verdict(True, self.retry_after.next_delay_ns(now, excess_ns, rate), open_requests)
+        return AdmissionDecision(True, self.retry_after.next_delay_ns(now, excess_ns, rate), open_requests)
 
-    def _shed_by_capacity(self, now: int, in_time: int, capacity: float, rate: float) -> Verdict:
+    def _shed_by_capacity(self, now: int, in_time: int, capacity: float, rate: float) -> AdmissionDecision:
         """Shed until the excess is worked off, at `rate` or as seen recently."""
         drain_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
         excess_ns = (in_time - capacity) / drain_rate
         retry_after_ns = self.retry_after.next_delay_ns(now, excess_ns, drain_rate, in_time / drain_rate)
-        return Verdict(True, retry_after_ns, in_time, capacity)
+        return AdmissionDecision(True, retry_after_ns, in_time, capacity)
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -16,7 +16,7 @@
 UNCONTENDED_GROWTH_FACTOR = (
     1e-4  # an answer's growth of the least latency known: doubles in some 7,000 answers
 )
-INITIAL_ANSWER_OBJECTIVES = 1 / 32  # of an answer, before the first one
+INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # of an answer, before the first one
 FULL_SHEDDING_SHARE = 0.6  # of the way from the limit to 1, where all that may be shed is shed
 MAX_SHED_SHARE = 0.95  # some requests are admitted whatever the latencies, or nothing would be learned
 
@@ -35,7 +35,7 @@
         late_weight = min(c.late_priority_weight for c in classes)
         self._min_limit = MIN_LIMIT_RATIO + (1 - MIN_LIMIT_RATIO) * late_weight
         self.limit = self._min_limit
-        self.typical_latency_ns = objective_ns * INITIAL_ANSWER_OBJECTIVES
+        self.typical_latency_ns = objective_ns * INITIAL_TYPICAL_LATENCY_OBJECTIVES
         self.uncontended_ratio = 0.0
         self._typical_ratio = 0.0  # exponentially weighted moving average of latencies over their objectives
         self._answers = 0
--- a/anisespool/balancer/admission/peak_rate.py
+++ b/anisespool/balancer/admission/peak_rate.py
@@ -18,13 +18,14 @@
     Attributes:
         rate: The peak, in answers per ns.
         recent_rate: The rate now.
-        is_limit: Answers queued as the peak was reached: the fleet does no more. Else it was offered no more.
+        is_saturated: Whether answers queued when the peak was reached. If so, the fleet can't do more;
+            otherwise it was not offered more.
     """
 
     def __init__(self, longest_deadline_ns: int, objective_ns: int) -> None:
         self.rate = DecayingValue(PEAK_HALF_LIFE_DEADLINES * longest_deadline_ns)
         self.recent_rate = DecayingValue(int(objective_ns * RECENT_RATE_HALF_LIFE_OBJECTIVES))
-        self.is_limit = False
+        self.is_saturated = False
         self._objective_ns = objective_ns
 
     def record_answer(self, now: int, open_requests: int, queueing_ratio: float, limit: float) -> None:
@@ -45,8 +46,8 @@
         peak = self.rate.read(now)
         if confident_rate > peak:
             self.rate.value = confident_rate
-            self.is_limit = queueing_ratio > limit / 2
+            self.is_saturated = queueing_ratio > limit / 2
         # As a burst ends answers get fewer, and that shows no lower limit: enough requests have to be open.
         elif queueing_ratio > limit and open_requests > peak * self._objective_ns * limit / 2:
             self.rate.value += SATURATED_SMOOTHING_FACTOR * (rate - peak)
-            self.is_limit = True
+            self.is_saturated = True
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -54,7 +54,7 @@
         rate = self.service_rate_ratio * concurrency / max(self._latency.typical_latency_ns, 1.0)
         peak = self._peak.rate.read(now)
         external = min(max(self.external_queueing_ratio / NO_EXPLORATION_RATIO, 0.0), 1.0)
-        step = 1.0 if self._peak.is_limit else EXPLORATION_FACTOR - external * (EXPLORATION_FACTOR - 1)
+        step = 1.0 if self._peak.is_saturated else EXPLORATION_FACTOR - external * (EXPLORATION_FACTOR - 1)
         return max(rate, peak * step)
 
     def record(self, now: int, sample: QueueingSample, queueing_ratio: float, concurrency: float) -> None:
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -27,7 +27,7 @@
 from anisespool.balancer.health_checks import HealthChecks
 from anisespool.balancer.interface import NOT_EXECUTED, AttemptStatus, DiscoveryMode, EndpointListKind
 from anisespool.balancer.key_ordering import KeyOrdering, Turn
-from anisespool.balancer.outcomes import OutcomeRecorder, is_failure, record_connection
+from anisespool.balancer.outcomes import OutcomeRecorder, is_failure, update_idle_connections
 from anisespool.balancer.request import PendingRequest
 from anisespool.balancer.resubscribe import resubscribe_delay_ns
 from anisespool.balancer.retry.client_retries import ClientRetryDetector
@@ -252,7 +252,7 @@
                 self._actions.append(api.Cancel(request.id, len(request.attempts) - 1))
         request.answered = True
         if not in_flight and self.pending.pop(request.id, None) is request and request.ordering_key:
-            self._runnable += self.ordering.leave(request)
+            self._runnable += self.ordering.remove(request)
 
     def _on_client_disconnected(self, event: api.ClientDisconnected) -> None:
         request = self.pending.get(event.request)
@@ -287,7 +287,7 @@
         attempt.in_flight = False
         attempt.may_have_executed = event.status not in NOT_EXECUTED
         endpoint.in_flight.pop((request.id, event.attempt), None)
-        record_connection(attempt, event.status)
+        update_idle_connections(attempt, event.status)
         if request.ordering_key:
             self.ordering.on_attempt_end(request.ordering_key, event.status, self.now)
         self._on_load_report(event)
--- a/anisespool/balancer/event_log.py
+++ b/anisespool/balancer/event_log.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from anisespool.balancer import interface as api
-from anisespool.balancer.admission.controller import Verdict
+from anisespool.balancer.admission.controller import AdmissionDecision
 from anisespool.log import format_event
 
 Lines = tuple[api.Log, ...]
@@ -31,7 +31,7 @@
             return ()
         return (api.Log(format_event("no_eligible_endpoint", ready=ready)),)
 
-    def load_shed(self, now: int, verdict: Verdict, queueing_ratio: float) -> Lines:
+    def load_shed(self, now: int, verdict: AdmissionDecision, queueing_ratio: float) -> Lines:
         """A request was shed."""
         if not self._is_due("load_shed", now):
             return ()
--- a/anisespool/balancer/key_ordering.py
+++ b/anisespool/balancer/key_ordering.py
@@ -52,7 +52,7 @@
         while next(iter(self._pause_ends.values())) < now:
             del self._pause_ends[next(iter(self._pause_ends))]
 
-    def leave(self, request: PendingRequest) -> list[PendingRequest]:
+    def remove(self, request: PendingRequest) -> list[PendingRequest]:
         """Remove a request, and return the one that is first in the queue afterwards, if any."""
         queue = self.queues[request.ordering_key]
         queue.remove(request)
--- a/anisespool/balancer/outcomes.py
+++ b/anisespool/balancer/outcomes.py
@@ -20,7 +20,7 @@
     return status not in (AttemptStatus.OK, AttemptStatus.CANCELLED, AttemptStatus.MOOT)
 
 
-def record_connection(attempt: Attempt, status: AttemptStatus) -> None:
+def update_idle_connections(attempt: Attempt, status: AttemptStatus) -> None:
     """Update the estimate of idle connections to the attempt's endpoint."""
     if status in CONNECTION_REUSABLE:
         attempt.endpoint.idle_connections += 1
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -5,7 +5,7 @@
 from functools import partial
 from random import Random
 
-from anisespool.balancer.admission.controller import AdmissionController, Verdict
+from anisespool.balancer.admission.controller import AdmissionController, AdmissionDecision
 from anisespool.balancer.admission.fleet_capacity import FleetCapacity
 from anisespool.balancer.admission.load_snapshot import (
     LoadSnapshot,
@@ -103,14 +103,14 @@
 def test_a_peak_reached_without_queueing_may_be_exceeded_by_a_step() -> None:
     admission, few = new_admission(), FleetCapacity(1.0, 0.0)
     now = answers(admission, SECOND, 3000, 2 * MS, 20 * MS)  # 500 a second, without queueing
-    assert not admission.peak.is_limit
+    assert not admission.peak.is_saturated
     assert 350 < capacity(admission, now, few) < 700
 
 
 def test_a_peak_reached_with_queueing_is_a_limit() -> None:
     admission, few = new_admission(), FleetCapacity(1.0, 0.0)
     now = answers(admission, SECOND, 3000, 2 * MS, 300 * MS)
-    assert admission.peak.is_limit
+    assert admission.peak.is_saturated
     # Idle again: 350 in an objective at most, less a tenth.
     now = answers(admission, now, 30, 100 * MS, 20 * MS)
     assert 150 < capacity(admission, now, few) < 350
@@ -184,7 +184,7 @@
     assert not admission.offered.answer_rate.read(now)
 
 
-def rejected(admission: AdmissionController, now: int, count: int = 400) -> list[Verdict]:
+def rejected(admission: AdmissionController, now: int, count: int = 400) -> list[AdmissionDecision]:
     full = OpenRequests(0, 0.0, now + SECOND)
     verdicts = [
         admission.decide(now, 60 * SECOND, OBJECTIVE, False, 3000, lambda: LoadSnapshot(IDLE, full))
