--- a/anisespool/balancer/admission/__init__.py
+++ b/anisespool/balancer/admission/__init__.py
@@ -1,5 +1,5 @@
-"""Is a request accepted, or shed with which Retry-After?
+"""Admission control: whether a request is accepted, or shed and with which Retry-After.
 
-The capacity for open requests is what the fleet was shown to do, not what was offered. The options that were
-weighed and what this promises: docs/admission.md. Times are integer ns, rates requests per ns.
+The capacity for open requests is what the fleet was observed to do, not what was offered. Alternatives and
+guarantees: docs/admission.md. Times are integer ns, rates are requests per ns.
 """
--- a/anisespool/balancer/admission/burst_capacity.py
+++ b/anisespool/balancer/admission/burst_capacity.py
@@ -1,4 +1,4 @@
-"""How many more requests may be open in a burst, by what the fleet could serve?"""
+"""Additional capacity for open requests in a burst, from what the fleet could serve."""
 
 from math import sqrt
 from typing import NamedTuple
@@ -13,34 +13,34 @@
 
 
 class BurstLimits(NamedTuple):
-    """How far a burst may go."""
+    """Bounds on the use of burst capacity."""
 
     usable_objective_share: float = 0.85
-    """Of a latency objective that a burst's backlog may fill: the choice of endpoints is uneven."""
+    """Share of the latency objective that a backlog may fill; a random choice loads endpoints unevenly."""
     max_own_queueing_ratio: float = 0.2
-    """Of the queueing ratio that a burst of this sidecar's own may explain."""
+    """Largest part of the queueing ratio that is attributed to this sidecar's own burst."""
     headroom_factor: float = 2.0
-    """The headroom is complete up to half of the way to the latency limit, and ends at the limit."""
+    """The headroom is complete up to halfway from uncontended answers to the latency limit, where it is 0."""
 
 
 LIMITS = BurstLimits()
 
 
-def total_capacity(offered: float, service: float, headroom: float) -> float:
+def total_capacity(offered_capacity: float, service_capacity: float, headroom: float) -> float:
     """Return how many requests may be open.
 
     Args:
-        offered: By the rate of answers in time (offered_capacity.py).
-        service: By what the fleet could serve until the objective.
-        headroom: Share of what service exceeds the offered capacity by that may be used; 0 or less: none.
+        offered_capacity: Capacity shown by the rate of answers in time (offered_capacity.py).
+        service_capacity: Requests that the fleet could serve before the objective.
+        headroom: Share of the difference that may be used; 0 or less: none.
     """
-    if headroom > 0 and service > offered:
-        return offered + (service - offered) * headroom
-    return offered
+    if headroom > 0 and service_capacity > offered_capacity:
+        return offered_capacity + (service_capacity - offered_capacity) * headroom
+    return offered_capacity
 
 
 class BurstCapacity:
-    """The capacity beyond the offered one, and how much of it is headroom now."""
+    """Computes the capacity beyond the offered one, and the share of it that may be used now."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         latency: LatencyLimit,
         service_rate: ServiceRate,
     ) -> None:
-        # A burst often comes to all sidecars at once, and each sees a part of it.
+        # A burst often reaches all sidecars at once, and each observes only its own part.
         self._fleet_share = 1 / sqrt(fleet_size)
         self._objective_ns = objective_ns
         self._queueing = queueing
@@ -63,31 +63,31 @@
         """Return how many requests may be open so that the last is answered within the time left.
 
         Args:
-            rate: At which the fleet can serve requests, per ns.
-            time_left_ns: To the latency objective.
-            fleet: With what queues there already.
+            rate: Requests per ns that the fleet can serve.
+            time_left_ns: Time until the latency objective.
+            fleet: Capacity of the fleet, with the requests of others that queue there.
             quota_factor: Share of the capacity that the request's tenant may use.
         """
         served = rate * time_left_ns * LIMITS.usable_objective_share
         return max(0.0, served - fleet.queued_by_others) * self._fleet_share * quota_factor
 
-    def headroom(self, now: int, open_requests: OpenRequests, in_time: int, rate: float) -> float:
-        """Return which share of the service capacity may be used: 1 at most; 0 or less: none.
+    def headroom(self, now: int, open_requests: OpenRequests, open_in_time: int, rate: float) -> float:
+        """Return the share of the additional capacity that may be used: at most 1; 0 or less: none.
 
         Args:
             now: Monotonic ns.
-            open_requests: Of this sidecar, with their mean age.
-            in_time: Open requests that have not missed their objectives, the new one included.
-            rate: At which the fleet can serve requests, per ns.
+            open_requests: Open requests of this sidecar, with their mean age.
+            open_in_time: Open requests that have not missed their objectives, the new one included.
+            rate: Requests per ns that the fleet can serve.
         """
         limit = self._latency.limit
-        uncontended = self._latency.uncontended_ratio
-        recent = self._queueing.recent_max(now)
-        external = uncontended + self._service_rate.external_queueing_ratio
-        queueing = max(min(recent, external), recent - LIMITS.max_own_queueing_ratio)
-        # Where nothing answers, no answer shows it. But of requests that are served in turn the mean has
-        # waited half of the time that all of them take; beyond that they stall.
-        explained_ns = in_time / rate / 2 if rate else 0.0
-        stall_ratio = (open_requests.mean_age_ns - explained_ns) / self._objective_ns if rate else 1.0
-        margin = LIMITS.headroom_factor * (limit - max(queueing, stall_ratio))
-        return min(1.0, margin / max(limit - uncontended, MIN_RATIO_RANGE))
+        uncontended_ratio = self._latency.uncontended_ratio
+        recent_ratio = self._queueing.recent_max(now)
+        external_ratio = uncontended_ratio + self._service_rate.external_queueing_ratio
+        queueing_ratio = max(min(recent_ratio, external_ratio), recent_ratio - LIMITS.max_own_queueing_ratio)
+        # A stalled fleet sends no answers, so the age of open requests counts too. Requests served in turn
+        # have a mean age of half the time that all of them take; a greater one is a stall.
+        expected_age_ns = open_in_time / rate / 2 if rate else 0.0
+        stall_ratio = (open_requests.mean_age_ns - expected_age_ns) / self._objective_ns if rate else 1.0
+        margin = LIMITS.headroom_factor * (limit - max(queueing_ratio, stall_ratio))
+        return min(1.0, margin / max(limit - uncontended_ratio, MIN_RATIO_RANGE))
--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -1,8 +1,8 @@
-"""Is this request accepted, or shed with which Retry-After?
+"""Decides on each request: it is accepted, or shed with a Retry-After.
 
-Two rules, each enough to shed: recent attempts took too much of their latency objectives (latency_limit.py),
-or more requests are open than can be answered in time. That capacity is what the ordinary load has shown
-(offered_capacity.py), and beyond it a part of what the fleet could serve (burst_capacity.py).
+A request is shed if recent attempts took too much of their latency objectives (latency_limit.py), or if more
+requests are open than can be answered in time. That capacity is what the ordinary load has shown
+(offered_capacity.py), plus a share of what the fleet could serve beyond it (burst_capacity.py).
 """
 
 from random import Random
@@ -25,18 +25,18 @@
 
     is_shed: bool
     retry_after_ns: int = 0
-    """When the excess will be over; 0: not known, or not to be sent."""
+    """Time until the excess is worked off; 0: unknown, or not to be sent."""
     open_in_time: int = 0
-    """Open requests that have not missed their objectives."""
+    """Open requests that have not missed their objectives; all open ones where the latencies decided."""
     capacity: float = 0.0
-    """How many of them can be answered in time; 0: not asked, the latencies decided."""
+    """Open requests that can be answered in time; 0: not computed, as the latencies decided."""
 
 
 ADMITTED = AdmissionDecision(False)
 
 
 class AdmissionController:
-    """Admission of one sidecar: learns from answers and latencies, decides on requests."""
+    """Admission control of one sidecar, with the estimates that it is based on."""
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
         classes = settings.classes
@@ -59,13 +59,13 @@
     def record_answer(
         self, now: int, class_index: int, latency_ns: int, in_time: bool, open_now: int, open_before: int
     ) -> None:
-        """Learn from an answer.
+        """Update the estimates with an answer.
 
         Args:
             now: Monotonic ns.
-            class_index: Of the request.
-            latency_ns: Of the attempt.
-            in_time: The latency objective was met.
+            class_index: Index of the request's class.
+            latency_ns: Latency of the attempt.
+            in_time: Whether the latency objective was met.
             open_now: Requests that are open now.
             open_before: Other requests that were open when this one arrived.
         """
@@ -77,7 +77,7 @@
         self.latency.record_answer(latency_ns, self._targets_ns[class_index], has_queued)
 
     def record_latency(self, now: int, sample: QueueingSample) -> None:
-        """Learn from the latency of an attempt that succeeded or timed out."""
+        """Update the estimates with the latency of an attempt that succeeded or timed out."""
         queueing_ratio = self.queueing.update(now, sample.objective_share, sample.smoothing_factor)
         self.service_rate.record(now, sample, queueing_ratio, self.snapshots.snapshot.fleet.concurrency)
 
@@ -90,15 +90,15 @@
         open_requests: int,
         source: SnapshotSource,
     ) -> AdmissionDecision:
-        """Return whether a request is shed: past the capacity all queues would grow until all is late.
+        """Return whether a request is shed: beyond the capacity, queues grow until every answer is late.
 
         Args:
             now: Monotonic ns.
-            observed_ns: Time since this sidecar had its first endpoint list.
-            time_left_ns: To the request's latency objective.
-            exceeds_quota: It is beyond its tenant's share.
-            open_requests: Of this sidecar, this one included.
-            source: Takes a snapshot of the fleet and of the open requests, where the cached one is too old.
+            observed_ns: Time since this sidecar received its first endpoint list.
+            time_left_ns: Time until the request's latency objective.
+            exceeds_quota: Whether the request is beyond its tenant's share.
+            open_requests: Open requests of this sidecar, this one included.
+            source: Takes a snapshot of the fleet and the open requests when the cached one is too old.
         """
         quota_factor = OVER_QUOTA_CAPACITY_SHARE if exceeds_quota else 1.0
         ratio = self.queueing.ratio.read(now)
@@ -107,31 +107,37 @@
         if may_shed_by_latency and self.latency.should_shed(ratio, quota_factor, self._random):
             return self._shed_by_latency(now, ratio - limit, open_requests)
         rate = self.offered.rate(now, observed_ns)
-        offered = self.offered.capacity(rate, limit) * quota_factor
-        if open_requests <= offered:
+        offered_capacity = self.offered.capacity(rate, limit) * quota_factor
+        if open_requests <= offered_capacity:
             return ADMITTED
         snapshot = self.snapshots.get(now, source)
-        # Requests that are stuck at a stalled endpoint take no capacity.
-        in_time = open_requests - snapshot.open_requests.late
-        if in_time <= offered:
+        # Late requests, such as those at a stalled endpoint, use no capacity.
+        open_in_time = open_requests - snapshot.open_requests.late
+        if open_in_time <= offered_capacity:
             return ADMITTED
         service_rate = self.service_rate.rate(now, snapshot.fleet.concurrency)
         time_left_ns = min(self.objective_ns, time_left_ns)
-        service = self.burst.service_capacity(service_rate, time_left_ns, snapshot.fleet, quota_factor)
-        headroom = self.burst.headroom(now, snapshot.open_requests, in_time, service_rate)
-        capacity = total_capacity(offered, service, headroom)
-        if in_time <= capacity:
+        service_capacity = self.burst.service_capacity(
+            service_rate, time_left_ns, snapshot.fleet, quota_factor
+        )
+        headroom = self.burst.headroom(now, snapshot.open_requests, open_in_time, service_rate)
+        capacity = total_capacity(offered_capacity, service_capacity, headroom)
+        if open_in_time <= capacity:
             return ADMITTED
-        return self._shed_by_capacity(now, in_time, capacity, max(rate, service_rate))
+        return self._shed_by_capacity(now, open_in_time, capacity, max(rate, service_rate))
 
     def _shed_by_latency(self, now: int, excess_ratio: float, open_requests: int) -> AdmissionDecision:
         excess_ns = excess_ratio * self.objective_ns
         rate = self.offered.answer_rate.read(now)
         return AdmissionDecision(True, self.retry_after.next_delay_ns(now, excess_ns, rate), open_requests)
 
-    def _shed_by_capacity(self, now: int, in_time: int, capacity: float, rate: float) -> AdmissionDecision:
-        """Shed until the excess is worked off, at `rate` or as seen recently."""
-        drain_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
-        excess_ns = (in_time - capacity) / drain_rate
-        retry_after_ns = self.retry_after.next_delay_ns(now, excess_ns, drain_rate, in_time / drain_rate)
-        return AdmissionDecision(True, retry_after_ns, in_time, capacity)
+    def _shed_by_capacity(
+        self, now: int, open_in_time: int, capacity: float, rate: float
+    ) -> AdmissionDecision:
+        """Shed a request; the excess is worked off at `rate`, or at the recent rate of answers if higher."""
+        completion_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
+        excess_ns = (open_in_time - capacity) / completion_rate
+        retry_after_ns = self.retry_after.next_delay_ns(
+            now, excess_ns, completion_rate, open_in_time / completion_rate
+        )
+        return AdmissionDecision(True, retry_after_ns, open_in_time, capacity)
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -1,6 +1,6 @@
-"""How much of their latency objectives answers may take before requests are shed.
+"""Load shedding by latency: how much of their latency objectives answers may take.
 
-This rule works at a sidecar that sends little too, where the capacity is never reached.
+This rule also covers a sidecar with few requests, where the capacity is never reached.
 """
 
 from __future__ import annotations
@@ -11,27 +11,25 @@
 
 MIN_LIMIT_RATIO = 0.5  # share of the objective that answers may always take
 MAX_LIMIT_RATIO = 0.95
-LIMIT_MARGIN_SHARE = 0.25  # of what uncontended answers leave of the objective
-LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies move over some 50 answers
-UNCONTENDED_GROWTH_FACTOR = (
-    1e-4  # an answer's growth of the least latency known: doubles in some 7,000 answers
-)
-INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # of an answer, before the first one
-FULL_SHEDDING_SHARE = 0.6  # of the way from the limit to 1, where all that may be shed is shed
-MAX_SHED_SHARE = 0.95  # some requests are admitted whatever the latencies, or nothing would be learned
+LIMIT_MARGIN_SHARE = 0.25  # share of the time left by uncontended answers that queueing may take
+LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies average over about 50 answers
+UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the least ratio with each answer: doubles in about 7,000
+INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # typical latency before the first answer
+FULL_SHEDDING_SHARE = 0.6  # excess, on a scale from the limit (0) to 1, at which shedding is complete
+MAX_SHED_SHARE = 0.95  # some requests are always admitted, as latencies are observed on those alone
 
 
 class LatencyLimit:
-    """Learns what answers usually take of their objectives, and when that is too much.
+    """Sets the limit of the queueing ratio by the latency that answers usually have.
 
     Attributes:
         limit: Queueing ratio above which requests are shed.
-        typical_latency_ns: Of an answer that has not queued, of any class.
-        uncontended_ratio: The least typical latency over its objective that was seen.
+        typical_latency_ns: Typical latency of answers that did not queue, over all classes.
+        uncontended_ratio: Least observed mean of latencies over their objectives.
     """
 
     def __init__(self, classes: tuple[api.RequestClass, ...], objective_ns: int) -> None:
-        # Where late answers keep some value, lateness is no total loss.
+        # The limit is higher where late answers keep some value.
         late_weight = min(c.late_priority_weight for c in classes)
         self._min_limit = MIN_LIMIT_RATIO + (1 - MIN_LIMIT_RATIO) * late_weight
         self.limit = self._min_limit
@@ -41,7 +39,7 @@
         self._answers = 0
 
     def record_answer(self, latency_ns: int, target_ns: int, has_queued: bool) -> None:
-        """Learn from an answer; one that has queued does not show how long an answer takes."""
+        """Update the averages with an answer; one that queued does not show the typical latency."""
         self._answers += 1
         alpha = max(LATENCY_SMOOTHING_FACTOR, 1 / self._answers)
         if not has_queued:
@@ -49,19 +47,19 @@
         ratio = min(latency_ns / target_ns, 1.0)
         self._typical_ratio += alpha * (ratio - self._typical_ratio)
         is_settled = self._answers * LATENCY_SMOOTHING_FACTOR >= 1
-        least = self.uncontended_ratio * (1 + UNCONTENDED_GROWTH_FACTOR) if is_settled else 1.0
-        # Where even uncontended answers take nearly the objective, that is no overload.
-        self.uncontended_ratio = min(least, self._typical_ratio)
+        least_ratio = self.uncontended_ratio * (1 + UNCONTENDED_GROWTH_FACTOR) if is_settled else 1.0
+        # Uncontended answers that take nearly the whole objective are no overload.
+        self.uncontended_ratio = min(least_ratio, self._typical_ratio)
         limit = self.uncontended_ratio + (1 - self.uncontended_ratio) * LIMIT_MARGIN_SHARE
         self.limit = min(max(self._min_limit, limit), MAX_LIMIT_RATIO)
 
     def should_shed(self, queueing_ratio: float, quota_factor: float, random: Random) -> bool:
-        """Return whether a request is shed, at random: the more, the further the ratio is above the limit.
+        """Return whether a request is shed; the probability grows with the ratio's excess over the limit.
 
         Args:
-            queueing_ratio: Above the limit.
-            quota_factor: Under 1 for a tenant beyond its quota: its requests are shed sooner.
-            random: Of this sidecar.
+            queueing_ratio: Current queueing ratio, above the limit.
+            quota_factor: Below 1 for a tenant beyond its quota, whose requests are shed sooner.
+            random: This sidecar's random generator.
         """
         excess = (queueing_ratio - self.limit) / (1 - self.limit)
         shed_share = min(excess / FULL_SHEDDING_SHARE, MAX_SHED_SHARE)
--- a/anisespool/balancer/admission/load_snapshot.py
+++ b/anisespool/balancer/admission/load_snapshot.py
@@ -1,12 +1,12 @@
-"""A cached observation of the fleet and of this sidecar's own open requests."""
+"""A cached snapshot of the fleet's capacity and of this sidecar's open requests."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
 from anisespool.balancer.admission.fleet_capacity import FleetCapacity
 
-SNAPSHOT_INTERVAL_OBJECTIVES = 1 / 64  # a walk over all that is open for each arrival would be quadratic
-LATE_SNAPSHOT_INTERVAL_OBJECTIVES = 1 / 1024  # where an open request has missed its objective since
+SNAPSHOT_INTERVAL_OBJECTIVES = 1 / 64  # a scan of all open requests at each arrival would be quadratic
+LATE_SNAPSHOT_INTERVAL_OBJECTIVES = 1 / 1024  # applies once another open request has missed its objective
 
 
 class RequestTimes(NamedTuple):
@@ -17,18 +17,18 @@
 
 
 class OpenRequests(NamedTuple):
-    """This sidecar's own open requests."""
+    """Counts and ages of this sidecar's open requests."""
 
     late: int
-    """Past their objectives: stuck somewhere."""
+    """Number of requests past their objectives."""
     mean_age_ns: float
-    """Of the others."""
+    """Mean age of the other requests."""
     next_objective_at: int
-    """When the next of them is late, monotonic ns."""
+    """Earliest objective among the other requests, monotonic ns."""
 
 
 class LoadSnapshot(NamedTuple):
-    """Both, at one instant."""
+    """The fleet's capacity and this sidecar's open requests at one instant."""
 
     fleet: FleetCapacity
     open_requests: OpenRequests
@@ -53,7 +53,7 @@
 
 
 class SnapshotCache:
-    """The last snapshot, until it is too old."""
+    """Keeps the last snapshot until it is too old."""
 
     def __init__(self, objective_ns: int) -> None:
         self.snapshot = LoadSnapshot(FleetCapacity(0.0, 0.0), OpenRequests(0, 0.0, 0))
@@ -62,7 +62,7 @@
         self._late_interval_ns = int(objective_ns * LATE_SNAPSHOT_INTERVAL_OBJECTIVES)
 
     def get(self, now: int, source: SnapshotSource) -> LoadSnapshot:
-        """Return the cached snapshot, or one newly taken from `source`."""
+        """Return the cached snapshot, or a new one from `source`."""
         age_ns = now - self.taken_at
         has_new_late = now >= self.snapshot.open_requests.next_objective_at
         if age_ns > self._interval_ns or has_new_late and age_ns > self._late_interval_ns:
--- a/anisespool/balancer/admission/offered_capacity.py
+++ b/anisespool/balancer/admission/offered_capacity.py
@@ -1,4 +1,4 @@
-"""How many requests may be open by the rate of answers in time alone?"""
+"""Capacity for open requests from the rate of answers in time alone."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 
-BURST_ALLOWANCE_REQUESTS = 4.0  # open requests that a short half-life may have missed
+BURST_ALLOWANCE_REQUESTS = 4.0  # open requests that a rate with a short half-life may miss
 
 
 class OfferedCapacity:
-    """The capacity that the ordinary load has shown, whatever the fleet could do besides.
+    """The capacity that the ordinary load has shown; the fleet may be able to do more.
 
     Attributes:
-        answer_rate: Answers in time, per ns.
+        answer_rate: Rate of answers in time, per ns.
     """
 
     def __init__(self, objective_ns: int) -> None:
@@ -21,15 +21,15 @@
         self._objective_ns = objective_ns
 
     def rate(self, now: int, observed_ns: int) -> float:
-        """Return the answer rate, corrected for having been observed for `observed_ns` only."""
+        """Return the answer rate, corrected for a period of observation of only `observed_ns`."""
         observed_share = 1 - exp2(-max(observed_ns, 1) / self.answer_rate.half_life_ns)
         return self.answer_rate.read(now) / observed_share
 
     def capacity(self, rate: float, limit: float) -> float:
-        """Return the open requests by Little's law, a standard deviation, and an allowance for bursts.
+        """Return how many requests may be open: Little's law, a standard deviation, and a burst allowance.
 
         Args:
-            rate: Of answers, per ns.
+            rate: Answers in time, per ns.
             limit: Share of the latency objective that answers may take.
         """
         requests = rate * self._objective_ns * limit
--- a/anisespool/balancer/admission/queueing_ratio.py
+++ b/anisespool/balancer/admission/queueing_ratio.py
@@ -1,4 +1,4 @@
-"""The queueing ratio: which share of their latency objectives attempts took recently."""
+"""Queueing ratio: the share of their latency objectives that attempts took recently."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 
-QUEUEING_SMOOTHING_FACTOR = 0.3  # it follows fast
-GOSSIP_SMOOTHING_FACTOR = 0.5  # of another sidecar's queueing ratio
+QUEUEING_SMOOTHING_FACTOR = 0.3  # high, to react within a few attempts
+GOSSIP_SMOOTHING_FACTOR = 0.5  # weight of another sidecar's queueing ratio
 QUEUEING_HALF_LIFE_DEADLINES = 4
 RECENT_MAX_HALF_LIFE_OBJECTIVES = 5
 
@@ -15,7 +15,7 @@
 class QueueingRatio:
     """An exponentially weighted moving average of samples from 0 (no wait) to 1 (objective missed).
 
-    Without samples it decays; so does its recent maximum, faster.
+    Without samples it decays. Its recent maximum decays faster.
     """
 
     def __init__(self, longest_deadline_ns: int, objective_ns: int) -> None:
@@ -25,13 +25,13 @@
         self._max_at = 0
 
     def recent_max(self, now: int) -> float:
-        """Return the greater of the ratio last read and its decayed maximum."""
+        """Return the decayed recent maximum, or the ratio last read if that is greater."""
         decayed = self._max * exp2((self._max_at - now) / self._max_half_life_ns)
         ratio = self.ratio.value
         return ratio if ratio > decayed else decayed
 
     def update(self, now: int, sample: float, smoothing_factor: float = QUEUEING_SMOOTHING_FACTOR) -> float:
-        """Move the ratio toward a sample, and return it."""
+        """Move the ratio toward a sample, and return the new ratio."""
         before = self.ratio.read(now)
         self._max = self.recent_max(now)
         self._max_at = now
@@ -39,5 +39,5 @@
         return self.ratio.value
 
     def update_from_gossip(self, now: int, ratio: float) -> None:
-        """Move the ratio toward that of another sidecar, cut to 0 to 1."""
+        """Move the ratio toward that of another sidecar, clamped to 0 to 1."""
         self.update(now, max(0.0, min(1.0, ratio)), GOSSIP_SMOOTHING_FACTOR)
--- a/anisespool/balancer/admission/retry_after.py
+++ b/anisespool/balancer/admission/retry_after.py
@@ -1,4 +1,4 @@
-"""When should a rejected client try again?
+"""Retry-After: the delay after which a rejected client may retry.
 
 Clients that were rejected together are spread over the time in which the excess is worked off.
 """
@@ -9,19 +9,19 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 
-MIN_RATE_REQUESTS = 1e-12  # per ns
+MIN_RATE_REQUESTS = 1e-12  # requests per ns
 
 
 class RetryAfterLimits(NamedTuple):
-    """Constants of the schedule."""
+    """Constants of the Retry-After schedule."""
 
     jitter_share: float = 0.1
     mild_rejection_share: float = 0.5
-    """Of recent requests rejected, up to which a client's next attempt probably succeeds."""
+    """Share of recent requests rejected up to which a client's next attempt probably succeeds."""
     severe_rejection_share: float = 0.8
-    """From which on it probably does not."""
+    """Share of recent requests rejected above which it probably fails."""
     spread_objectives: float = 0.25
-    """Latency objectives over which clients that were rejected together return."""
+    """Period over which clients that were rejected together return, in latency objectives."""
     min_delay_ns: int = 1_000_000
 
 
@@ -29,7 +29,7 @@
 
 
 class RetryAfterSchedule:
-    """Gives each rejected client the next free instant."""
+    """Assigns each rejected client the next free instant."""
 
     def __init__(self, settings: api.Settings, answer_rate: DecayingValue, random: Random) -> None:
         self._max_delay_ns = settings.max_retry_after_ns if settings.may_retry_after else 0
@@ -38,23 +38,24 @@
         self._answer_rate = answer_rate
         self._rejection_rate = DecayingValue(objective_ns)
         self._random = random
-        self._next_at = 0  # monotonic ns; no rejected client was given a later instant
+        self._next_at = 0  # next free instant, monotonic ns
 
-    def next_delay_ns(self, now: int, excess_ns: float, rate: float, all_ns: float = 0.0) -> int:
-        """Return a client's Retry-After: when the excess is worked off, one client after another; 0: none.
+    def next_delay_ns(self, now: int, excess_ns: float, rate: float, backlog_ns: float = 0.0) -> int:
+        """Return a client's Retry-After; 0: none.
 
-        Where most requests were rejected recently, not before all that is open is worked off.
+        Clients return one after another once the excess is worked off; where most recent requests were
+        rejected, once all open requests are worked off.
 
         Args:
             now: Monotonic ns.
-            excess_ns: Time in which what exceeds the capacity is worked off.
-            rate: At which requests are served, per ns.
-            all_ns: Time in which all open requests are worked off.
+            excess_ns: Time in which the requests beyond the capacity are worked off.
+            rate: Requests served per ns.
+            backlog_ns: Time in which all open requests are worked off.
         """
         if not self._max_delay_ns:
             return 0
         self._rejection_rate.add(now)
-        earliest = now + excess_ns + self._severity() * all_ns
+        earliest = now + excess_ns + self._severity() * backlog_ns
         at = max(earliest, self._next_at)
         self._next_at = int(at + 1 / max(rate, MIN_RATE_REQUESTS))
         if self._next_at > earliest + self._spread_ns:
@@ -66,7 +67,7 @@
     def _severity(self) -> float:
         """Return 0 where few recent requests were rejected, up to 1 where most were."""
         rejected = self._rejection_rate.value
-        share = rejected / (rejected + self._answer_rate.value)  # both read just before
+        share = rejected / (rejected + self._answer_rate.value)  # callers have just read both
         mild = LIMITS.mild_rejection_share
         if share <= mild:
             return 0.0
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -1,7 +1,7 @@
-"""At which rate does the fleet serve this sidecar, against what the endpoints could do?
+"""Rate at which the fleet serves this sidecar, relative to what its endpoints could do.
 
-Answers take long for two reasons. What an own burst queues for itself is explained by it, and must not shed
-what still fits. The rest is external: other sidecars' requests, or a fleet that has slowed down.
+Answers take long for two reasons. Queueing behind this sidecar's own burst is expected, and must not shed
+requests that still fit. The rest is external: requests of other sidecars, or a fleet that has slowed down.
 """
 
 from math import exp2
@@ -11,16 +11,16 @@
 from anisespool.balancer.admission.latency_limit import LIMIT_MARGIN_SHARE, LatencyLimit
 from anisespool.balancer.admission.peak_rate import PeakRate
 
-SERVICE_RATE_SMOOTHING_FACTOR = 0.05  # while answers queue
-RECOVERY_SMOOTHING_FACTOR = 0.1  # while they don't
-NO_EXPLORATION_RATIO = 0.2  # external queueing from which on the peak is not exceeded
+SERVICE_RATE_SMOOTHING_FACTOR = 0.05  # applies while answers queue
+RECOVERY_SMOOTHING_FACTOR = 0.1  # applies while answers don't queue
+NO_EXPLORATION_RATIO = 0.2  # external queueing ratio from which the peak is no longer exceeded
 
 
 class QueueingSample(NamedTuple):
-    """How long one attempt took, as admission counts it."""
+    """Latency of one attempt, as a sample for admission control."""
 
     objective_share: float
-    """Of the request's latency objective, 0 to 1."""
+    """Share of the request's latency objective that it took, 0 to 1."""
     smoothing_factor: float
     """Weight of this sample."""
     target_ns: int
@@ -30,11 +30,11 @@
 
 
 class ServiceRate:
-    """The service rate of this sidecar's requests.
+    """Estimates the rate at which this sidecar's requests are served.
 
     Attributes:
-        service_rate_ratio: What endpoints do for this sidecar over what they could, 0 to 1.
-        external_queueing_ratio: Part of the queueing ratio that own open requests do not explain.
+        service_rate_ratio: Rate at which endpoints serve this sidecar over what they could, 0 to 1.
+        external_queueing_ratio: Part of the queueing ratio not explained by this sidecar's own requests.
     """
 
     def __init__(self, longest_deadline_ns: int, latency: LatencyLimit, peak: PeakRate) -> None:
@@ -48,8 +48,9 @@
     def rate(self, now: int, concurrency: float) -> float:
         """Return how many requests per ns the fleet can serve.
 
-        By Little's law from the endpoints' concurrency and the typical latency, or by the peak that was
-        reached. A peak that met no queueing may be exceeded by a step, a smaller one with external queueing.
+        This is the higher of the rate from the endpoints' concurrency and the typical latency (Little's law)
+        and the peak rate. A peak reached without queueing may be exceeded by a step, which external queueing
+        reduces.
         """
         rate = self.service_rate_ratio * concurrency / max(self._latency.typical_latency_ns, 1.0)
         peak = self._peak.rate.read(now)
@@ -58,37 +59,37 @@
         return max(rate, peak * step)
 
     def record(self, now: int, sample: QueueingSample, queueing_ratio: float, concurrency: float) -> None:
-        """Learn from the latency of an attempt.
+        """Update the estimates with the latency of an attempt.
 
         Args:
             now: Monotonic ns.
-            sample: The share of its objective that the attempt took.
-            queueing_ratio: This sample included.
+            sample: Latency of the attempt.
+            queueing_ratio: Queueing ratio, this sample included.
             concurrency: Requests that the fleet serves at a time, by the last snapshot; 0: not known.
         """
         typical_ns = self._latency.typical_latency_ns
-        unslowed_rate = concurrency / max(typical_ns, 1.0)
+        nominal_rate = concurrency / max(typical_ns, 1.0)
         self._recover_with_time(now)
-        self._record_external_queueing(sample, unslowed_rate)
+        self._record_external_queueing(sample, nominal_rate)
         is_queueing = queueing_ratio > (1 + self._latency.uncontended_ratio) * LIMIT_MARGIN_SHARE
-        if unslowed_rate and is_queueing and sample.open_before > concurrency / 2:
-            # The fleet has slowed down, or others burst as well.
+        if nominal_rate and is_queueing and sample.open_before > concurrency / 2:
+            # The fleet has slowed down, or other sidecars have bursts too.
             wait_ns = sample.objective_share * sample.target_ns - typical_ns
-            observed_ratio = min(1.0, sample.open_before / unslowed_rate / wait_ns) if wait_ns > 0 else 1.0
+            observed_ratio = min(1.0, sample.open_before / nominal_rate / wait_ns) if wait_ns > 0 else 1.0
             step = observed_ratio - self.service_rate_ratio
             self.service_rate_ratio += SERVICE_RATE_SMOOTHING_FACTOR * step
         elif queueing_ratio < self._latency.limit / 2:
             self.service_rate_ratio += RECOVERY_SMOOTHING_FACTOR * (1.0 - self.service_rate_ratio)
 
     def _recover_with_time(self, now: int) -> None:
-        """Move the ratio toward 1: bursts of others end, and one that is not seen again has ended."""
+        """Move the ratio toward 1: a burst of other sidecars that is not observed again has ended."""
         decay = exp2((self._updated_at - now) / self._longest_deadline_ns)
         self.service_rate_ratio = 1.0 - (1.0 - self.service_rate_ratio) * decay
         self._updated_at = now
 
-    def _record_external_queueing(self, sample: QueueingSample, unslowed_rate: float) -> None:
-        """Learn what the sample took beyond an answer's typical latency and this sidecar's own backlog."""
-        rate = max(self._peak.rate.value, unslowed_rate * self.service_rate_ratio)
+    def _record_external_queueing(self, sample: QueueingSample, nominal_rate: float) -> None:
+        """Update the queueing beyond an answer's typical latency and this sidecar's own backlog."""
+        rate = max(self._peak.rate.value, nominal_rate * self.service_rate_ratio)
         backlog_ns = sample.open_before / rate if rate else 0.0
         expected_share = (self._latency.typical_latency_ns + backlog_ns) / sample.target_ns
         external = sample.objective_share - min(expected_share, 1.0)
