--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -1,8 +1,8 @@
-"""Until when an answer is of value, and how long a request may still wait.
+"""Instants of a request: until when an answer has value, and how long the request may still wait.
 
-A request has three instants. After its latency objective an answer is late; after its end of use an answer is
-of no value to its client; at its deadline the client gives up. Without an attempt in flight, a request whose
-end of use can't be met any more is answered at once: rejected where that is harmless to repeat, else failed
+An answer after the latency objective is late. An answer after the end of use (`useful_until`) has no value to
+the client, which gives up at the deadline. A request without an attempt in flight that can no longer be
+answered before its end of use is answered at once: rejected if a retry is harmless, otherwise failed
 (retry/idempotency.py). The proxy keeps two reserves before the client's deadline (proxy/deadlines.py), and a
 graceful shutdown has its own end (sidecar/shutdown.py).
 """
@@ -11,19 +11,19 @@
 
 from anisespool.balancer import interface as api
 
-RECHECK_INTERVAL_OBJECTIVE_PERCENT = 5  # of the latency objective, between two looks for an eligible endpoint
+RECHECK_INTERVAL_OBJECTIVE_PERCENT = 5  # part of the objective between two checks for an eligible endpoint
 
 
 class Deadlines:
-    """The instants of one request, monotonic ns. They don't change.
+    """The instants of one request, in monotonic ns. They don't change.
 
-    A plain class with slots: each request makes one, and a named tuple costs twice as much.
+    A plain class with slots, as each request creates one and a named tuple costs twice as much.
 
     Attributes:
         objective_at: A later answer misses the latency objective.
-        useful_until: A later answer has no value: the objective, or the deadline where the class values late
+        useful_until: A later answer has no value: the objective, or the deadline if the class values late
             answers.
-        deadline_at: The client gives this attempt of its own up.
+        deadline_at: When the client gives up its current attempt.
     """
 
     __slots__ = ("deadline_at", "objective_at", "useful_until")
@@ -31,11 +31,11 @@
     def __init__(
         self, event: api.RequestArrived, request_class: api.RequestClass, waited_ns: int, now: int
     ) -> None:
-        """Set the instants of a request that arrives `now`.
+        """Set the instants of a request that arrives at `now`.
 
         Args:
-            event: Its arrival, with the time that its client leaves and its work hint.
-            request_class: Objective, stretch of the objective by the hint, value of an answer past it.
+            event: Arrival of the request, with the time until its client gives up and its work hint.
+            request_class: Objective, stretch of the objective by the hint, value of a late answer.
             waited_ns: Time that the client spent on earlier attempts (retry/client_retries.py).
             now: Monotonic ns.
         """
@@ -54,23 +54,23 @@
 
         Args:
             now: Monotonic ns.
-            queued_before: Requests of the same ordering key before it. A stuck one would hold all behind it
-                until they are late, so each leaves while it can still be answered elsewhere.
-            expected_latency_ns: Time that each of them is expected to take.
-            pause_ns: Rest of the pause of its ordering key.
+            queued_before: Earlier requests with the same ordering key. A stuck one would make all behind it
+                late, so each gives up while it can still be answered elsewhere.
+            expected_latency_ns: Expected latency of each of them.
+            pause_ns: Remaining pause of the ordering key.
         """
         return self.useful_until - now - int(queued_before * expected_latency_ns) - pause_ns
 
     def attempt_end_at(self, is_stream: bool) -> int:
-        """Return when an attempt ends that has no time-out: a stream may go on until the deadline."""
+        """Return when an attempt without a time-out ends: a stream may last until the deadline."""
         return self.deadline_at if is_stream else self.useful_until
 
 
 def recheck_delay_ns(target_ns: int, time_left_ns: int) -> int:
-    """Return when to look for an eligible endpoint again, where there was none.
+    """Return the delay until the next check for an eligible endpoint, where there was none.
 
     Args:
         target_ns: The latency objective of the request's class.
-        time_left_ns: To the request's deadline.
+        time_left_ns: Time until the request's deadline.
     """
     return min(target_ns * RECHECK_INTERVAL_OBJECTIVE_PERCENT // 100, time_left_ns)
--- a/anisespool/balancer/estimates/__init__.py
+++ b/anisespool/balancer/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""What the balancer estimates from outcomes, load reports and gossip. Nothing here decides."""
+"""Estimates from outcomes, load reports and gossip. Decisions are made elsewhere."""
--- a/anisespool/balancer/estimates/decaying_value.py
+++ b/anisespool/balancer/estimates/decaying_value.py
@@ -1,16 +1,16 @@
-"""An amount, or the rate of events, with exponential decay."""
+"""An amount or an event rate with exponential decay."""
 
 from __future__ import annotations
 
 from math import exp2
 
-RATE_NORMALIZATION_FACTOR = 0.693  # ln 2: a steady rate reads as itself
+RATE_NORMALIZATION_FACTOR = 0.693  # ln 2: a steady rate converges to itself
 
 
 class DecayingValue:
-    """A value that halves each `half_life_ns`.
+    """A value that halves every `half_life_ns`.
 
-    One class serves amounts and rates: a call site with several types costs more.
+    One class serves amounts and rates, as call sites that meet several types are slower.
     """
 
     def __init__(self, half_life_ns: int) -> None:
@@ -26,5 +26,5 @@
         return self.value
 
     def add(self, now: int, amount: float = 1.0) -> None:
-        """Count `amount` at `now`, where the value is a rate: amounts per ns."""
+        """Add `amount` at `now` to a value that is a rate, in amounts per ns."""
         self.value = self.read(now) + amount * RATE_NORMALIZATION_FACTOR / self.half_life_ns
--- a/anisespool/balancer/estimates/estimates.py
+++ b/anisespool/balancer/estimates/estimates.py
@@ -1,4 +1,4 @@
-"""All estimates of one sidecar, each in a module of its own."""
+"""All estimates of one sidecar, each in its own module."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Estimates:
-    """Hands each observation to the estimates that learn from it."""
+    """Passes each observation to the estimates that use it."""
 
     def __init__(self, settings: api.Settings) -> None:
         longest_deadline_ns = max(c.deadline_ns for c in settings.classes)
@@ -22,13 +22,13 @@
         self.loads = LoadEstimates(settings, longest_deadline_ns, self.concurrency)
 
     def record_answer(self, attempt: Attempt, event: api.RequestArrived, latency_ns: int) -> None:
-        """Learn from the latency of an attempt that succeeded."""
+        """Update the estimates with the latency of an attempt that succeeded."""
         class_index = event.class_index
         self.concurrency.record_answer(attempt.endpoint, class_index, latency_ns, attempt.concurrency)
         self.class_latencies.record_answer(event, latency_ns)
 
     def record_observation(self, endpoint: Endpoint, observation: api.EndpointObservation, now: int) -> None:
-        """Learn from what another sidecar observed of an endpoint."""
-        at = now - max(0, observation.age_ns)
-        self.slowdowns.record_observation(endpoint, observation, at)
-        self.loads.record_observation(endpoint, observation, at)
+        """Update the estimates with another sidecar's observation of an endpoint."""
+        observed_at = now - max(0, observation.age_ns)
+        self.slowdowns.record_observation(endpoint, observation, observed_at)
+        self.loads.record_observation(endpoint, observation, observed_at)
--- a/anisespool/balancer/event_log.py
+++ b/anisespool/balancer/event_log.py
@@ -1,6 +1,6 @@
-"""Log lines of the decision module (docs/on-call.md): one method an event.
+"""Log lines of the decision module (docs/on-call.md), with one method for each event.
 
-Each event is logged at most once in a longest class deadline, as a log must not become a load.
+Each event is logged at most once per longest class deadline, to bound the load that the log causes.
 """
 
 from __future__ import annotations
@@ -9,39 +9,41 @@
 from anisespool.balancer.admission.controller import AdmissionDecision
 from anisespool.log import format_event
 
-Lines = tuple[api.Log, ...]
+LogActions = tuple[api.Log, ...]
 
 
 class EventLog:
-    """Makes the actions that write a line: one, or none while the event is not due."""
+    """Returns the action that logs an event, or none if the event was logged recently."""
 
     def __init__(self, interval_ns: int) -> None:
         self._interval_ns = interval_ns
-        self._next_at: dict[str, int] = {}  # by event, monotonic ns
+        self._next_at: dict[str, int] = {}  # earliest next line of each event, monotonic ns
 
-    def endpoint_list_call_failed(self, now: int, ready: int) -> Lines:
-        """A call to discovery failed, with `ready` endpoints to send to."""
+    def endpoint_list_call_failed(self, now: int, ready: int) -> LogActions:
+        """Log that a call to discovery failed, with `ready` endpoints left to send to."""
         if not self._is_due("endpoint_list_call_failed", now):
             return ()
         return (api.Log(format_event("endpoint_list_call_failed", ready=ready)),)
 
-    def no_eligible_endpoint(self, now: int, ready: int) -> Lines:
-        """None of the `ready` endpoints may be sent to."""
+    def no_eligible_endpoint(self, now: int, ready: int) -> LogActions:
+        """Log that a request may be sent to none of the `ready` endpoints."""
         if not self._is_due("no_eligible_endpoint", now):
             return ()
         return (api.Log(format_event("no_eligible_endpoint", ready=ready)),)
 
-    def load_shed(self, now: int, verdict: AdmissionDecision, queueing_ratio: float) -> Lines:
-        """A request was shed."""
+    def load_shed(self, now: int, decision: AdmissionDecision, queueing_ratio: float) -> LogActions:
+        """Log that a request was shed."""
         if not self._is_due("load_shed", now):
             return ()
         ratio = f"{queueing_ratio:.2f}"
-        capacity = f"{verdict.capacity:.0f}"
-        count = verdict.open_in_time
+        capacity = f"{decision.capacity:.0f}"
+        count = decision.open_in_time
         return (api.Log(format_event("load_shed", count=count, capacity=capacity, queueing_ratio=ratio)),)
 
-    def endpoint_failing(self, now: int, number: int, status: api.AttemptStatus, slowdown: float) -> Lines:
-        """An attempt at an endpoint has failed."""
+    def endpoint_failing(
+        self, now: int, number: int, status: api.AttemptStatus, slowdown: float
+    ) -> LogActions:
+        """Log that an attempt at an endpoint failed."""
         if not self._is_due("endpoint_failing", now):
             return ()
         name = status.name.lower()
--- a/anisespool/balancer/key_ordering.py
+++ b/anisespool/balancer/key_ordering.py
@@ -1,4 +1,4 @@
-"""Whose turn is it among requests of one key? They run one at a time, in the order of their arrival."""
+"""Ordered requests: those with the same key run one at a time, in the order of their arrival."""
 
 from typing import NamedTuple
 
@@ -9,42 +9,42 @@
 
 
 class Turn(NamedTuple):
-    """When an ordered request is sent."""
+    """When an ordered request may be sent."""
 
     useful_ns: int
-    """How long it may still wait; 0 or less: it gives up now."""
+    """Longest time that it may still wait; 0 or less: it gives up now."""
     wait_ns: int
-    """0: it is its turn."""
+    """Time to wait for its turn; 0: it may be sent now."""
 
 
 class KeyOrdering:
     """The queue of each ordering key, and the pauses after attempts that may still be executing.
 
     Attributes:
-        queues: By key, in the order of arrival; a key without requests has none.
+        queues: Requests by key, in the order of arrival; a key without requests has no queue.
     """
 
     def __init__(self, settle_ns: int) -> None:
         self._settle_ns = settle_ns
         self.queues: dict[int, list[PendingRequest]] = {}
-        self._pause_ends: dict[int, int] = {}  # by key, monotonic ns; the first to end comes first
+        self._pause_ends: dict[int, int] = {}  # end by key, monotonic ns; the earliest first
 
     def enqueue(self, request: PendingRequest) -> None:
-        """Put a new request at the end of its key's queue."""
+        """Append a new request to its key's queue."""
         self.queues.setdefault(request.ordering_key, []).append(request)
 
     def position(self, request: PendingRequest) -> int:
-        """Return how many requests of its key are before it."""
+        """Return how many requests with its key are before it."""
         return self.queues[request.ordering_key].index(request)
 
     def pause_ns(self, request: PendingRequest, now: int) -> int:
-        """Return how long its key still pauses; a request with an attempt does not wait for itself."""
+        """Return the rest of its key's pause; 0 for a request with attempts, as they caused the pause."""
         if request.attempts:
             return 0
         return max(0, self._pause_ends.get(request.ordering_key, 0) - now)
 
     def on_attempt_end(self, key: int, status: AttemptStatus, now: int) -> None:
-        """Hold the key's next request back where the attempt that ended may still be executing."""
+        """Pause the key if the attempt that ended may still be executing."""
         if status not in MAY_STILL_EXECUTE:
             return
         self._pause_ends.pop(key, None)
@@ -53,7 +53,7 @@
             del self._pause_ends[next(iter(self._pause_ends))]
 
     def remove(self, request: PendingRequest) -> list[PendingRequest]:
-        """Remove a request, and return the one that is first in the queue afterwards, if any."""
+        """Remove a request, and return the one now first in its queue, if any."""
         queue = self.queues[request.ordering_key]
         queue.remove(request)
         if not queue:
--- a/anisespool/balancer/outcomes.py
+++ b/anisespool/balancer/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt teaches: estimates of its endpoint, admission, slow start."""
+"""Updates the estimates, admission control and slow start with the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     """Update the estimate of idle connections to the attempt's endpoint."""
     if status in CONNECTION_REUSABLE:
         attempt.endpoint.idle_connections += 1
-    elif status in CONNECTION_BROKEN:  # the others may be broken too
+    elif status in CONNECTION_BROKEN:  # other idle connections may be broken too
         attempt.endpoint.idle_connections = 0
 
 
 class OutcomeRecorder:
-    """Hands outcomes to the rules that learn from them."""
+    """Passes outcomes to the rules that use them."""
 
     def __init__(self, estimates: Estimates, admission: AdmissionController, slow_start: SlowStart) -> None:
         self._estimates = estimates
@@ -44,7 +44,7 @@
         open_requests: int,
         now: int,
     ) -> None:
-        """Learn from an attempt that succeeded, with `open_requests` of this sidecar open now."""
+        """Record an attempt that succeeded, with `open_requests` of this sidecar open now."""
         latency_ns = event.latency_ns
         in_time = now <= request.deadlines.objective_at and not request.answered
         self._estimates.record_answer(attempt, request.event, latency_ns)
@@ -56,19 +56,19 @@
     def record_latency(
         self, request: PendingRequest, attempt: Attempt, event: AttemptOutcome, slowdown: float, now: int
     ) -> bool:
-        """Learn from an attempt's latency, and return whether it was a sample of its endpoint.
+        """Record an attempt's latency, and return whether it was a sample of its endpoint's slowdown.
 
-        An attempt that was cancelled early is none, unless it was slow already.
+        A cancelled attempt is no sample unless it was already slow.
 
         Args:
-            request: Whose attempt it is.
+            request: The request of the attempt.
             attempt: The attempt.
             event: Its outcome.
-            slowdown: Of its endpoint, as estimated before.
+            slowdown: Slowdown of its endpoint before this outcome.
             now: Monotonic ns.
         """
         latency_ns = float(event.latency_ns)
-        if is_failure(event.status):  # not a fast answer
+        if is_failure(event.status):  # a fast failure is not a fast answer
             latency_ns = max(latency_ns, float(request.request_class.deadline_ns))
         if event.status in (AttemptStatus.OK, AttemptStatus.TIMEOUT):
             self._record_queueing(request, attempt, event, slowdown, now)
@@ -84,11 +84,11 @@
     def _record_queueing(
         self, request: PendingRequest, attempt: Attempt, event: AttemptOutcome, slowdown: float, now: int
     ) -> None:
-        """Let admission learn from a latency; one bad endpoint among others is no overload."""
+        """Pass a latency to admission control; slow endpoints count less, as one bad one is no overload."""
         typical = self._estimates.slowdowns.typical_slowdown(attempt.endpoint)
         smoothing_factor = QUEUEING_SMOOTHING_FACTOR * min(1.0, typical / slowdown)
         target_ns = request.request_class.target_ns
-        is_missed = event.status is AttemptStatus.TIMEOUT and now >= request.deadlines.objective_at
-        objective_share = 1.0 if is_missed else min(event.latency_ns / target_ns, 1.0)
+        missed_objective = event.status is AttemptStatus.TIMEOUT and now >= request.deadlines.objective_at
+        objective_share = 1.0 if missed_objective else min(event.latency_ns / target_ns, 1.0)
         sample = QueueingSample(objective_share, smoothing_factor, target_ns, request.open_before)
         self._admission.record_latency(now, sample)
--- a/tests/balancer/test_ordering.py
+++ b/tests/balancer/test_ordering.py
@@ -1,4 +1,4 @@
-"""Requests of one ordering key run one at a time."""
+"""Requests with one ordering key run one at a time."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def expire_first_timer(sidecar: Sidecar, actions: list[api.Action]) -> list[api.Action]:
-    """Let the first timer set among the actions fall due."""
+    """Advance the time to the first timer among the actions, and expire it."""
     timer = timers(actions)[0]
     sidecar.now += timer.delay_ns
     return without_logs(sidecar.handle(api.TimerExpired(timer.token)))
 
 
-def test_requests_of_one_key_run_one_at_a_time_in_order() -> None:
+def test_requests_with_one_key_run_one_at_a_time_in_order() -> None:
     sidecar = ordered_sidecar()
     [first] = sends(sidecar.request(key=9))
     second, third = sidecar.request(key=9), sidecar.request(key=9)
@@ -48,7 +48,7 @@
     sidecar.now += 50 * MS
     [send] = sends(sidecar.outcome(send))
     assert send.request == 3
-    assert sends(expire_first_timer(sidecar, second)) == []  # its timer expires after it was answered
+    assert sends(expire_first_timer(sidecar, second)) == []  # the request was answered before its timer
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.TIMEOUT, AttemptStatus.RESET])
@@ -60,14 +60,14 @@
     actions = sidecar.outcome(first, status)
     assert finals(actions)
     assert not sends(actions)
-    [again] = [t for t in timers(actions) if t.delay_ns == 100 * MS]
-    sidecar.now += again.delay_ns
-    [send] = sends(sidecar.handle(api.TimerExpired(again.token)))
+    [pause_timer] = [t for t in timers(actions) if t.delay_ns == 100 * MS]
+    sidecar.now += pause_timer.delay_ns
+    [send] = sends(sidecar.handle(api.TimerExpired(pause_timer.token)))
     assert send.request == 2
 
 
 def test_a_key_waits_for_the_outcome_of_a_cancelled_attempt_and_pauses() -> None:
-    """The client has gone, but the attempt may still be executing."""
+    """The client has disconnected, but the attempt may still be executing."""
     sidecar = ordered_sidecar()
     [first] = sends(sidecar.request(key=9))
     assert sidecar.handle(api.ClientDisconnected(first.request)) == [api.Cancel(first.request, 0)]
@@ -80,7 +80,7 @@
 
 
 def test_requests_behind_a_stuck_one_are_rejected_before_they_are_late() -> None:
-    """A popular key's queue would else grow until every request in it is late."""
+    """Otherwise the queue of a popular key grows until every request in it is late."""
     sidecar = ordered_sidecar()
     sidecar.serve(60, latency_ns=200 * MS)
     sidecar.request(key=9)
@@ -92,8 +92,8 @@
     assert sidecar.now < start + 700 * MS
 
 
-def test_a_later_request_that_leaves_does_not_send_the_first_again() -> None:
-    """A non-idempotent request resumed both by its timer and by its turn was once sent twice."""
+def test_a_disconnect_of_a_waiting_request_does_not_send_the_first_again() -> None:
+    """A request that is not idempotent was sent twice: its timer and its turn both resumed it."""
     sidecar = ordered_sidecar()
     [first] = sends(sidecar.request(key=9))
     sidecar.request(key=9)
