--- a/anisespool/balancer/attempt.py
+++ b/anisespool/balancer/attempt.py
@@ -10,7 +10,7 @@
 
     Attributes:
         expected_latency_ns: Typical latency of the request when the attempt was sent.
-        concurrency: Attempts of this sidecar at the endpoint then, this one included.
+        in_flight_when_sent: Attempts of this sidecar at the endpoint then, this one included.
         may_have_executed: True until an outcome proves that the endpoint did not execute it.
     """
 
@@ -18,6 +18,6 @@
         self.endpoint = endpoint
         self.sent_at = sent_at
         self.expected_latency_ns = expected_latency_ns
-        self.concurrency = len(endpoint.in_flight) + 1
+        self.in_flight_when_sent = len(endpoint.in_flight) + 1
         self.in_flight = True
         self.may_have_executed = True
--- a/anisespool/balancer/estimates/estimates.py
+++ b/anisespool/balancer/estimates/estimates.py
@@ -24,7 +24,7 @@
     def record_answer(self, attempt: Attempt, event: api.RequestArrived, latency_ns: int) -> None:
         """Learn from the latency of an attempt that succeeded."""
         class_index = event.class_index
-        self.concurrency.record_answer(attempt.endpoint, class_index, latency_ns, attempt.concurrency)
+        self.concurrency.record_answer(attempt.endpoint, class_index, latency_ns, attempt.in_flight_when_sent)
         self.class_latencies.record_answer(event, latency_ns)
 
     def record_observation(self, endpoint: Endpoint, observation: api.EndpointObservation, now: int) -> None:
