--- a/anisespool/balancer/simulator/__init__.py
+++ b/anisespool/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' simulator: its wire, and a process that hosts decision modules on it."""
+"""The operators' simulator: the codec of its binary protocol, and a process that hosts decision modules."""
--- a/anisespool/balancer/simulator/host.py
+++ b/anisespool/balancer/simulator/host.py
@@ -1,4 +1,4 @@
-"""The adapter: hosts decision modules on the simulator's wire (standard input and output)."""
+"""Hosts decision modules for the simulator: batches of events on standard input, replies on output."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class Host:
-    """The instances of this process. They share nothing but the numbered lists of the wire."""
+    """The instances of one process; they share only the numbered endpoint lists of the protocol."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._sheets: dict[int, tuple[api.EndpointListing, ...]] = {}
+        self._endpoint_lists: dict[int, tuple[api.EndpointListing, ...]] = {}
 
     def handle_batch(self, now_ns: int, count: int, body: bytes) -> list[tuple[int, api.Action]]:
-        """The actions after each of the batch's events, with the number of their instance.
+        """Handle the events of a batch in order; return the actions, each with its instance.
 
         Raises:
-            ProtocolError: the bytes are not a legal frame.
+            ProtocolError: The bytes are not a valid frame.
         """
         reply: list[tuple[int, api.Action]] = []
         for instance, event in protocol.decode_batch(count, body):
-            if isinstance(event, protocol.EndpointListSheet):
-                self._sheets[event.number] = event.entries
+            if isinstance(event, protocol.NumberedEndpointList):
+                self._endpoint_lists[event.number] = event.entries
                 continue
             try:
                 reply.extend((instance, action) for action in self._handle_event(now_ns, instance, event))
             except protocol.ProtocolError:
                 raise
-            except Exception as error:  # the wire has an action for a decision module that fails
+            except Exception as error:  # the protocol reports a failed decision module as Fault
                 self._balancers.pop(instance, None)
                 reply.append((instance, api.Fault(f"{type(error).__name__}: {error}")))
         return reply
@@ -41,14 +41,14 @@
     def _handle_event(self, now_ns: int, instance: int, event: protocol.WireEvent) -> list[api.Action]:
         if isinstance(event, protocol.Boot):
             self._balancers.pop(instance, None)
-            settings = api.Settings.from_dict(_parse(event.params))
+            settings = api.Settings.from_dict(_parse_settings(event.params))
             self._balancers[instance] = Balancer(settings, event.seed)
             return []
         if isinstance(event, protocol.Stop):
             self._balancers.pop(instance, None)
             return []
         balancer = self._balancers.get(instance)
-        if balancer is None or isinstance(event, protocol.EndpointListSheet):
+        if balancer is None or isinstance(event, protocol.NumberedEndpointList):
             return []
         if isinstance(event, protocol.EndpointListReference):
             event = self._resolve(event)
@@ -57,15 +57,15 @@
         return balancer.handle(now_ns, event)
 
     def _resolve(self, ref: protocol.EndpointListReference) -> api.EndpointListUpdate:
-        form = api.EndpointListKind(ref.form)
-        if form is api.EndpointListKind.FAILED:
-            return api.EndpointListUpdate(ref.version, form)
-        if ref.sheet not in self._sheets:
-            raise protocol.ProtocolError(f"list {ref.sheet} was never sent")
-        return api.EndpointListUpdate(ref.version, form, self._sheets[ref.sheet])
+        kind = api.EndpointListKind(ref.kind)
+        if kind is api.EndpointListKind.FAILED:
+            return api.EndpointListUpdate(ref.version, kind)
+        if ref.list_number not in self._endpoint_lists:
+            raise protocol.ProtocolError(f"endpoint list {ref.list_number} was never sent")
+        return api.EndpointListUpdate(ref.version, kind, self._endpoint_lists[ref.list_number])
 
 
-def _parse(params: bytes) -> dict[str, object]:
+def _parse_settings(params: bytes) -> dict[str, object]:
     try:
         raw = json.loads(params)
     except ValueError as error:
@@ -83,20 +83,20 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends between two of them."""
+    """Reply to batches until the input ends; an end inside a batch raises ProtocolError."""
     host = Host()
     while first := source.read(1):
         header = first + _read_exactly(source, protocol.BATCH_HEADER.size - 1)
         count, size, now_ns = protocol.BATCH_HEADER.unpack(header)
         if size < protocol.CLOCK_BYTES:
-            raise protocol.ProtocolError(f"batch length {size} leaves no room for the clock")
+            raise protocol.ProtocolError(f"batch length {size} is too short for the clock")
         body = _read_exactly(source, size - protocol.CLOCK_BYTES)
         sink.write(protocol.encode_reply(host.handle_batch(now_ns, count, body)))
         sink.flush()
 
 
 def main() -> int:
-    """Serve until the input ends; the exit status, 2 after a broken frame."""
+    """Serve until the input ends, and return the exit status: 2 after a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except protocol.ProtocolError as error:
--- a/anisespool/balancer/simulator/protocol.py
+++ b/anisespool/balancer/simulator/protocol.py
@@ -1,4 +1,4 @@
-"""Codec of the binary wire: little-endian records, unpadded; bytes <-> the interface's types."""
+"""Codec of the simulator's binary protocol: little-endian, unpadded records of the interface's types."""
 
 import struct
 from collections.abc import Callable
@@ -9,13 +9,13 @@
 from anisespool.balancer import interface as api
 
 BATCH_HEADER = struct.Struct("<IIQ")
-CLOCK_BYTES = 8  # the clock follows the length field and is counted by it
+CLOCK_BYTES = 8  # the clock follows the length field, and the length includes it
 REPLY_HEADER = struct.Struct("<II")
 
 _CODE = struct.Struct("<H")
 _INSTANCE = struct.Struct("<I")
 _BOOT = struct.Struct("<IQI")
-_SHEET = struct.Struct("<II")
+_NUMBERED_LIST = struct.Struct("<II")
 _LISTING = struct.Struct("<IfHHHBQ")
 _ENDPOINT_LIST = struct.Struct("<IQBI")
 _REQUEST = struct.Struct("<IQQQQHHB")
@@ -27,15 +27,15 @@
 _GOSSIP_RECEIVED = struct.Struct("<IHH")
 
 _OBSERVATION = struct.Struct("<IBBB")
-_DOUBLING_LEVEL = 16  # a gossiped figure of so many more is twice as much
-_AGE_NS = 50_000_000  # unit of a gossiped age
+_STEPS_PER_DOUBLING = 16  # gossip has logarithmic values: this many steps more are twice as much
+_AGE_UNIT_NS = 50_000_000  # gossip has ages in this unit
 
 _ALL_INSTANCES = 0xFFFFFFFF
 _MAX_TEXT_BYTES = 1000
 
 
 class RequestFlag(IntEnum):
-    """Bits of a request's flags."""
+    """The bits of a request's flags field."""
 
     HINT_VALID = 1
     IS_RETRY = 2
@@ -43,7 +43,7 @@
 
 
 class EventCode(IntEnum):
-    """The first field of an event's record."""
+    """The code that an event's record starts with."""
 
     BOOT = 1000
     ENDPOINT_LIST = 1010
@@ -59,7 +59,7 @@
 
 
 class ActionCode(IntEnum):
-    """The first field of an action's record."""
+    """The code that an action's record starts with."""
 
     FAIL = 1000
     SET_TIMER = 1010
@@ -76,72 +76,72 @@
 
 
 class ProtocolError(ValueError):
-    """The bytes are not a legal frame."""
+    """The bytes are not a valid frame."""
 
 
 class Boot(NamedTuple):
-    """An instance starts, with a seed and its settings as JSON."""
+    """An instance starts; `params` is its settings as JSON."""
 
     seed: int
     params: bytes
 
 
 class Stop(NamedTuple):
-    """An instance ends."""
+    """An instance stops."""
 
 
-class EndpointListSheet(NamedTuple):
-    """A numbered endpoint list, valid for the whole process until its number is used again."""
+class NumberedEndpointList(NamedTuple):
+    """An endpoint list that later events refer to by number, until the number is used again."""
 
     number: int
     entries: tuple[api.EndpointListing, ...]
 
 
 class EndpointListReference(NamedTuple):
-    """An endpoint list update whose entries are those of a numbered sheet."""
+    """An endpoint list update whose entries are those of a numbered list."""
 
     version: int
-    form: int
-    sheet: int
+    kind: int
+    list_number: int
 
 
-WireEvent = Union[api.Event, Boot, Stop, EndpointListSheet, EndpointListReference]
+WireEvent = Union[api.Event, Boot, Stop, NumberedEndpointList, EndpointListReference]
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, WireEvent]]:
-    """The (instance, event) pairs of a batch's records; a Sheet carries instance -1."""
+    """Return the instance and event of each record in a batch; a numbered list has the instance -1."""
     events: list[tuple[int, WireEvent]] = []
-    at = 0
+    offset = 0
     try:
         for _ in range(count):
-            (code,) = _CODE.unpack_from(body, at)
+            (code,) = _CODE.unpack_from(body, offset)
             reader = _READERS.get(code)
             if reader is None:
                 raise ProtocolError(f"unknown event code {code}")
-            instance, event, at = reader(body, at + 2)
+            instance, event, offset = reader(body, offset + 2)
             events.append((instance, event))
     except struct.error as error:
         raise ProtocolError(f"truncated record: {error}") from None
-    if at != len(body):
-        raise ProtocolError(f"{len(body) - at} bytes left after the last record")
+    if offset != len(body):
+        raise ProtocolError(f"{len(body) - offset} bytes left after the last record")
     return events
 
 
 _Record = tuple[int, WireEvent, int]
 
 
-def _take(body: bytes, at: int, size: int) -> tuple[bytes, int]:
-    if at + size > len(body):
-        raise ProtocolError("truncated record: a field runs past the frame")
-    return body[at : at + size], at + size
+def _read_bytes(body: bytes, offset: int, size: int) -> tuple[bytes, int]:
+    if offset + size > len(body):
+        raise ProtocolError("truncated record: a field extends beyond the frame")
+    return body[offset : offset + size], offset + size
 
 
-def _loads(body: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
-    raw, end = _take(body, at, 4 * count)
+def _read_load(body: bytes, offset: int, count: int) -> tuple[tuple[float, ...], int]:
+    raw, end = _read_bytes(body, offset, 4 * count)
     return struct.unpack(f"<{count}f", raw), end
 
 
-def _status(value: int) -> api.AttemptStatus:
+def _to_status(value: int) -> api.AttemptStatus:
     try:
         return _STATUSES[value]
     except IndexError:
@@ -151,36 +151,36 @@
 _STATUSES = tuple(api.AttemptStatus(n) for n in range(len(api.AttemptStatus)))
 
 
-def _read_boot(body: bytes, at: int) -> _Record:
-    instance, seed, size = _BOOT.unpack_from(body, at)
-    params, end = _take(body, at + _BOOT.size, size)
+def _read_boot(body: bytes, offset: int) -> _Record:
+    instance, seed, size = _BOOT.unpack_from(body, offset)
+    params, end = _read_bytes(body, offset + _BOOT.size, size)
     return instance, Boot(seed, params), end
 
 
-def _read_stop(body: bytes, at: int) -> _Record:
-    (instance,) = _INSTANCE.unpack_from(body, at)
-    return instance, Stop(), at + _INSTANCE.size
+def _read_stop(body: bytes, offset: int) -> _Record:
+    (instance,) = _INSTANCE.unpack_from(body, offset)
+    return instance, Stop(), offset + _INSTANCE.size
 
 
-def _read_sheet(body: bytes, at: int) -> _Record:
-    number, count = _SHEET.unpack_from(body, at)
-    raw, end = _take(body, at + _SHEET.size, count * _LISTING.size)
+def _read_numbered_list(body: bytes, offset: int) -> _Record:
+    number, count = _NUMBERED_LIST.unpack_from(body, offset)
+    raw, end = _read_bytes(body, offset + _NUMBERED_LIST.size, count * _LISTING.size)
     return (
         -1,
-        EndpointListSheet(number, tuple(map(api.EndpointListing._make, _LISTING.iter_unpack(raw)))),
+        NumberedEndpointList(number, tuple(map(api.EndpointListing._make, _LISTING.iter_unpack(raw)))),
         end,
     )
 
 
-def _read_endpoint_list(body: bytes, at: int) -> _Record:
-    instance, version, form, sheet = _ENDPOINT_LIST.unpack_from(body, at)
-    if form > api.EndpointListKind.CACHED:
-        raise ProtocolError(f"unknown roster form {form}")
-    return instance, EndpointListReference(version, form, sheet), at + _ENDPOINT_LIST.size
+def _read_endpoint_list(body: bytes, offset: int) -> _Record:
+    instance, version, kind, list_number = _ENDPOINT_LIST.unpack_from(body, offset)
+    if kind > api.EndpointListKind.CACHED:
+        raise ProtocolError(f"unknown endpoint list kind {kind}")
+    return instance, EndpointListReference(version, kind, list_number), offset + _ENDPOINT_LIST.size
 
 
-def _read_request(body: bytes, at: int) -> _Record:
-    instance, request, hint, key, remaining, tenant, flags, class_index = _REQUEST.unpack_from(body, at)
+def _read_request(body: bytes, offset: int) -> _Record:
+    instance, request, hint, key, remaining, tenant, flags, class_index = _REQUEST.unpack_from(body, offset)
     event = api.RequestArrived(
         request,
         class_index,
@@ -191,77 +191,81 @@
         bool(flags & RequestFlag.IS_RETRY),
         bool(flags & RequestFlag.IS_WRITE),
     )
-    return instance, event, at + _REQUEST.size
+    return instance, event, offset + _REQUEST.size
 
 
-def _read_first_byte(body: bytes, at: int) -> _Record:
-    instance, request, endpoint, latency, attempt = _FIRST_BYTE.unpack_from(body, at)
-    return instance, api.FirstByteReceived(request, endpoint, latency, attempt), at + _FIRST_BYTE.size
+def _read_first_byte(body: bytes, offset: int) -> _Record:
+    instance, request, endpoint, latency, attempt = _FIRST_BYTE.unpack_from(body, offset)
+    return instance, api.FirstByteReceived(request, endpoint, latency, attempt), offset + _FIRST_BYTE.size
 
 
-def _read_outcome(body: bytes, at: int) -> _Record:
-    fields = _OUTCOME.unpack_from(body, at)
+def _read_outcome(body: bytes, offset: int) -> _Record:
+    fields = _OUTCOME.unpack_from(body, offset)
     instance, request, endpoint, attempt, latency, status, finished, columns = fields
-    load, end = _loads(body, at + _OUTCOME.size, columns)
-    event = api.AttemptOutcome(request, endpoint, attempt, latency, _status(status), bool(finished), load)
+    load, end = _read_load(body, offset + _OUTCOME.size, columns)
+    event = api.AttemptOutcome(request, endpoint, attempt, latency, _to_status(status), bool(finished), load)
     return instance, event, end
 
 
-def _read_client_disconnected(body: bytes, at: int) -> _Record:
-    instance, request = _CLIENT_DISCONNECTED.unpack_from(body, at)
-    return instance, api.ClientDisconnected(request), at + _CLIENT_DISCONNECTED.size
+def _read_client_disconnected(body: bytes, offset: int) -> _Record:
+    instance, request = _CLIENT_DISCONNECTED.unpack_from(body, offset)
+    return instance, api.ClientDisconnected(request), offset + _CLIENT_DISCONNECTED.size
 
 
-def _read_timer_expired(body: bytes, at: int) -> _Record:
-    instance, token = _TIMER_EXPIRED.unpack_from(body, at)
-    return instance, api.TimerExpired(token), at + _TIMER_EXPIRED.size
+def _read_timer_expired(body: bytes, offset: int) -> _Record:
+    instance, token = _TIMER_EXPIRED.unpack_from(body, offset)
+    return instance, api.TimerExpired(token), offset + _TIMER_EXPIRED.size
 
 
-def _read_health_checked(body: bytes, at: int) -> _Record:
-    instance, status, endpoint, latency, columns = _HEALTH_CHECKED.unpack_from(body, at)
-    load, end = _loads(body, at + _HEALTH_CHECKED.size, columns)
-    return instance, api.HealthCheckResult(endpoint, _status(status), latency, load), end
+def _read_health_checked(body: bytes, offset: int) -> _Record:
+    instance, status, endpoint, latency, columns = _HEALTH_CHECKED.unpack_from(body, offset)
+    load, end = _read_load(body, offset + _HEALTH_CHECKED.size, columns)
+    return instance, api.HealthCheckResult(endpoint, _to_status(status), latency, load), end
 
 
-def _read_gossip(body: bytes, at: int) -> _Record:
-    instance, sender, size = _GOSSIP_RECEIVED.unpack_from(body, at)
-    data, end = _take(body, at + _GOSSIP_RECEIVED.size, size)
+def _read_gossip(body: bytes, offset: int) -> _Record:
+    instance, sender, size = _GOSSIP_RECEIVED.unpack_from(body, offset)
+    data, end = _read_bytes(body, offset + _GOSSIP_RECEIVED.size, size)
     return instance, _decode_gossip(sender, data), end
 
 
-_SLOWDOWNS = tuple(2.0 ** (n / _DOUBLING_LEVEL - 4) for n in range(256))  # a byte's value: 1/16 to 3800
-_QUEUES = tuple(2.0 ** (n / _DOUBLING_LEVEL) - 1 for n in range(256))
+_SLOWDOWN_BY_BYTE = tuple(
+    2.0 ** (n / _STEPS_PER_DOUBLING - 4) for n in range(256)
+)  # values by byte: 1/16 to 3800
+_QUEUE_BY_BYTE = tuple(2.0 ** (n / _STEPS_PER_DOUBLING) - 1 for n in range(256))
 
 
 def _decode_gossip(sender: int, data: bytes) -> api.GossipReceived:
-    """A peer may run another release: what is no message of this one carries nothing."""
+    """Decode a gossip message; one in another format, as of another release, has no content."""
     if not data or (len(data) - 1) % _OBSERVATION.size:
         return api.GossipReceived(sender)
     rows = _OBSERVATION.iter_unpack(data[1:])
-    seen = tuple(
+    observations = tuple(
         [
-            api.EndpointObservation(n, _SLOWDOWNS[slow], _QUEUES[queue], age * _AGE_NS)
-            for n, slow, queue, age in rows
+            api.EndpointObservation(
+                endpoint, _SLOWDOWN_BY_BYTE[slowdown], _QUEUE_BY_BYTE[queue], age * _AGE_UNIT_NS
+            )
+            for endpoint, slowdown, queue, age in rows
         ]
     )
-    return api.GossipReceived(sender, data[0] / 255, seen)
+    return api.GossipReceived(sender, data[0] / 255, observations)
 
 
-def _byte(value: float) -> int:
+def _clamp_to_byte(value: float) -> int:
     return max(0, min(255, round(value)))
 
 
 def _encode_gossip(queueing_ratio: float, observations: tuple[api.EndpointObservation, ...]) -> bytes:
     rows = [
         _OBSERVATION.pack(
-            s.endpoint,
-            _byte(_DOUBLING_LEVEL * (log2(max(s.slowdown, 1e-9)) + 4)),
-            _byte(_DOUBLING_LEVEL * log2(s.queue + 1)),
-            _byte(s.age_ns / _AGE_NS),
+            observation.endpoint,
+            _clamp_to_byte(_STEPS_PER_DOUBLING * (log2(max(observation.slowdown, 1e-9)) + 4)),
+            _clamp_to_byte(_STEPS_PER_DOUBLING * log2(observation.queue + 1)),
+            _clamp_to_byte(observation.age_ns / _AGE_UNIT_NS),
         )
-        for s in observations[: api.MAX_OBSERVED_ENDPOINTS]
+        for observation in observations[: api.MAX_OBSERVED_ENDPOINTS]
     ]
-    return bytes((_byte(255 * queueing_ratio),)) + b"".join(rows)
+    return bytes((_clamp_to_byte(255 * queueing_ratio),)) + b"".join(rows)
 
 
 _READERS: dict[int, Callable[[bytes, int], _Record]] = {
@@ -275,7 +279,7 @@
     EventCode.HEALTH_CHECKED: _read_health_checked,
     EventCode.GOSSIP_RECEIVED: _read_gossip,
     EventCode.STOP: _read_stop,
-    EventCode.SHEET: _read_sheet,
+    EventCode.SHEET: _read_numbered_list,
 }
 
 _FAIL = struct.Struct("<HIQ")
@@ -290,13 +294,13 @@
 _GOSSIP = struct.Struct("<HIIH")
 
 
-def _text(code: int, instance: int, text: str) -> bytes:
+def _encode_text(code: int, instance: int, text: str) -> bytes:
     raw = text.encode()[:_MAX_TEXT_BYTES].decode(errors="ignore").encode()
     return _TEXT.pack(code, instance, len(raw)) + raw
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """One action as a reply record."""
+    """Return the reply record of one action."""
     match action:
         case api.Send(request, endpoint, timeout):
             return _SEND.pack(ActionCode.SEND, instance, request, endpoint, timeout)
@@ -309,9 +313,9 @@
         case api.Cancel(request, attempt):
             return _CANCEL.pack(ActionCode.CANCEL, instance, request, attempt)
         case api.Fault(text):
-            return _text(ActionCode.FAULT, instance, text)
+            return _encode_text(ActionCode.FAULT, instance, text)
         case api.Log(text):
-            return _text(ActionCode.LOG, instance, text)
+            return _encode_text(ActionCode.LOG, instance, text)
         case api.FetchEndpointList():
             return _FETCH.pack(ActionCode.FETCH_ENDPOINT_LIST, instance)
         case api.CloseIdleConnections(endpoint):
@@ -327,6 +331,6 @@
 
 
 def encode_reply(actions: list[tuple[int, api.Action]]) -> bytes:
-    """The reply to one batch: the actions of all instances, in order."""
+    """Return the reply to one batch: the actions of all instances, in order."""
     body = b"".join([encode_action(instance, action) for instance, action in actions])
     return REPLY_HEADER.pack(len(actions), len(body)) + body
--- a/tests/balancer/test_simulator_protocol.py
+++ b/tests/balancer/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The codec, on frames written for these tests, and the adapter over a pipe."""
+"""The simulator's protocol: the codec, and the host process over a pipe."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def boot(instance: int, raw: object, seed: int = 7) -> bytes:
+def boot_record(instance: int, raw: object, seed: int = 7) -> bytes:
     params = json.dumps(raw).encode()
     return struct.pack("<HIQI", 1000, instance, seed, len(params)) + params
 
 
-def sheet(number: int, listings: list[api.EndpointListing]) -> bytes:
+def numbered_list_record(number: int, listings: list[api.EndpointListing]) -> bytes:
     entries = b"".join(struct.pack("<IfHHHBQ", *row) for row in listings)
     return struct.pack("<HII", 1100, number, len(listings)) + entries
 
 
-def roster(instance: int, form: int, number: int) -> bytes:
-    return struct.pack("<HIQBI", 1010, instance, 3, form, number)
+def list_update_record(instance: int, kind: int, list_number: int) -> bytes:
+    return struct.pack("<HIQBI", 1010, instance, 3, kind, list_number)
 
 
-def arrival(instance: int, request: int, cls: int = 0, left_ns: int = SECOND) -> bytes:
+def request_record(instance: int, request: int, cls: int = 0, left_ns: int = SECOND) -> bytes:
     return struct.pack("<HIQQQQHHB", 1020, instance, request, 30 * MS, 99, left_ns, 1, 1 | 4, cls)
 
 
@@ -44,9 +44,9 @@
 
 def test_decodes_every_event() -> None:
     records = [
-        sheet(2, [listed(11, weight=1.5, cell=3, machine_type=1, zone=2, started_ns=77)]),
-        roster(4, 1, 2),
-        arrival(4, 1 << 51),
+        numbered_list_record(2, [listed(11, weight=1.5, cell=3, machine_type=1, zone=2, started_ns=77)]),
+        list_update_record(4, 1, 2),
+        request_record(4, 1 << 51),
         struct.pack("<HIQIQH", 1030, 4, 8, 11, 60, 1),
         struct.pack("<HIQIHQBBB2f", 1040, 4, 8, 11, 1, 60, 3, 0, 2, 0.5, 8.0),
         struct.pack("<HIQ", 1050, 4, 8),
@@ -54,10 +54,10 @@
         struct.pack("<HIBIQBf", 1070, 4, 1, 11, 60, 1, 2.0),
         struct.pack("<HIHH", 1080, 4, 2, 3) + b"abc",
         struct.pack("<HI", 1090, 4),
-        boot(4, {}, seed=9),
+        boot_record(4, {}, seed=9),
     ]
     assert protocol.decode_batch(len(records), b"".join(records)) == [
-        (-1, protocol.EndpointListSheet(2, (api.EndpointListing(11, 1.5, 3, 1, 2, 1, 77),))),
+        (-1, protocol.NumberedEndpointList(2, (api.EndpointListing(11, 1.5, 3, 1, 2, 1, 77),))),
         (4, protocol.EndpointListReference(3, 1, 2)),
         (4, api.RequestArrived(1 << 51, 0, SECOND, 30 * MS, 99, 1, False, True)),
         (4, api.FirstByteReceived(8, 11, 60, 1)),
@@ -65,7 +65,7 @@
         (4, api.ClientDisconnected(8)),
         (4, api.TimerExpired(21)),
         (4, api.HealthCheckResult(11, api.AttemptStatus.OK, 60, (2.0,))),
-        (4, api.GossipReceived(2)),  # a payload of no known form holds nothing
+        (4, api.GossipReceived(2)),  # a payload in an unknown format has no content
         (4, protocol.Stop()),
         (4, protocol.Boot(9, b"{}")),
     ]
@@ -101,38 +101,48 @@
     ("count", "body", "text"),
     [
         (1, struct.pack("<H", 9), "unknown event code 9"),
-        (1, arrival(4, 8)[:-1], "truncated"),
-        (1, arrival(4, 8) + b"z", "left after"),
+        (1, request_record(4, 8)[:-1], "truncated"),
+        (1, request_record(4, 8) + b"z", "left after"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 3, 0, 2), "truncated"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 99, 0, 0), "unknown status"),
-        (1, roster(4, 9, 0), "unknown roster form"),
-        (2, arrival(4, 8), "truncated"),
+        (1, list_update_record(4, 9, 0), "unknown endpoint list kind"),
+        (2, request_record(4, 8), "truncated"),
     ],
 )
-def test_malformed_frames_are_named(count: int, body: bytes, text: str) -> None:
+def test_malformed_frames_raise_an_error_that_names_the_fault(count: int, body: bytes, text: str) -> None:
     with pytest.raises(protocol.ProtocolError, match=text):
         protocol.decode_batch(count, body)
 
 
-def test_a_list_number_means_the_latest_list_so_far() -> None:
+def test_a_list_number_refers_to_the_latest_list_sent_under_it() -> None:
     host = Host()
-    first = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
-    second = [sheet(0, [listed(12)]), roster(1, 2, 0), arrival(1, 2)]
+    first = [
+        boot_record(1, raw_settings()),
+        numbered_list_record(0, [listed(11)]),
+        list_update_record(1, 3, 0),
+        request_record(1, 1),
+    ]
+    second = [numbered_list_record(0, [listed(12)]), list_update_record(1, 2, 0), request_record(1, 2)]
     records = b"".join(first + second)
     reply = host.handle_batch(SECOND, len(first + second), records)
     chosen = [a.endpoint for _, a in reply if isinstance(a, api.Send)]
     assert chosen == [11, 12]
 
 
-def test_kill_and_restart_in_one_batch_drops_all_state() -> None:
+def test_a_stop_and_boot_in_one_batch_drop_all_state() -> None:
     host = Host()
-    start = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
+    start = [
+        boot_record(1, raw_settings()),
+        numbered_list_record(0, [listed(11)]),
+        list_update_record(1, 3, 0),
+        request_record(1, 1),
+    ]
     host.handle_batch(SECOND, len(start), b"".join(start))
     again = [
         struct.pack("<HI", 1090, 1),
-        boot(1, raw_settings()),
-        sheet(0, []),
-        roster(1, 3, 0),
+        boot_record(1, raw_settings()),
+        numbered_list_record(0, []),
+        list_update_record(1, 3, 0),
         struct.pack("<HIQ", 1050, 1, 1),
     ]
     assert host.handle_batch(2 * SECOND, len(again), b"".join(again)) == []
@@ -160,25 +170,25 @@
         (raw_settings(allowed__attempts_cap=0), "allowed.attempts-cap: 0 is not above 0"),
         (settings_with_negative_objective(), "request-classes[1].target-ns: -5 is not above 0"),
     ],
-    ids=["missing", "wrong type", "no object", "infinite", "not above 0", "negative"],
+    ids=["missing", "wrong type", "not an object", "infinite", "not above 0", "negative"],
 )
-def test_settings_at_fault_become_the_failure_action(raw: object, text: str) -> None:
-    [(instance, action)] = Host().handle_batch(SECOND, 1, boot(3, raw))
+def test_invalid_settings_return_a_fault_action(raw: object, text: str) -> None:
+    [(instance, action)] = Host().handle_batch(SECOND, 1, boot_record(3, raw))
     assert instance == 3
     assert isinstance(action, api.Fault)
     assert text in action.text
 
 
-def test_an_exception_while_deciding_becomes_the_failure_action_of_that_instance() -> None:
+def test_an_exception_returns_a_fault_action_for_that_instance_only() -> None:
     host = Host()
     start = [
-        boot(1, raw_settings()),
-        boot(2, raw_settings()),
-        sheet(0, [listed(11)]),
-        roster(1, 3, 0),
-        roster(2, 3, 0),
-        arrival(1, 1, cls=200),
-        arrival(2, 2),
+        boot_record(1, raw_settings()),
+        boot_record(2, raw_settings()),
+        numbered_list_record(0, [listed(11)]),
+        list_update_record(1, 3, 0),
+        list_update_record(2, 3, 0),
+        request_record(1, 1, cls=200),
+        request_record(2, 2),
     ]
     reply = host.handle_batch(SECOND, len(start), b"".join(start))
     [(instance, fault)] = [(i, a) for i, a in reply if isinstance(a, api.Fault)]
@@ -193,16 +203,18 @@
     assert api.Settings.from_dict(raw) == api.Settings.from_dict(raw_settings())
 
 
-def run_sim(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_simulator_command(data: bytes) -> subprocess.CompletedProcess[bytes]:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     return subprocess.run(
         ["/bin/sh", "-c", deploy["sim"]], input=data, capture_output=True, cwd=ROOT, timeout=60
     )
 
 
-def test_the_deploy_files_own_command_answers_over_a_pipe() -> None:
-    start = batch([boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0)])
-    done = run_sim(batch([]) + start + batch([arrival(1, 5)]))
+def test_the_command_in_the_deploy_file_replies_over_a_pipe() -> None:
+    start = batch(
+        [boot_record(1, raw_settings()), numbered_list_record(0, [listed(11)]), list_update_record(1, 3, 0)]
+    )
+    done = run_simulator_command(batch([]) + start + batch([request_record(1, 5)]))
     assert done.returncode == 0, done.stderr
     assert done.stdout.startswith(struct.pack("<II", 0, 0) * 2)
     assert struct.pack("<HIQI", 1090, 1, 5, 11) in done.stdout
@@ -211,17 +223,17 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"\x01", batch([arrival(1, 1)])[:-3], batch([b"\x00\x00"]), struct.pack("<IIQ", 0, 3, 0)],
-    ids=["half a header", "record cut off", "unknown code", "no room for the clock"],
+    [b"\x01", batch([request_record(1, 1)])[:-3], batch([b"\x00\x00"]), struct.pack("<IIQ", 0, 3, 0)],
+    ids=["truncated header", "truncated record", "unknown code", "too short for the clock"],
 )
-def test_a_broken_frame_ends_the_adapter_with_one_line(data: bytes) -> None:
-    done = run_sim(batch([]) + data)
+def test_a_malformed_frame_ends_the_process_with_one_line_on_standard_error(data: bytes) -> None:
+    done = run_simulator_command(batch([]) + data)
     assert done.returncode != 0
     assert done.stdout == struct.pack("<II", 0, 0)
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_a_gossip_message_is_decoded_within_its_steps() -> None:
+def test_a_gossip_message_is_decoded_within_its_resolution() -> None:
     observations = tuple(
         api.EndpointObservation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50)
     )
@@ -233,8 +245,8 @@
     assert isinstance(message, api.GossipReceived)
     assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVED_ENDPOINTS)
     assert message.queueing_ratio == pytest.approx(0.4, abs=0.003)
-    for was, now in zip(observations, message.observations, strict=False):
-        assert now.endpoint == was.endpoint
-        assert now.slowdown == pytest.approx(was.slowdown, rel=0.03)
-        assert now.queue + 1 == pytest.approx(was.queue + 1, rel=0.03)
-        assert now.age_ns == pytest.approx(was.age_ns, abs=25 * MS)
+    for sent, received in zip(observations, message.observations, strict=False):
+        assert received.endpoint == sent.endpoint
+        assert received.slowdown == pytest.approx(sent.slowdown, rel=0.03)
+        assert received.queue + 1 == pytest.approx(sent.queue + 1, rel=0.03)
+        assert received.age_ns == pytest.approx(sent.age_ns, abs=25 * MS)
