--- a/anisespool/balancer/retry/__init__.py
+++ b/anisespool/balancer/retry/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a request gets another attempt: idempotency, budget, time-out; and whether its client retries."""
+"""Retries: whether another attempt is allowed, attempt time-outs, and detection of clients' own retries."""
--- a/anisespool/balancer/retry/budget.py
+++ b/anisespool/balancer/retry/budget.py
@@ -1,26 +1,26 @@
-"""The retry budget: a token bucket, so that retries can't feed an overload."""
+"""The retry budget: a token bucket that limits the load that retries add during an overload."""
 
 from __future__ import annotations
 
-TOKENS_PER_REQUEST = 0.2  # retries are at most a fifth of the requests in the long run
+TOKENS_PER_REQUEST = 0.2  # limits retries to a fifth of the requests in the long run
 MAX_RETRY_TOKENS = 50.0
 INITIAL_RETRY_TOKENS = 10.0
 
 
 class RetryBudget:
-    """Tokens: each new request adds a part of one, each retry takes one."""
+    """A token bucket: each new request adds a fraction of a token, and each retry consumes one."""
 
     def __init__(self) -> None:
         self.tokens = INITIAL_RETRY_TOKENS
 
     def record_request(self) -> None:
-        """Add the tokens of a new request."""
+        """Add a new request's fraction of a token."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def has_token(self) -> bool:
-        """Return whether a retry can be afforded now."""
+        """Return whether the budget allows a retry now."""
         return self.tokens >= 1
 
     def consume(self) -> None:
-        """Take the token of a retry."""
+        """Consume the token of a retry."""
         self.tokens -= 1
--- a/anisespool/balancer/retry/client_retries.py
+++ b/anisespool/balancer/retry/client_retries.py
@@ -1,47 +1,47 @@
-"""Is a request a client's retry, and how long has the client waited already?
+"""Detects requests that are a client's own retries, and how long the client has waited already.
 
-A request does not carry it. But a client gives each first attempt of a class the same time (the class's usual
-one), and a retry what is left of the deadline. In an overload most work would otherwise go to retries that
-can't be answered in time.
+A request does not carry this information. But a client gives every first attempt of a class the same time,
+and a retry only what is left of the deadline. Without the detection, most work in an overload would go to
+retries that can't be answered in time.
 """
 
 from anisespool.balancer.interface import RequestArrived, Settings
 
 MAX_VOTES = 100
-MIN_MAJORITY_VOTES = 4  # from this lead on the usual time of a class is known
+MIN_MAJORITY_VOTES = 4  # lead from which on a class's usual time counts as known
 
 
-class UsualTime:
-    """The majority vote (Boyer-Moore) on the time that clients give a request of one class.
+class RemainingTimeVote:
+    """A Boyer-Moore majority vote on the time that clients give requests of one class.
 
     Attributes:
-        remaining_ns: The time.
-        votes: Its lead over all other times.
+        remaining_ns: The candidate: the usual time.
+        lead: Votes for the candidate minus votes for all other times.
     """
 
-    __slots__ = ("remaining_ns", "votes")
+    __slots__ = ("remaining_ns", "lead")
 
     def __init__(self) -> None:
         self.remaining_ns = 0
-        self.votes = 0
+        self.lead = 0
 
 
 class ClientRetryDetector:
-    """Estimates how long a client has waited on earlier attempts of its own."""
+    """Estimates how long a client has waited for its own earlier attempts of the same request."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._usual = [UsualTime() for _ in settings.classes]
+        self._votes_by_class = [RemainingTimeVote() for _ in settings.classes]
 
     def waited_ns(self, event: RequestArrived) -> int:
-        """Return the wait before this request, 0 if it is a first attempt; count its vote."""
+        """Count a request's vote, and return how long its client has waited; 0 for a first attempt."""
         class_index = event.class_index
-        usual = self._usual[class_index]
-        votes = usual.votes
-        if not votes:
-            usual.remaining_ns = event.remaining_ns
-        is_usual = abs(event.remaining_ns - usual.remaining_ns) <= self._settings.resolution_ns
-        usual.votes = min(votes + 1, MAX_VOTES) if is_usual else votes - 1
-        if is_usual or votes < MIN_MAJORITY_VOTES:
+        vote = self._votes_by_class[class_index]
+        lead = vote.lead
+        if not lead:
+            vote.remaining_ns = event.remaining_ns
+        is_usual = abs(event.remaining_ns - vote.remaining_ns) <= self._settings.resolution_ns
+        vote.lead = min(lead + 1, MAX_VOTES) if is_usual else lead - 1
+        if is_usual or lead < MIN_MAJORITY_VOTES:
             return 0
         return max(0, self._settings.classes[class_index].deadline_ns - event.remaining_ns)
--- a/anisespool/balancer/retry/idempotency.py
+++ b/anisespool/balancer/retry/idempotency.py
@@ -1,7 +1,7 @@
-"""Is a repeat of a request harmless, or could it have a second effect?
+"""The rules for when a request may be repeated without a second effect.
 
-Two parties may repeat a request: this sidecar, to any endpoint that it chooses (a retry), and the client,
-which reaches any endpoint of the fleet. The same rule serves the decision module and the proxy.
+The sidecar can repeat a request at an endpoint that it chooses. A client can repeat it too, and that attempt
+may reach any endpoint of the fleet. The decision module and the proxy use the same rules.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
     """Return whether this sidecar may send the request again, within its deduplication scope and window.
 
     Args:
-        request_class: With its idempotency.
-        may_have_executed: An earlier attempt may have had its effect.
+        request_class: The class of the request.
+        may_have_executed: Whether an earlier attempt may have been executed.
     """
     return not may_have_executed or request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
 
 def may_client_retry(request_class: RequestClass, may_have_executed: bool) -> bool:
-    """Return whether a retry by the client is harmless: its request may be rejected (503).
+    """Return whether a retry by the client is harmless, so that its request may be rejected (503).
 
-    An idempotency key counts only where every endpoint deduplicates it: the client's next attempt may reach
-    any.
+    An idempotency key suffices only if all endpoints deduplicate it, as the client's next attempt may reach
+    any of them.
 
     Args:
-        request_class: With its idempotency and deduplication scope.
-        may_have_executed: An earlier attempt may have had its effect.
+        request_class: The class of the request.
+        may_have_executed: Whether an earlier attempt may have been executed.
     """
     if not may_have_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/anisespool/balancer/selection/__init__.py
+++ b/anisespool/balancer/selection/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint an attempt goes to: subset, then eligible endpoints, then a weighted random choice."""
+"""Endpoint selection: the subset, the eligible endpoints in it, then a weighted random choice."""
--- a/anisespool/balancer/selection/eligibility.py
+++ b/anisespool/balancer/selection/eligibility.py
@@ -1,4 +1,4 @@
-"""To which endpoints may this attempt go?"""
+"""The endpoints that an attempt may be sent to."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from anisespool.balancer.interface import DedupScope, Idempotency, Settings
 from anisespool.balancer.request import PendingRequest
 
-TRANSIT_RESOLUTION_MULTIPLE = 4  # clock steps that a repeat may need to arrive, besides connecting
+TRANSIT_RESOLUTION_MULTIPLE = 4  # clock steps that a retry may need to arrive once it is connected
 
 
 class Eligibility:
-    """Eligible endpoints of an attempt: within its deduplication scope and window, untried ones first.
+    """Selects the endpoints that may get a request's next attempt; those without an earlier one come first.
 
     Attributes:
-        max_transit_ns: From the decision to send a repeat until the endpoint has it.
+        max_transit_ns: Longest time from the decision to retry until the request is at the endpoint.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -21,16 +21,16 @@
         self.max_transit_ns = settings.connect_timeout_ns + clock_ns + settings.answer_slack_ns
 
     def eligible(self, request: PendingRequest, subset: list[Endpoint], now: int) -> list[Endpoint]:
-        """Return those of the subset that the request may go to next; empty: none.
+        """Return the endpoints of the subset that may get the request's next attempt; there may be none.
 
         Args:
-            request: With its earlier attempts.
+            request: The request, with its earlier attempts.
             subset: The ready endpoints that this sidecar uses.
             now: Monotonic ns.
         """
         may_have_executed = request.possibly_executed()
         if may_have_executed and request.request_class.idempotency is Idempotency.WITH_KEY:
-            # Outside of its deduplication scope and window a repeat is a second effect.
+            # Outside the deduplication scope and window, a retry may be executed a second time.
             first = may_have_executed[0]
             window_end_at = first.sent_at + request.request_class.dedup_window_ns
             if now + self.max_transit_ns >= window_end_at:
@@ -43,7 +43,7 @@
 
 
 def _in_scope(endpoints: list[Endpoint], executed_by: Endpoint, scope: DedupScope) -> list[Endpoint]:
-    """Return the endpoints that deduplicate what `executed_by` may have executed."""
+    """Return the endpoints that deduplicate a request which `executed_by` may have executed."""
     listing = executed_by.listing
     if scope is DedupScope.ALL:
         return endpoints
--- a/anisespool/balancer/selection/key_affinity.py
+++ b/anisespool/balancer/selection/key_affinity.py
@@ -1,4 +1,4 @@
-"""Which endpoint is likely to have cached what a key needs?"""
+"""Key affinity: prefers the endpoint that is likely to have a key's data in its cache."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from anisespool.balancer.hashing import hash_pair
 from anisespool.balancer.interface import Settings
 
-AFFINITY_SHARE = 0.6  # of the number of candidates, by which the affine endpoint's weight is multiplied
+AFFINITY_SHARE = 0.6  # the affine endpoint's weight is multiplied by this share of the number of candidates
 
 
 def affine_endpoint(settings: Settings, key: int, candidates: list[Endpoint]) -> Endpoint | None:
-    """Return the endpoint that all sidecars of a zone prefer for a key, by rendezvous hashing.
+    """Return the endpoint that all sidecars of a zone prefer for a key, by rendezvous hashing, or None.
 
     Args:
-        settings: Whether keys have affinity at all, and the sidecar's zone.
-        key: Of the request; 0: none.
-        candidates: Eligible endpoints; those of the local zone go first.
+        settings: The settings that enable key affinity and name the sidecar's zone.
+        key: The request's key; 0: none.
+        candidates: Eligible endpoints. Only those in the local zone are considered, if there are any.
     """
     if not key or not settings.key_affinity:
         return None
@@ -24,5 +24,5 @@
 
 
 def affinity_factor(candidate_count: int) -> float:
-    """Return the factor by which the affine endpoint's weight is raised."""
+    """Return the factor by which the affine endpoint's weight is multiplied."""
     return max(1.0, AFFINITY_SHARE * candidate_count)
--- a/anisespool/balancer/selection/slow_start.py
+++ b/anisespool/balancer/selection/slow_start.py
@@ -1,8 +1,8 @@
-"""How much may endpoints that are warming up get? Caps on their weights.
+"""Slow start: caps the weights of endpoints that are warming up.
 
-An endpoint that is sent too much while it warms up falls over. Its share of what is answered (not of what is
-sent: that has no bound) is capped at a multiple of its part by configured weight; so is the share of all that
-are warming up together.
+An endpoint that is sent too much while it warms up fails. Its share of the work is therefore capped at a
+multiple of its share by configured weight, and so is the share of all warming endpoints together. Shares are
+taken of the completed work, not of the work sent, which has no bound.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SlowStart:
-    """Slow start of all endpoints of one sidecar; work is counted in expected latencies."""
+    """Slow start at one sidecar; work is the sum of the attempts' expected latencies."""
 
     def __init__(self, settings: api.Settings) -> None:
         self._settings = settings
@@ -23,19 +23,19 @@
         self._completed_work = DecayingValue(half_life_ns)
 
     def record_sent(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
-        """Count the work of a new attempt."""
+        """Add the work of an attempt that is sent now."""
         if endpoint.warmup_limiter:
             endpoint.warmup_limiter.sent.add(now, expected_latency_ns)
         self._offered_work.add(now, expected_latency_ns)
 
     def record_completed(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
-        """Count the work of an attempt that succeeded."""
+        """Add the work of an attempt that succeeded."""
         self._completed_work.add(now, expected_latency_ns)
         if endpoint.warmup_limiter:
             endpoint.warmup_limiter.answered.add(now, expected_latency_ns)
 
     def update_factor(self, endpoint: Endpoint, now: int) -> float:
-        """Set and return the share of its capacity that an endpoint is guaranteed to have reached."""
+        """Update and return the share of full capacity that a warming endpoint is guaranteed to have."""
         initial = self._settings.initial_capacity
         age_ns = max(0, now - endpoint.listing.started_ns)
         endpoint.slow_start_factor = initial + (1 - initial) * age_ns / self._settings.warmup_ns
@@ -44,10 +44,10 @@
     def cap_weights(
         self, candidates: list[Endpoint], weights: list[float], now: int, expected_latency_ns: float = 1.0
     ) -> float:
-        """Cap the weights of the candidates that are warming up, in place; warm ones get the excess.
+        """Cap the weights of warming candidates, in place; the warm candidates get the excess.
 
         Returns:
-            The weight of sending to none, where all are warming up.
+            The weight of not sending now: the excess if all candidates are warming up, else 0.
         """
         planned = sum(weights) * PLANNED_ALLOWANCE_SHARE * self._settings.overload_multiple
         total_weight = sum(e.weight for e in candidates) or 1.0
@@ -58,7 +58,7 @@
 
 
 def _cap(endpoint: Endpoint, cap_per_weight: float, now: int, expected_latency_ns: float) -> float | None:
-    """Return the cap on an endpoint's weight; None: it is warm."""
+    """Return the cap on an endpoint's weight, or None if it is warm."""
     limiter = endpoint.warmup_limiter
     if now >= endpoint.warm_at or not limiter:
         return None
@@ -68,7 +68,7 @@
 
 
 def _apply_caps(weights: list[float], caps: list[float | None]) -> float:
-    """Cut each weight to its cap (None: it is warm), in place; return the excess that no warm one takes."""
+    """Apply the caps (None: no cap) in place; return the excess that no warm endpoint gets."""
     excess = 0.0
     warm = [index for index, cap in enumerate(caps) if cap is None]
     for index, cap in enumerate(caps):
--- a/anisespool/balancer/selection/subsetting.py
+++ b/anisespool/balancer/selection/subsetting.py
@@ -1,19 +1,20 @@
-"""Which endpoints does this sidecar use at all? Weighed in docs/standing.md.
+"""Subsetting: the endpoints that one sidecar uses. Costs and benefits: docs/standing.md.
 
-Hundreds of sidecars connected to every endpoint would fill its connection table, and each would get too few
-samples of any endpoint. So each sidecar has its own order of the endpoints, and uses the first of it.
+If hundreds of sidecars connected to every endpoint, they would fill the endpoints' connection tables, and
+each sidecar would get too few samples of any endpoint. So each sidecar has its own order of the endpoints,
+and uses only the first of them.
 """
 
 from __future__ import annotations
 
 from anisespool.balancer.endpoint import Endpoint
 
-MIN_SUBSET_ENDPOINTS = 8  # however low the request rate
+MIN_SUBSET_ENDPOINTS = 8  # also at the lowest request rate
 NS_PER_SUBSET_ENDPOINT = (
-    1_000_000_000  # one more endpoint for each request in that time: each is sampled often
+    1_000_000_000  # one more endpoint per request in this time, so that each is sampled often
 )
-LOCAL_SPACING_ENDPOINTS = 1.5  # of any three in the order two are in the local zone,
-REMOTE_SPACING_ENDPOINTS = 3.0  # and one is not
+LOCAL_SPACING_ENDPOINTS = 1.5  # two of three consecutive endpoints are in the local zone
+REMOTE_SPACING_ENDPOINTS = 3.0  # one of three is in another zone
 
 
 def subset_size(request_rate_per_ns: float) -> int:
@@ -22,14 +23,13 @@
 
 
 def order_by_rank(endpoints: list[Endpoint], local_zone: int | None) -> list[Endpoint]:
-    """Return the endpoints by rank; with a local zone, two of it for each one that is elsewhere.
+    """Return the endpoints by rank; with a local zone, two of its endpoints for each one in another zone.
 
-    With none of another zone among the first, a sidecar whose zone falls silent would have nowhere to send
-    to.
+    A subset within the local zone would leave the sidecar without a working endpoint if that zone fails.
 
     Args:
-        endpoints: In any order.
-        local_zone: The sidecar's own, where requests to other zones cost more; None: they don't.
+        endpoints: Endpoints in any order.
+        local_zone: The sidecar's zone if requests to other zones have a cost, else None.
     """
     ranked = sorted(endpoints, key=lambda e: e.rank)
     if local_zone is None:
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -1,9 +1,9 @@
-"""May one more request go to an endpoint that is warming up?
+"""Limits the work sent to one endpoint that is warming up.
 
-One that is sent more than `overload_multiple` times what it can do, within any `overload_window_ns`, falls
-over and stays down; requests that it rejects count too. With few other endpoints a cap on its share of the
-choices (slow_start.py) is no bound, so what this sidecar sends is limited by what the endpoint answers as
-well.
+A warming endpoint that is sent more than `overload_multiple` times its capacity, within any
+`overload_window_ns`, fails and stays down; requests that it rejects count too. With few other endpoints,
+the cap on its weight (slow_start.py) does not prevent this, so the work sent is also limited by the work that
+the endpoint has answered.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.estimates.decaying_value import RATE_NORMALIZATION_FACTOR, DecayingValue
 
-PLANNED_ALLOWANCE_SHARE = 0.6  # of the allowance: traffic is uneven, estimates are rough
-INITIAL_WARMUP_REQUESTS = 1.5  # of decaying work sent, to an endpoint that has answered nothing yet
-HALF_LIFE_WINDOW_PERCENT = 25  # of the overload window
+PLANNED_ALLOWANCE_SHARE = 0.6  # part of the allowance that is used: traffic is uneven and estimates are rough
+INITIAL_WARMUP_REQUESTS = 1.5  # decaying work allowed before the endpoint has answered, in requests
+HALF_LIFE_WINDOW_PERCENT = 25  # part of the overload window that is the half-life of both rates
 
 
 class WarmupLimiter:
-    """Compares work sent to one endpoint with work that it answered, both in expected latencies.
+    """Compares the work sent to one endpoint with the work it answered, both as sums of expected latencies.
 
     Attributes:
-        allowance: How many times what the endpoint answers this sidecar sends at most.
+        allowance: Maximum ratio of the work sent to the work answered.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -31,7 +31,7 @@
         self._initial_rate = INITIAL_WARMUP_REQUESTS * RATE_NORMALIZATION_FACTOR / self.sent.half_life_ns
 
     def allows(self, now: int, expected_latency_ns: float) -> bool:
-        """Return whether a request of this expected latency may go there `now` (monotonic ns)."""
+        """Return whether a request with this expected latency may be sent at `now` (monotonic ns)."""
         initial = self._initial_rate * expected_latency_ns
         answered = self.allowance * self.answered.read(now)
         return self.sent.read(now) + initial / INITIAL_WARMUP_REQUESTS <= answered + initial
--- a/anisespool/balancer/selection/weights.py
+++ b/anisespool/balancer/selection/weights.py
@@ -1,7 +1,7 @@
-"""Which eligible endpoint gets the attempt? A random choice, weighted by load, slowdown and cost.
+"""Selects the endpoint of an attempt by a random choice, weighted by load, slowdown and cost.
 
-w_i = (L_i + 1) * x_i for each eligible endpoint i, with L_i its effective load (estimates/load.py) and x_i
-its slowdown (estimates/slowdown.py); its weight is 1 / w_i (docs/design.md).
+The weight of an eligible endpoint i is 1 / w_i with w_i = (L_i + 1) * x_i, where L_i is its effective load
+(estimates/load.py) and x_i its slowdown (estimates/slowdown.py). See docs/design.md.
 """
 
 from random import Random
@@ -14,33 +14,33 @@
 from anisespool.balancer.selection.key_affinity import affine_endpoint, affinity_factor
 from anisespool.balancer.selection.slow_start import SlowStart
 
-CROSS_ZONE_COST_OBJECTIVES = 20.0  # for a cost of one request's value
-HANDSHAKE_COST_OBJECTIVES = 100.0  # the same; more, as endpoints with open connections have answered well
+CROSS_ZONE_COST_OBJECTIVES = 20.0  # latency objectives that a cost of one request's value counts as
+HANDSHAKE_COST_OBJECTIVES = 100.0  # higher, as endpoints with open connections have answered well
 MIN_DIVISOR_LATENCIES = 1e-9
 
 
 class Weights(NamedTuple):
-    """Weights of a random choice."""
+    """The weights of one random choice."""
 
     by_candidate: list[float]
     no_send: float
-    """Of sending to none of the candidates now."""
+    """Weight of sending to none of the candidates now."""
 
 
 class CostFactors(NamedTuple):
-    """By which w_i is multiplied."""
+    """Factors on w_i."""
 
     cross_zone: float
-    """At an endpoint of another zone."""
+    """Factor for an endpoint in another zone."""
     handshake: float
-    """At an endpoint without an idle connection."""
+    """Factor for an endpoint without an idle connection."""
 
 
 NO_COSTS = CostFactors(1.0, 1.0)
 
 
 class EndpointSelector:
-    """Chooses the endpoint of an attempt."""
+    """Selects the endpoint of each attempt."""
 
     def __init__(self, settings: api.Settings, estimates: Estimates, random: Random) -> None:
         self._settings = settings
@@ -52,12 +52,12 @@
     def choose(
         self, request: PendingRequest, candidates: list[Endpoint], expected_latency_ns: float, now: int
     ) -> Endpoint | None:
-        """Return one of the candidates, at random by their weights; None: none may be sent to now.
+        """Return a random candidate by weight, or None if the draw is not to send now.
 
         Args:
-            request: To be sent.
+            request: The request to send.
             candidates: Eligible endpoints, at least one.
-            expected_latency_ns: Typical latency of the request.
+            expected_latency_ns: Expected latency of the request.
             now: Monotonic ns.
         """
         weights = self.weights(request, candidates, expected_latency_ns, now)
@@ -66,7 +66,7 @@
     def weights(
         self, request: PendingRequest, candidates: list[Endpoint], expected_latency_ns: float, now: int
     ) -> Weights:
-        """Return the candidates' weights, lowered by the costs that the settings name."""
+        """Return the candidates' weights, reduced by the costs in the settings."""
         settings = self._settings
         loads = self._estimates.loads
         slowdowns = self._estimates.slowdowns
@@ -78,14 +78,14 @@
         affinity = affinity_factor(len(candidates))
         weights = []
         some_warming_up = False
-        for endpoint in candidates:  # inline: this runs for each candidate of each attempt
+        for endpoint in candidates:  # written without helpers, as it runs for each candidate of each attempt
             slowdown = slowdowns.slowdown(endpoint, now, class_index)
             divisor = (loads.effective_load(endpoint, now) + 1) * slowdown
             if now < endpoint.warm_at:
                 divisor /= self.slow_start.update_factor(endpoint, now)
                 some_warming_up = True
             elif not endpoint.idle_connections:
-                # Not for one that just started: it has no connection, and would never get one.
+                # Warming endpoints are exempt: they have no connection, and would never get one.
                 divisor *= costs.handshake
             if endpoint.zone != settings.zone:
                 divisor *= costs.cross_zone
@@ -97,7 +97,7 @@
         return Weights(weights, self.slow_start.cap_weights(candidates, weights, now, expected_latency_ns))
 
     def _cost_factors(self, target_ns: int, expected_latency_ns: float) -> CostFactors:
-        """Return the factors of the settings' costs: the longer the latencies, the less they count."""
+        """Return the factors for the costs in the settings; longer latencies make them smaller."""
         settings = self._settings
         recent_latency_ns = expected_latency_ns * self._estimates.slowdowns.fleet_slowdown()
         cross_zone = settings.cross_zone_cost * CROSS_ZONE_COST_OBJECTIVES * target_ns / recent_latency_ns
