--- a/anisespool/balancer/__init__.py
+++ b/anisespool/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar load balancer for service-to-service calls."""
+"""The decision module of a sidecar load balancer: admission, endpoint selection, retries."""
 
 from anisespool.balancer.balancer import Balancer
 from anisespool.balancer.interface import Settings, SettingsError
--- a/anisespool/balancer/attempt.py
+++ b/anisespool/balancer/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to get a request answered. Instants (`*_at`) are monotonic ns."""
+"""One attempt of a request. Instants (`*_at`) are monotonic ns."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
     """One attempt of a request at an endpoint.
 
     Attributes:
-        expected_latency_ns: Typical latency of the request when the attempt was sent.
-        in_flight_when_sent: Attempts of this sidecar at the endpoint then, this one included.
-        may_have_executed: True until an outcome proves that the endpoint did not execute it.
+        expected_latency_ns: Expected latency of the request when the attempt was sent.
+        in_flight_when_sent: Attempts of this sidecar then in flight at the endpoint, this one included.
+        may_have_executed: False once an outcome proves that the endpoint did not execute the attempt.
     """
 
     def __init__(self, endpoint: Endpoint, sent_at: int, expected_latency_ns: float) -> None:
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -1,8 +1,8 @@
-"""Event handlers of the decision module. Its events and actions: anisespool/balancer/interface.py.
+"""Event handlers of the decision module; anisespool/balancer/interface.py defines its events and actions.
 
-A request is admitted or shed, waits for its turn where its key is ordered, and is sent to an endpoint by a
-weighted random choice; it has one attempt at a time. Each rule has a module of its own; docs/decisions.md
-lists them.
+Each request is admitted or shed. An admitted request of an ordered class waits until the earlier requests
+with its key have finished. A weighted random choice selects the endpoint, and a request has at most one
+attempt in flight. Each rule has a module of its own; docs/decisions.md lists them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from anisespool.balancer.estimates.estimates import Estimates
 from anisespool.balancer.event_log import EventLog
 from anisespool.balancer.gossip import GossipSender
-from anisespool.balancer.health_checks import HealthChecks
+from anisespool.balancer.health_checks import HealthCheckSchedule
 from anisespool.balancer.interface import NOT_EXECUTED, AttemptStatus, DiscoveryMode, EndpointListKind
 from anisespool.balancer.key_ordering import KeyOrdering, Turn
 from anisespool.balancer.outcomes import OutcomeRecorder, is_failure, record_connection
@@ -37,17 +37,19 @@
 from anisespool.balancer.selection.weights import EndpointSelector
 from anisespool.balancer.timers import Timer, TimerKind, Timers
 
-REQUEST_RATE_HALF_LIFE_DEADLINES = 4  # a sidecar that sends little needs as long for a rate
+REQUEST_RATE_HALF_LIFE_DEADLINES = 4  # a sidecar with few requests needs this long to measure its rate
 
 
 class Balancer:
-    """One sidecar's decisions: call handle() with each event, carry out the actions in order.
+    """The decisions of one sidecar.
+
+    The caller passes each event to handle() and carries out the returned actions in order.
 
     Attributes:
-        settings: The platform's; tenants' shares may be replaced.
-        now: Of the event being handled, monotonic ns.
-        pending: Requests that are not finished, by id.
-        open_requests: How many are not answered yet.
+        settings: The settings; only the tenants' shares may be replaced later.
+        now: Time of the event being handled, monotonic ns.
+        pending: Requests that are not answered or still have an attempt in flight, by id.
+        open_requests: Number of requests that are not answered.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -63,11 +65,11 @@
         self.endpoints = EndpointTable(settings, salt=self._random.getrandbits(64))
         self._first_list_at = 0
         self.estimates = Estimates(settings)
-        self._health_checks = HealthChecks(settings)
+        self._health_checks = HealthCheckSchedule(settings)
 
         self.pending: dict[int, PendingRequest] = {}
         self.open_requests = 0
-        self._runnable: list[PendingRequest] = []  # their turn has come
+        self._runnable: list[PendingRequest] = []  # first of a key's queue after another one left it
         self.ordering = KeyOrdering(settings.ordering_settle_ns)
         self.request_rate = DecayingValue(REQUEST_RATE_HALF_LIFE_DEADLINES * longest_deadline_ns)
 
@@ -81,7 +83,7 @@
         self._gossip = GossipSender(settings, self.admission.objective_ns, self._random)
 
     def _event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        return {  # each takes its own event type
+        return {  # Any, as each handler accepts only its own event type
             api.RequestArrived: self._on_request,
             api.AttemptOutcome: self._on_outcome,
             api.EndpointListUpdate: self._on_endpoint_list,
@@ -93,16 +95,14 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Return the actions to carry out, in this order, after `event` at `now` (monotonic ns)."""
+        """Handle an event at `now` (monotonic ns), and return the actions to carry out, in order."""
         self.now = now
         self._actions = []
         self._handlers[type(event)](event)
-        while self._runnable:  # a loop: each may end and make the next one runnable
+        while self._runnable:  # a request that ends here can make the next one runnable
             self._resume(self._runnable.pop())
         return self._actions
 
-    # Endpoint list, load reports, gossip --------------------------------------------------------------
-
     def _on_endpoint_list(self, update: api.EndpointListUpdate) -> None:
         if update.kind is EndpointListKind.FAILED:
             self._actions += self._log.endpoint_list_call_failed(self.now, len(self.endpoints.ready))
@@ -131,8 +131,6 @@
             if endpoint := self.endpoints.by_id.get(observation.endpoint):
                 self.estimates.record_observation(endpoint, observation, self.now)
 
-    # Requests: arrive, wait, are sent or answered -----------------------------------------------------
-
     def _on_request(self, event: api.RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
         waited_ns = self._client_retries.waited_ns(event)
@@ -149,12 +147,12 @@
         self._dispatch(request)
 
     def _resume(self, request: PendingRequest) -> None:
-        """Dispatch a request that waited, unless it was resumed before: by a timer, or by its turn."""
+        """Dispatch a waiting request, unless a timer or its turn has already resumed it."""
         if not request.answered and not request.has_attempt_in_flight():
             self._dispatch(request)
 
     def _dispatch(self, request: PendingRequest) -> None:
-        """Send the request, hold it until its turn or until an endpoint is eligible, or answer it."""
+        """Send the request, let it wait for its turn or for an eligible endpoint, or answer it unserved."""
         now = self.now
         wait_ns = 0
         if request.ordering_key:
@@ -177,7 +175,7 @@
             self._schedule_recheck(request)
 
     def _turn(self, request: PendingRequest) -> Turn:
-        """Return whether an ordered request can be sent now, or waits for those of its key before it."""
+        """Return how long an ordered request may still wait, and how long it has to."""
         expected_ns = self.estimates.class_latencies.expected_latency_ns(request.event)
         queued_before = self.ordering.position(request)
         pause_ns = self.ordering.pause_ns(request, self.now)
@@ -186,7 +184,7 @@
         return Turn(useful_ns, useful_ns if queued_before else pause_ns)
 
     def _schedule_recheck(self, request: PendingRequest) -> None:
-        """Look for an eligible endpoint again in a while."""
+        """Set a timer to look for an eligible endpoint again."""
         self._actions += self._log.no_eligible_endpoint(self.now, len(self.endpoints.ready))
         time_left_ns = request.deadlines.deadline_at - self.now
         self._wait(request, recheck_delay_ns(request.request_class.target_ns, time_left_ns))
@@ -236,7 +234,7 @@
         self.selector.slow_start.record_sent(endpoint, expected_ns, now)
 
     def _answer_unserved(self, request: PendingRequest) -> None:
-        """Give the one final answer: a rejection where a retry is sure to be harmless, else a failure."""
+        """Reject the request if a retry by its client is harmless, else fail it; this is its only answer."""
         if may_client_retry(request.request_class, request.may_have_executed()):
             self._actions.append(api.Reject(request.id, request.retry_after_ns))
         else:
@@ -244,7 +242,10 @@
         self._finish(request)
 
     def _finish(self, request: PendingRequest) -> None:
-        """Cancel what can no longer help; forget the request once its last attempt has ended."""
+        """Mark the request as answered, and remove it if no attempt is in flight.
+
+        An attempt in flight is cancelled if the settings allow it and no response is being forwarded.
+        """
         in_flight = request.has_attempt_in_flight()
         if not request.answered:
             self.open_requests -= 1
@@ -264,8 +265,6 @@
         if request and not request.answered:
             request.streaming = True
 
-    # Outcomes of attempts -----------------------------------------------------------------------------
-
     def _on_outcome(self, event: api.AttemptOutcome) -> None:
         request = self.pending.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
@@ -274,7 +273,7 @@
         if not attempt.in_flight:
             return
         self._end_attempt(request, attempt, event)
-        self._learn(request, attempt, event)
+        self._record_outcome(request, attempt, event)
         if event.finished or request.answered:
             self._finish(request)
         elif self.retries.try_consume_retry(request):
@@ -292,8 +291,8 @@
             self.ordering.on_attempt_end(request.ordering_key, event.status, self.now)
         self._on_load_report(event)
 
-    def _learn(self, request: PendingRequest, attempt: Attempt, event: api.AttemptOutcome) -> None:
-        """Let the estimates learn from an outcome; log a failure, and send gossip if it is due."""
+    def _record_outcome(self, request: PendingRequest, attempt: Attempt, event: api.AttemptOutcome) -> None:
+        """Update the estimates with an outcome, log a failure, and send gossip if it is due."""
         now = self.now
         if event.status is AttemptStatus.OK:
             self._outcomes.record_answer(request, attempt, event, self.open_requests, now)
@@ -308,8 +307,6 @@
             queueing_ratio = self.admission.queueing.ratio.read(now)
             self._actions += self._gossip.messages(self.endpoints.ready, queueing_ratio, now)
 
-    # Timers -------------------------------------------------------------------------------------------
-
     def _set_timer(self, timer: Timer, delay_ns: int) -> None:
         self._actions.append(self.timers.set(timer, delay_ns))
 
--- a/anisespool/balancer/endpoint.py
+++ b/anisespool/balancer/endpoint.py
@@ -1,28 +1,28 @@
-"""One endpoint of the list, and what this sidecar learned of it. Instants (`*_at`) are monotonic ns."""
+"""A listed endpoint and this sidecar's estimates of it. Instants (`*_at`) are monotonic ns."""
 
-# Plain classes here, in attempt.py and in request.py: dataclasses with slots make the program's start longer.
+# Plain classes are used here, in attempt.py and in request.py: dataclasses with slots delay program start.
 
 from typing import NamedTuple, Protocol
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.selection.warmup_limiter import WarmupLimiter
 
-MAX_CONFIGURED_WEIGHT = 1e9  # at or above it a weight is invalid, and counts as 1
+MAX_CONFIGURED_WEIGHT = 1e9  # a weight at or above this is invalid and counts as 1
 
 
 class MachineGroup(NamedTuple):
-    """Endpoints that are expected to be alike."""
+    """A machine type in one zone: its endpoints are expected to perform alike."""
 
     machine_type: int
     zone: int
 
 
-# Request id and number of the attempt; a plain tuple, as it is built twice for each attempt.
+# Request id and attempt number; a plain tuple, as it is built twice for each attempt.
 AttemptKey = tuple[int, int]
 
 
 class AttemptInFlight(Protocol):
-    """What the estimates need of an attempt (attempt.py)."""
+    """The part of an attempt (attempt.py) that the estimates read."""
 
     sent_at: int
     expected_latency_ns: float
@@ -39,22 +39,22 @@
 
 
 class Endpoint:
-    """A listed endpoint; another start of the same id is another endpoint.
+    """One process of an endpoint; a restart under the same id makes a new Endpoint.
 
     Attributes:
-        rank: Place in this sidecar's own order of the endpoints.
-        in_flight: Attempts of this sidecar there, the oldest first.
-        idle_connections: Estimated; above 0 the next attempt needs no handshake.
-        slowdown: Response times over the typical latency of their requests (x_i), over all classes.
-        slowdown_at: When that was last sampled; 0: never.
-        slowdown_by_class: The same by class index.
-        reported_queue: Requests queued there by the last load report.
-        sent_since_report: Attempts of this sidecar.
-        reported_concurrency: Requests it serves at a time, by load reports; 0: not known.
-        observed_concurrency: A lower bound of that: with so many in flight, none queued.
-        slow_start_factor: Guaranteed share of its capacity while it is warming up.
-        warm_at: End of the warm-up; 0: long ago.
-        warmup_limiter: None: it never was warming up while this sidecar watched.
+        rank: Position in this sidecar's own order of the endpoints.
+        in_flight: Attempts of this sidecar in flight at the endpoint, oldest first.
+        idle_connections: Estimated number; above 0, the next attempt needs no handshake.
+        slowdown: Ratio of response time to the request's expected latency (x_i), over all classes.
+        slowdown_at: Instant of the last sample; 0: none yet.
+        slowdown_by_class: Slowdown in each class, by class index.
+        reported_queue: Queue length in the last load report.
+        sent_since_report: Attempts that this sidecar has sent since that report.
+        reported_concurrency: Requests served at a time, by load reports; 0: unknown.
+        observed_concurrency: Lower bound on the same: that many were in flight, and none queued.
+        slow_start_factor: Guaranteed share of full capacity while the endpoint is warming up.
+        warm_at: End of the warm-up; 0: the endpoint started long ago.
+        warmup_limiter: Limiter for the warm-up; None: the endpoint started long ago.
     """
 
     def __init__(self, listing: api.EndpointListing, rank: int, settings: api.Settings) -> None:
--- a/anisespool/balancer/endpoint_table.py
+++ b/anisespool/balancer/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, and the ready ones in this sidecar's own order."""
+"""The listed endpoints, and the ready ones in this sidecar's own order."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class EndpointTable:
-    """Owner of the endpoints' state.
+    """The endpoints in one sidecar's endpoint list.
 
     Attributes:
-        by_id: All listed endpoints, draining ones included, the last updated last.
-        ready: Those that may be sent to, the sidecar's subset first.
+        by_id: All listed endpoints, including draining ones, the most recently updated last.
+        ready: Endpoints that may be sent to, the sidecar's subset first.
     """
 
     def __init__(self, settings: api.Settings, salt: int) -> None:
         self._settings = settings
-        self._salt = salt  # of this sidecar's order
+        self._salt = salt  # makes the order differ from that of other sidecars
         self.by_id: dict[int, Endpoint] = {}
         self.ready: list[Endpoint] = []
 
     def apply(self, update: api.EndpointListUpdate) -> None:
-        """Adopt a list or the changes to one; a new start of the same id is a new process."""
+        """Apply a whole list or a delta; a listing with another start time replaces the endpoint's state."""
         if update.kind is not api.EndpointListKind.DELTA:
             listed = {listing.endpoint for listing in update.entries}
             self.by_id = {n: e for n, e in self.by_id.items() if n in listed}
@@ -43,5 +43,5 @@
         return sum(e.weight for e in self.ready) / max(1, len(self.ready)) or 1.0
 
     def subset(self, request_rate_per_ns: float) -> list[Endpoint]:
-        """Return the endpoints that this sidecar uses, by its request rate."""
+        """Return the endpoints that a sidecar with this request rate uses."""
         return self.ready[: subset_size(request_rate_per_ns)]
--- a/anisespool/balancer/gossip.py
+++ b/anisespool/balancer/gossip.py
@@ -1,6 +1,6 @@
-"""When is gossip sent, to whom, and with what?
+"""Gossip to other sidecars: its schedule, recipients and content.
 
-One of many sidecars observes too little of any endpoint by itself.
+In a fleet with many sidecars, one alone gets too few samples of any endpoint.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.endpoint import Endpoint
 
-GOSSIP_FANOUT_INSTANCES = 4  # sidecars that get the queueing ratio at a time
+GOSSIP_FANOUT_INSTANCES = 4  # sidecars that each round of gossip is sent to
 
 
 class GossipSender:
-    """Sends the queueing ratio to a few random sidecars, to the first also observations of endpoints."""
+    """Makes gossip messages: each has the queueing ratio, the first one also observations of endpoints."""
 
     def __init__(self, settings: api.Settings, interval_ns: int, random: Random) -> None:
         self._is_enabled = settings.may_gossip and settings.fleet_size > 1
@@ -26,11 +26,11 @@
         self._sent_at = 0
 
     def is_due(self, now: int) -> bool:
-        """Return whether gossip is sent now: none within `interval_ns` of the last."""
+        """Return whether gossip is allowed and the interval has passed."""
         return self._is_enabled and now - self._sent_at >= self._interval_ns
 
     def messages(self, ready: list[Endpoint], queueing_ratio: float, now: int) -> list[api.SendGossip]:
-        """Return the messages to send now."""
+        """Return messages to random sidecars, with the most recently sampled endpoints."""
         self._sent_at = now
         peers = [self._random_peer() for _ in range(GOSSIP_FANOUT_INSTANCES)]
         recent = nlargest(api.MAX_OBSERVED_ENDPOINTS, ready, key=lambda e: e.slowdown_at)
--- a/anisespool/balancer/health_checks.py
+++ b/anisespool/balancer/health_checks.py
@@ -1,6 +1,6 @@
-"""When is a health check sent, and to which endpoint?
+"""The schedule of health checks.
 
-Only where load reports come with nothing else: the check is for the load report that its result carries.
+They are sent only to get load reports, where the settings provide no other way to get them.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.interface import LoadReportMode, Settings
 
-INTERVAL_DEADLINE_PERCENT = 10  # of the longest class deadline, with which estimates fade
+INTERVAL_DEADLINE_PERCENT = 10  # share of the longest class deadline, which is the estimates' half-life
 
 
-class HealthChecks:
-    """The schedule of one sidecar: one endpoint each `interval_ns`, the one without a report for longest."""
+class HealthCheckSchedule:
+    """The schedule of one sidecar: each `interval_ns`, the endpoint with the oldest load report."""
 
     def __init__(self, settings: Settings) -> None:
         longest_deadline_ns = max(c.deadline_ns for c in settings.classes)
@@ -21,5 +21,5 @@
 
     @staticmethod
     def next_endpoint(ready: list[Endpoint]) -> Endpoint | None:
-        """Return the endpoint to check; None: there is none."""
+        """Return the ready endpoint to check next, or None if there is none."""
         return min(ready, key=lambda e: e.reported_at) if ready else None
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -1,4 +1,4 @@
-"""A view of the decision module's state, for people and tools. It decides nothing and draws no number."""
+"""A view of the decision module's state for operators and tools; it draws no random numbers."""
 
 from enum import Enum
 from typing import Any, NamedTuple
@@ -14,27 +14,27 @@
 class EndpointView(NamedTuple):
     """One endpoint as the balancer sees it."""
 
-    endpoint: int  # the driver's number
-    state: int  # as listed (interface.EndpointState)
+    endpoint: int  # the endpoint's id in events and actions
+    state: int  # value of interface.EndpointState in the endpoint list
     weight: float  # share of the next requests of the first class, 0 to 1
-    slowdown: float  # recent response times over the typical ones
-    queue: float  # requests queued there by its last load report
-    in_flight: int  # attempts of this sidecar
-    warmup_remaining_ns: int  # until it counts as warm; 0: warm
+    slowdown: float  # ratio of response times to expected latencies
+    queue: float  # queue length in the last load report
+    in_flight: int  # attempts of this sidecar in flight at the endpoint
+    warmup_remaining_ns: int  # time until the endpoint is warm; 0: it is warm
 
 
 class BalancerView(NamedTuple):
-    """The balancer's estimates, as of one instant."""
+    """The balancer's state at one instant."""
 
-    open_requests: int  # not yet answered
-    queueing_ratio: float  # share of their latency objectives that attempts took recently, 0 to 1
+    open_requests: int  # requests that are not answered
+    queueing_ratio: float  # share of the latency objectives that recent attempts took, 0 to 1
     endpoints: tuple[EndpointView, ...]
 
 
 def inspect(balancer: Balancer, now: int, limit: int) -> BalancerView:
-    """Return the module's state as of `now` (monotonic ns); of the endpoints at most `limit`."""
+    """Return the module's state as of `now` (monotonic ns), with at most `limit` endpoints."""
     balancer.now = max(balancer.now, now)
-    shares = _shares(balancer)
+    shares = _selection_shares(balancer)
     views = []
     for number, endpoint in list(balancer.endpoints.by_id.items())[:limit]:
         warmup_ns = max(0, endpoint.warm_at - now)
@@ -53,7 +53,8 @@
     return BalancerView(balancer.open_requests, balancer.admission.queueing.ratio.read(now), tuple(views))
 
 
-def _shares(balancer: Balancer) -> dict[int, float]:
+def _selection_shares(balancer: Balancer) -> dict[int, float]:
+    """Return each ready endpoint's probability of getting a request of the first class."""
     candidates: list[Endpoint] = balancer.endpoints.ready
     if not candidates:
         return {}
@@ -68,7 +69,10 @@
 
 
 def set_tenant_shares(balancer: Balancer, shares: dict[int, float]) -> Settings:
-    """Replace the shares of the tenants with these indexes, from the next event on; return the settings."""
+    """Replace the shares of tenants, by tenant index, and return the new settings.
+
+    The new shares apply from the next event on.
+    """
     tenants = [
         Tenant(shares.get(n, tenant.share), tenant.quota_per_s)
         for n, tenant in enumerate(balancer.settings.tenants)
@@ -78,14 +82,14 @@
 
 
 def describe_settings(settings: Settings) -> dict[str, Any]:
-    """Return the settings as JSON can carry them, under the names that the control socket has for them."""
-    described: dict[str, Any] = _plain(settings)
+    """Return the settings as plain JSON values, under their names in the control socket's JSON."""
+    described: dict[str, Any] = _to_json(settings)
     return described
 
 
-def _plain(value: Any) -> Any:
+def _to_json(value: Any) -> Any:
     if isinstance(value, Enum):
         return value.value
     if hasattr(value, "_asdict"):
-        return {CONTROL_KEYS.get(key, key): _plain(item) for key, item in value._asdict().items()}
-    return [_plain(item) for item in value] if isinstance(value, list | tuple) else value
+        return {CONTROL_KEYS.get(key, key): _to_json(item) for key, item in value._asdict().items()}
+    return [_to_json(item) for item in value] if isinstance(value, list | tuple) else value
--- a/anisespool/balancer/interface.py
+++ b/anisespool/balancer/interface.py
@@ -1,10 +1,10 @@
-"""The decision module's interface: settings handed over at start, events in, actions out.
+"""The decision module's interface: its settings, events and actions.
 
-Times are integer nanoseconds. Endpoint, request and tenant ids are opaque.
+Times are integer nanoseconds. Endpoint and request ids are opaque.
 """
 
-# Modules of named tuples do without `from __future__ import annotations`: each annotation would be a string,
-# which `typing.NamedTuple` compiles as it builds the class, and that is a good part of this package's import.
+# Modules with named tuples don't use `from __future__ import annotations`. It makes each annotation a string,
+# which `typing.NamedTuple` compiles when it builds the class: a large part of this package's import time.
 
 from enum import IntEnum
 from typing import NamedTuple, Union
@@ -30,10 +30,10 @@
     RESET = 5
     CANCELLED = 6
     MOOT = 7
-    """It was not needed any more, and never sent."""
+    """The attempt was never sent, because its request no longer needed it."""
 
 
-MAX_OBSERVED_ENDPOINTS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
+MAX_OBSERVED_ENDPOINTS = 36  # limit per gossip message: a message has 256 bytes, each observation 7
 NOT_EXECUTED = frozenset((AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT))
 
 
@@ -46,7 +46,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What an endpoint list update holds: a failed call, changes, or a whole list (fresh or cached)."""
+    """The content of an endpoint list update: a failed call, changes, or a whole list (fresh or cached)."""
 
     FAILED = 0
     DELTA = 1
@@ -54,9 +54,6 @@
     CACHED = 3
 
 
-# Events -------------------------------------------------------------------------------------------
-
-
 class EndpointListing(NamedTuple):
     """One endpoint as discovery lists it."""
 
@@ -66,11 +63,11 @@
     machine_type: int
     zone: int
     state: int
-    started_ns: int  # 0: long ago
+    started_ns: int  # start of the process; 0: long ago
 
 
 class EndpointListUpdate(NamedTuple):
-    """An endpoint list, or changes to one, from discovery."""
+    """An endpoint list or a delta from discovery, or a failed call to it."""
 
     version: int
     kind: EndpointListKind
@@ -78,14 +75,14 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request."""
+    """A client's request has arrived."""
 
     request: int
     class_index: int
-    remaining_ns: int  # until the client gives this attempt of its own up
-    work_hint_ns: int | None = None  # anticipated work, on a standard core
-    key: int = 0
-    tenant: int = 0
+    remaining_ns: int  # time until the client gives up this request
+    work_hint_ns: int | None = None  # expected work, as time on a standard core
+    key: int = 0  # key for ordering and key affinity; 0: none
+    tenant: int = 0  # index into the settings' tenants
     is_retry: bool = False
     is_write: bool = False
 
@@ -100,31 +97,31 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """The end of an attempt, with the load report that came with it, if any."""
+    """The outcome of an attempt, with the endpoint's load report, if any."""
 
     request: int
     endpoint: int
     attempt: int
     latency_ns: int
     status: AttemptStatus
-    finished: bool
+    finished: bool  # the client has its response, or no longer waits for one
     load: tuple[float, ...] = ()
 
 
 class ClientDisconnected(NamedTuple):
-    """The client no longer waits for its response."""
+    """The client has disconnected."""
 
     request: int
 
 
 class TimerExpired(NamedTuple):
-    """A timer that SetTimer started has expired."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 class HealthCheckResult(NamedTuple):
-    """The result of a health check, with the endpoint's load report."""
+    """The result of a health check, with the endpoint's load report, if any."""
 
     endpoint: int
     status: AttemptStatus
@@ -133,19 +130,19 @@
 
 
 class EndpointObservation(NamedTuple):
-    """An endpoint's estimates at one sidecar, for another."""
+    """One sidecar's estimates of an endpoint, sent to another sidecar."""
 
     endpoint: int
-    slowdown: float  # response times over what their requests usually take
-    queue: float
-    age_ns: int
+    slowdown: float  # ratio of response times to expected latencies
+    queue: float  # queue length in the last load report
+    age_ns: int  # time since the last slowdown sample
 
 
 class GossipReceived(NamedTuple):
-    """A message of another sidecar's balancer."""
+    """A gossip message from another sidecar has arrived."""
 
     sender: int
-    queueing_ratio: float = 0.0  # of recent attempts: 0 as in an idle fleet, 1 all objectives missed
+    queueing_ratio: float = 0.0  # 0: recent attempts did not queue; 1: all missed their objectives
     observations: tuple[EndpointObservation, ...] = ()
 
 
@@ -161,52 +158,49 @@
 ]
 
 
-# Actions ------------------------------------------------------------------------------------------
-
-
 class Send(NamedTuple):
     """Start the request's next attempt at an endpoint."""
 
     request: int
     endpoint: int
-    timeout_ns: int = 0  # 0: until the client gives up
+    timeout_ns: int = 0  # 0: the client's deadline applies
 
 
 class Reject(NamedTuple):
-    """Final: not served, and a retry is harmless."""
+    """Give the final answer: not served, and a retry by the client is harmless."""
 
     request: int
     retry_after_ns: int = 0
 
 
 class Fail(NamedTuple):
-    """Final: not served; a retry may have a second effect."""
+    """Give the final answer: not served, and a retry by the client may have a second effect."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Cancel an attempt in flight; its outcome still follows."""
+    """Cancel an attempt in flight; an AttemptOutcome still follows."""
 
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Report TimerExpired with this token after a delay."""
+    """Deliver TimerExpired with this token after a delay."""
 
     delay_ns: int
     token: int
 
 
 class Log(NamedTuple):
-    """Write a line to the log."""
+    """Write a log line."""
 
     text: str
 
 
 class Fault(NamedTuple):
-    """The decision module failed; for the simulator only."""
+    """Report that the decision module failed; used with the simulator only."""
 
     text: str
 
@@ -216,7 +210,7 @@
 
 
 class WatchEndpointList(NamedTuple):
-    """Subscribe to discovery's changes, or stop."""
+    """Start or end the subscription to changes of the endpoint list."""
 
     active: bool = True
 
@@ -228,15 +222,15 @@
 
 
 class SendGossip(NamedTuple):
-    """Send a message to another sidecar's balancer."""
+    """Send a gossip message to another sidecar, or to all of them."""
 
     peer: int  # -1: every peer
     queueing_ratio: float = 0.0
-    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_OBSERVED_ENDPOINTS: what a message holds
+    observations: tuple[EndpointObservation, ...] = ()  # no more than MAX_OBSERVED_ENDPOINTS
 
 
 class SendHealthCheck(NamedTuple):
-    """Check an endpoint's health, and get its load report."""
+    """Check an endpoint's health and request its load report."""
 
     endpoint: int
 
--- a/anisespool/balancer/request.py
+++ b/anisespool/balancer/request.py
@@ -1,4 +1,4 @@
-"""A client's request that is not finished. Instants (`*_at`) are monotonic ns."""
+"""A client's request in progress. Instants (`*_at`) are monotonic ns."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class PendingRequest:
-    """A request until its last attempt has ended.
+    """A request that is not answered or still has an attempt in flight.
 
     Attributes:
-        ordering_key: Requests of one key run one at a time; 0: this one is not ordered.
-        open_before: Other open requests when it arrived.
-        answered: Its final answer was given, or its client has disconnected.
-        streaming: The first byte of its response was forwarded: it can't be retried any more.
+        ordering_key: Requests with the same key run one at a time; 0: the request is not ordered.
+        open_before: Number of other open requests when this one arrived.
+        answered: True once the request has its final answer or its client has disconnected.
+        streaming: True once the response is being forwarded; the request can't be retried any more.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         self.streaming = False
 
     def may_have_executed(self) -> bool:
-        """Return whether an attempt may have had an effect."""
+        """Return whether an endpoint may have executed the request."""
         return bool(self.attempts) and bool(self.possibly_executed())
 
     def possibly_executed(self) -> list[Attempt]:
-        """Return the attempts that may have had an effect, the oldest first."""
+        """Return the attempts that may have been executed, oldest first."""
         return [a for a in self.attempts if a.may_have_executed]
 
     def has_attempt_in_flight(self) -> bool:
-        """Return whether the last attempt has not ended."""
+        """Return whether the last attempt is in flight."""
         return bool(self.attempts) and self.attempts[-1].in_flight
--- a/anisespool/balancer/resubscribe.py
+++ b/anisespool/balancer/resubscribe.py
@@ -1,21 +1,21 @@
-"""When is a call to discovery that failed repeated?"""
+"""The delay before a failed call to discovery is repeated."""
 
 from __future__ import annotations
 
 from random import Random
 
-MIN_RESUBSCRIBE_DELAY_SHARE = 0.1  # of the time allowed without a subscription
+MIN_RESUBSCRIBE_DELAY_SHARE = 0.1  # bounds on the delay, as shares of the time allowed without a subscription
 MAX_RESUBSCRIBE_DELAY_SHARE = 0.4
 
 
 def resubscribe_delay_ns(allowed_ns: int, random: Random) -> int:
-    """Return the delay before the endpoint list is watched again, random so that sidecars are spread.
+    """Return the delay before the next subscription; it is random, so that sidecars don't retry together.
 
-    Without a subscription this sidecar would be judged by lists that it never received.
+    Without a subscription, endpoint lists that this sidecar never received would still count against it.
 
     Args:
-        allowed_ns: The settings' `resubscribe_within_ns`.
-        random: Of this sidecar.
+        allowed_ns: The setting `resubscribe_within_ns`.
+        random: This sidecar's random number generator.
     """
     share = random.uniform(MIN_RESUBSCRIBE_DELAY_SHARE, MAX_RESUBSCRIBE_DELAY_SHARE)
     return int(allowed_ns * share)
--- a/anisespool/balancer/settings.py
+++ b/anisespool/balancer/settings.py
@@ -1,7 +1,6 @@
 """The decision module's settings; durations are integer nanoseconds.
 
-Where the platform's JSON and the control socket's JSON have another name than a field here, the one table of
-names is settings_names.py.
+settings_names.py maps the fields to their names in the platform's JSON and in the control socket's JSON.
 """
 
 from typing import Any, NamedTuple, Self
@@ -17,27 +16,44 @@
 
 
 class Settings(NamedTuple):
-    """All settings of a module; they don't change but for tenants' shares."""
+    """All settings of a decision module; only the tenants' shares may change while it runs.
+
+    Attributes:
+        drain_grace_ns: Time for which an endpoint listed as draining or gone may still be sent requests.
+        warmup_ns: Time from an endpoint's start until it has its full capacity.
+        initial_capacity: Share of its full capacity that an endpoint starts with.
+        overload_multiple: A warming endpoint that is sent more than this multiple of its capacity fails.
+        overload_window_ns: Window in which that limit applies.
+        fleet_size: Number of sidecars.
+        self_index: Index of this sidecar.
+        answer_slack_ns: Tolerance on a request's deadline for its final answer.
+        ordering_settle_ns: Pause of an ordering key after an attempt that may still be executing.
+        resubscribe_within_ns: Longest time allowed without a subscription to discovery.
+        resolution_ns: Resolution of the clock.
+        may_retry_after: Whether rejections may carry a Retry-After.
+        cross_zone_cost: Cost of sending a request to another zone; 1: a request's value.
+        handshake_cost: Cost of opening a connection; 1: a request's value.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: int
     max_attempts: int
     drain_grace_ns: int
     warmup_ns: int
-    initial_capacity: float  # share of its capacity that an endpoint has when it starts
-    overload_multiple: float  # of its capacity: a warming endpoint that is sent more falls over
-    overload_window_ns: int  # within which that is counted
-    fleet_size: int = 1  # sidecars
-    self_index: int = 0  # this sidecar's place among them
+    initial_capacity: float
+    overload_multiple: float
+    overload_window_ns: int
+    fleet_size: int = 1
+    self_index: int = 0
     answer_slack_ns: int = 0
-    ordering_settle_ns: int = 0  # pause of a key after an attempt that may still be executing
+    ordering_settle_ns: int = 0
     resubscribe_within_ns: int = 10_000_000_000
-    resolution_ns: int = 1_000_000  # of the clock
+    resolution_ns: int = 1_000_000
     may_hedge: bool = False
     may_cancel: bool = False
     may_health_check: bool = False
     may_gossip: bool = False
-    may_retry_after: bool = False  # a rejection may carry a Retry-After
+    may_retry_after: bool = False
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 0
     discovery_mode: DiscoveryMode = DiscoveryMode.PUSH
@@ -45,14 +61,14 @@
     load_report_columns: tuple[str, ...] = ()
     key_affinity: bool = False
     tenants: tuple[Tenant, ...] = ()
-    cross_zone_cost: float = 0.0  # of a request to another zone, in the value of a request
-    handshake_cost: float = 0.0  # of opening a connection, in the value of a request
+    cross_zone_cost: float = 0.0
+    handshake_cost: float = 0.0
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> Self:
-        """Read the settings object; unknown keys are ignored, optional ones may be absent.
+        """Read the platform's settings object; unknown keys are ignored, optional ones may be absent.
 
         Raises:
-            SettingsError: a key is missing or has a wrong value.
+            SettingsError: A key is missing or has a wrong value.
         """
         return cls(**read_settings(raw))
--- a/anisespool/balancer/settings_names.py
+++ b/anisespool/balancer/settings_names.py
@@ -1,6 +1,6 @@
-"""The one table of the settings' names: in the code, the platform's JSON and the control socket's JSON.
+"""The names of the settings: in the code, in the platform's JSON and in the control socket's JSON.
 
-The platform's names are fixed by its protocol, those of the control socket by the programs that read them.
+The platform's protocol fixes its names; the programs that read the control socket's JSON rely on theirs.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Section(NamedTuple):
-    """An object inside the platform's settings."""
+    """A nested object in the platform's settings; ROOT is the settings object itself."""
 
     key: str
     is_required: bool
@@ -39,14 +39,14 @@
 
 
 class SettingName(NamedTuple):
-    """One setting's names, and how its value is read."""
+    """The names of one setting, and the function that reads its value."""
 
     field: str
-    """Of `Settings` or `RequestClass`."""
+    """Field name in `Settings` or `RequestClass`."""
     section: Section
     platform_key: str
     control_key: str
-    """In the control socket's JSON."""
+    """Key in the control socket's JSON."""
     read: ReadValue
 
 
@@ -71,19 +71,19 @@
 
 
 def _discovery_mode(reader: ObjectReader, key: str) -> DiscoveryMode:
-    """Read anything but `push` as the mode that needs nobody to send changes unprompted."""
+    """Read every mode but `push` as POLL, which does not rely on changes being sent unprompted."""
     is_push = reader.text(key, DiscoveryMode.PUSH.value) == DiscoveryMode.PUSH.value
     return DiscoveryMode.PUSH if is_push else DiscoveryMode.POLL
 
 
 def _load_report_mode(reader: ObjectReader, key: str) -> LoadReportMode:
-    """Read an unknown mode as no reports: nothing is sent to get them."""
+    """Read an unknown mode as NONE, so that no health check is sent to get load reports."""
     text = reader.text(key, LoadReportMode.NONE.value)
     return next((mode for mode in LoadReportMode if mode.value == text), LoadReportMode.NONE)
 
 
 def _dedup_scope(reader: ObjectReader, key: str) -> DedupScope:
-    """Read an unknown scope as the narrowest."""
+    """Read an unknown scope as CELL, the narrowest."""
     text = reader.text(key, DedupScope.ALL.value)
     return next((scope for scope in DedupScope if scope.value == text), DedupScope.CELL)
 
@@ -108,7 +108,7 @@
     return tuple(Tenant(child.number("share", 1.0), child.number("quota-per-s", 0.0)) for child in children)
 
 
-# The settings are read in the order of the tables, so that of several wrong ones always the same is named.
+# Settings are read in the order of these tables: if several are wrong, the error always names the same one.
 CLASS_NAMES = (
     SettingName("idempotency", ROOT, "effect", "effect", _idempotency),
     SettingName("target_ns", ROOT, "target-ns", "target_ns", _positive),
@@ -164,7 +164,7 @@
     """Return the fields of `Settings` from the platform's JSON.
 
     Raises:
-        SettingsError: a key is missing or has a wrong value.
+        SettingsError: A key is missing or has a wrong value.
     """
     root = ObjectReader(raw, "")
     readers = {section: root.child(section.key, section.is_required) for section in SECTIONS}
--- a/anisespool/balancer/settings_reader.py
+++ b/anisespool/balancer/settings_reader.py
@@ -1,19 +1,19 @@
-"""Typed access to the platform's JSON; an error names the key."""
+"""Typed access to the platform's settings in JSON."""
 
 from math import isfinite
 from typing import Any
 
 
 class SettingsError(ValueError):
-    """A required setting is absent or has the wrong type; the text names it."""
+    """A setting is missing or has a wrong type or value; the text names it."""
 
 
 class ObjectReader:
-    """Typed access to a JSON object that names the key when something is wrong."""
+    """Typed access to a JSON object; each error names the key with its path."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
-            raise SettingsError(f"setting {path or '(whole)'}: an object is needed")
+            raise SettingsError(f"setting {path or '(root)'}: expected an object")
         self._raw = raw
         self._path = path
 
@@ -30,37 +30,37 @@
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """An integer; a float is cut off."""
+        """Return an integer; a float is truncated."""
         return int(self._get(key, (int, float), default))
 
     def positive(self, key: str) -> int:
-        """An integer above 0."""
+        """Return an integer above 0."""
         value = self.integer(key)
         if value <= 0:
             raise SettingsError(f"setting {self._path}{key}: {value} is not above 0")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Return a finite number."""
         return float(self._get(key, (int, float), default))
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Return a string."""
         return str(self._get(key, (str,), default))
 
     def flag(self, key: str) -> bool:
-        """A boolean; absent is false."""
+        """Return a boolean; False if missing."""
         return bool(self._get(key, (bool,), False))
 
     def items(self, key: str, required: bool = False) -> list[Any]:
-        """A list."""
+        """Return a list; an optional one may be missing."""
         return list(self._get(key, (list,), None if required else []))
 
     def child(self, key: str, required: bool = True) -> "ObjectReader":
-        """A nested object."""
+        """Return a reader of a nested object; an optional one may be missing."""
         return ObjectReader(self._get(key, (dict,), None if required else {}), f"{self._path}{key}.")
 
     def children(self, key: str, required: bool = True) -> list["ObjectReader"]:
-        """A list of nested objects."""
+        """Return readers of the objects in a list."""
         values = self.items(key, required)
         return [ObjectReader(value, f"{self._path}{key}[{n}].") for n, value in enumerate(values)]
--- a/anisespool/balancer/settings_types.py
+++ b/anisespool/balancer/settings_types.py
@@ -1,6 +1,6 @@
-"""The types that the decision module's settings consist of; durations are integer nanoseconds.
+"""The types of the decision module's settings; durations are integer nanoseconds.
 
-Enums have the platform's texts as their values.
+The values of the enums are the platform's names.
 """
 
 from enum import Enum
@@ -10,13 +10,13 @@
 class Idempotency(Enum):
     """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = "repeatable"  # may run any number of times
-    WITH_KEY = "by_key"  # a deduplication scope drops repeats of a key inside a window
-    NOT_IDEMPOTENT = "once"  # must never run twice
+    IDEMPOTENT = "repeatable"  # any number of times
+    WITH_KEY = "by_key"  # repeats of a key are dropped inside a deduplication scope and window
+    NOT_IDEMPOTENT = "once"  # never more than once
 
 
 class DedupScope(Enum):
-    """Which endpoints drop a repeat of a request with an idempotency key that one of them has executed."""
+    """The endpoints, relative to one that executed a request, that drop repeats of its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,33 +24,33 @@
 
 
 class DiscoveryMode(Enum):
-    """How a sidecar learns of changes of the endpoint list."""
+    """How changes of the endpoint list reach a sidecar."""
 
-    PUSH = "push"  # they are delivered unprompted
-    POLL = "ask"  # only to a sidecar that watches the list
+    PUSH = "push"  # changes are delivered unprompted
+    POLL = "ask"  # changes are delivered only to a sidecar that watches the list
 
 
 class LoadReportMode(Enum):
-    """What carries the endpoints' load reports."""
+    """The messages that carry the endpoints' load reports."""
 
-    PIGGYBACK = "piggyback"  # answers, and results of health checks
-    PULL = "pull"  # only results of health checks
+    PIGGYBACK = "piggyback"  # responses and results of health checks
+    PULL = "pull"  # results of health checks only
     NONE = "silent"
 
 
 class RequestClass(NamedTuple):
-    """What holds for all requests of one class."""
+    """The settings of one request class."""
 
     target_ns: int  # the latency objective
     deadline_ns: int
     idempotency: Idempotency
     priority_weight: float = 1.0
-    late_priority_weight: float = 0.0  # above 0: an answer past the objective still has value
+    late_priority_weight: float = 0.0  # above 0: an answer after the objective still has value
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_ns: int = 0
     stream: bool = False
-    objective_stretch: float = 0.0  # ns added to the objective for each ns of the work hint
-    in_order: bool = False  # requests with one key run one at a time, in the order of their arrival
+    objective_stretch: float = 0.0  # addition to the objective per ns of the work hint, in ns
+    in_order: bool = False  # requests with the same key run one at a time, in order of arrival
 
 
 class Tenant(NamedTuple):
--- a/anisespool/balancer/timers.py
+++ b/anisespool/balancer/timers.py
@@ -1,16 +1,16 @@
-"""The timers that the decision module has set."""
+"""The timers that the decision module has set, by token."""
 
 from enum import Enum
 from typing import NamedTuple
 
 from anisespool.balancer import interface as api
 
-MAX_TIMER_NS = 3_600_000_000_000  # an hour: no longer wait is ever needed, and the wire has a bound
+MAX_TIMER_NS = 3_600_000_000_000  # an hour: no wait has to be longer, and the protocol has a limit
 _TOKENS = 2**32
 
 
 class TimerKind(Enum):
-    """What a timer was set for."""
+    """The purpose of a timer."""
 
     RESUBSCRIBE = "resubscribe"
     HEALTH_CHECK = "health_check"
@@ -18,18 +18,18 @@
 
 
 class Timer(NamedTuple):
-    """A timer, by what it was set for."""
+    """The purpose of a timer, and its request."""
 
     kind: TimerKind
     request: int = 0
-    """Of a queued request."""
+    """Id of the queued request; 0 for other kinds."""
 
 
-UNKNOWN_TIMER = Timer(TimerKind.QUEUED_REQUEST)
+UNKNOWN_TIMER = Timer(TimerKind.QUEUED_REQUEST)  # belongs to no request, so that it has no effect
 
 
 class Timers:
-    """Tokens of the timers that have not expired."""
+    """The timers that have not expired, by token."""
 
     def __init__(self) -> None:
         self._by_token: dict[int, Timer] = {}
@@ -39,11 +39,11 @@
         return len(self._by_token)
 
     def set(self, timer: Timer, delay_ns: int) -> api.SetTimer:
-        """Return the action that sets a timer."""
+        """Register a timer, and return the action that sets it."""
         self._last_token = (self._last_token + 1) % _TOKENS
         self._by_token[self._last_token] = timer
         return api.SetTimer(max(0, min(delay_ns, MAX_TIMER_NS)), self._last_token)
 
     def expire(self, token: int) -> Timer:
-        """Remove and return a timer; one that was never set is that of no request."""
+        """Remove and return the timer of a token, UNKNOWN_TIMER for an unknown token."""
         return self._by_token.pop(token, UNKNOWN_TIMER)
