--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -1,4 +1,4 @@
-"""The module as a whole: events, log, determinism, bounds on state and cost."""
+"""The decision module as a whole: events, log lines, determinism, bounds on state and cost."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
     )
     [timer] = timers(balancer.handle(2 * SECOND, api.EndpointListUpdate(1, EndpointListKind.FAILED)))
     assert timer.delay_ns < 10 * SECOND
-    again = balancer.handle(2 * SECOND + timer.delay_ns, api.TimerExpired(timer.token))
-    assert again == [api.WatchEndpointList(True)]
+    actions = balancer.handle(2 * SECOND + timer.delay_ns, api.TimerExpired(timer.token))
+    assert actions == [api.WatchEndpointList(True)]
     assert set(balancer.endpoints.by_id) == {1}
 
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("hint", [0, 1, 2**64 - 1])
-def test_hostile_but_legal_values_do_not_raise(hint: int) -> None:
+def test_extreme_but_valid_values_do_not_raise(hint: int) -> None:
     sidecar = Sidecar([listed(1, weight=0.0), listed(2, weight=float("inf")), listed(3, weight=-1.0)])
     for left in (0, 1, 2**63):
         for send in sends(sidecar.request(left_ns=left, work_hint_ns=hint, key=2**64 - 1)):
@@ -76,7 +76,7 @@
     sidecar.request(work_hint_ns=hint)
 
 
-def test_an_event_is_logged_once_in_a_longest_deadline() -> None:
+def test_an_event_is_logged_once_per_longest_deadline() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     lines: list[str] = []
     for _ in range(200):
@@ -91,23 +91,26 @@
     assert re.fullmatch(r"endpoint_failing number=\d+ status=error slowdown=\d+\.\d", lines[0])
 
 
-def play(seed: int) -> list[api.Action]:
-    draw = random.Random(seed)
+def random_run(seed: int) -> list[api.Action]:
+    rng = random.Random(seed)
     sidecar = Sidecar([listed(n * 101, zone=n % 2) for n in range(1, 8)], seed=seed)
-    log: list[Any] = []
+    actions_taken: list[Any] = []
     for _ in range(300):
-        actions = sidecar.request(draw.randrange(3), key=draw.randrange(1 << 60))
-        log += actions
-        sidecar.now += draw.randrange(40) * MS
+        actions = sidecar.request(rng.randrange(3), key=rng.randrange(1 << 60))
+        actions_taken += actions
+        sidecar.now += rng.randrange(40) * MS
         for send in sends(actions):
-            log += sidecar.outcome(
-                send, draw.choice((AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.ERROR))
+            actions_taken += sidecar.outcome(
+                send, rng.choice((AttemptStatus.OK, AttemptStatus.OK, AttemptStatus.ERROR))
             )
-    return log
+    return actions_taken
 
 
-def test_same_events_same_actions_whatever_the_hash_seed() -> None:
-    code = "from tests.balancer.test_balancer import play; print(hash(tuple(map(repr, play(3)))) and play(3))"
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
+    code = (
+        "from tests.balancer.test_balancer import random_run; "
+        "print(hash(tuple(map(repr, random_run(3)))) and random_run(3))"
+    )
     outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
@@ -119,27 +122,27 @@
         for hash_seed in ("0", "1", "77")
     }
     assert len(outputs) == 1
-    assert outputs == {(repr(play(3)) + "\n").encode()}
+    assert outputs == {(repr(random_run(3)) + "\n").encode()}
 
 
 def test_two_balancers_in_one_process_share_no_state() -> None:
-    alone = play(5)
+    expected = random_run(5)
     sidecar = Sidecar([listed(1)])
     sidecar.serve(10)
-    assert play(5) == alone
+    assert random_run(5) == expected
 
 
 def test_state_stays_bounded() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     for number in range(3000):
-        todo, attempt = sidecar.request(key=number), 0
-        while todo:
-            action = todo.pop(0)
+        remaining, attempt = sidecar.request(key=number), 0
+        while remaining:
+            action = remaining.pop(0)
             if isinstance(action, api.SetTimer):
-                todo += sidecar.handle(api.TimerExpired(action.token))
+                remaining += sidecar.handle(api.TimerExpired(action.token))
             elif isinstance(action, api.Send):
                 status = AttemptStatus.OK if number % 5 else AttemptStatus.RESET
-                todo += sidecar.outcome(action, status, attempt=attempt)
+                remaining += sidecar.outcome(action, status, attempt=attempt)
                 attempt += 1
         sidecar.now += 10 * MS
         sidecar.update_endpoints([listed(1000 + number), listed(1000 + number - 5, state=EndpointState.GONE)])
@@ -148,16 +151,16 @@
     assert len(sidecar.balancer.timers) < 50
 
 
-def test_a_fleet_that_warms_up_costs_one_pass_a_request() -> None:
-    """A fleet enlarged fivefold is mostly warming up; the work per request must stay linear in it."""
+def test_work_per_request_is_linear_in_the_number_of_warming_endpoints() -> None:
+    """After a scale-out to five times the size, most endpoints are warming up."""
 
-    def calls(size: int) -> int:
+    def count_calls(size: int) -> int:
         sidecar = Sidecar([listed(n, started_ns=100 * SECOND) for n in range(size)])
-        seen = 0
+        calls = 0
 
         def count(frame: Any, event: str, arg: Any) -> None:
-            nonlocal seen
-            seen += 1
+            nonlocal calls
+            calls += 1
 
         sys.setprofile(count)
         try:
@@ -165,11 +168,11 @@
                 sidecar.request()
         finally:
             sys.setprofile(None)
-        return seen
+        return calls
 
-    assert calls(400) < 6 * calls(100)
+    assert count_calls(400) < 6 * count_calls(100)
 
 
-def test_hundreds_of_endpoints() -> None:
+def test_a_fleet_of_hundreds_of_endpoints_serves_all_requests() -> None:
     sidecar = Sidecar([listed(n) for n in range(500)])
     assert len(sidecar.serve(50)) == 50
--- a/tests/balancer/test_fleet.py
+++ b/tests/balancer/test_fleet.py
@@ -15,28 +15,28 @@
 )
 
 
-def test_a_sidecar_that_sends_little_keeps_to_few_endpoints_and_a_busy_one_does_not() -> None:
-    """Hundreds of sidecars connected to every endpoint would fill the endpoints' connection tables."""
+def test_the_subset_grows_with_the_request_rate() -> None:
+    """If hundreds of sidecars connected to every endpoint, they would fill its connection table."""
     listings = [listed(n) for n in range(200)]
-    idle = Sidecar(listings)
-    assert len(set(idle.serve(300, latency_ns=900 * MS))) <= 20
+    rarely_used = Sidecar(listings)
+    assert len(set(rarely_used.serve(300, latency_ns=900 * MS))) <= 20
     busy = Sidecar(listings)
     assert len(set(busy.serve(3000, latency_ns=5 * MS))) > 120
 
 
-def test_two_of_three_endpoints_are_local_where_crossing_zones_costs() -> None:
-    """With local endpoints alone, a sidecar whose zone falls silent would have nowhere to go."""
+def test_two_thirds_of_the_subset_are_local_if_requests_to_other_zones_have_a_cost() -> None:
+    """A subset of local endpoints alone would leave no working endpoint if the zone fails."""
     listings = [listed(n, zone=n // 40) for n in range(200)]
     for seed in range(50):
-        priced = Sidecar(listings, seed=seed, zone=2, prices__cross_zone=0.12).balancer
-        subset = priced.endpoints.subset(priced.request_rate.read(priced.now))
+        balancer = Sidecar(listings, seed=seed, zone=2, prices__cross_zone=0.12).balancer
+        subset = balancer.endpoints.subset(balancer.request_rate.read(balancer.now))
         first = [
             e.zone
-            for e in priced.eligibility.eligible(pending_request(Sidecar(listings)), subset, priced.now)
+            for e in balancer.eligibility.eligible(pending_request(Sidecar(listings)), subset, balancer.now)
         ]
         assert len(first) == MIN_SUBSET_ENDPOINTS, (seed, first)
         assert 5 <= first.count(2) <= 6, (seed, first)
-        assert sorted(e.id for e in priced.endpoints.ready) == list(range(200))  # all others behind them
+        assert sorted(e.id for e in balancer.endpoints.ready) == list(range(200))  # the others follow
         assert [e.rank for e in Sidecar(listings, seed=seed).balancer.endpoints.ready] == sorted(
             e.rank for e in Sidecar(listings, seed=seed).balancer.endpoints.ready
         )
@@ -50,38 +50,41 @@
     assert max(used.values()) < 2.5 * min(used.values())
 
 
-def test_a_subset_that_was_removed_is_replaced() -> None:
+def test_draining_endpoints_are_replaced_in_the_subset() -> None:
     sidecar = Sidecar([listed(n) for n in range(60)])
-    few = set(sidecar.serve(60, latency_ns=SECOND))
-    sidecar.update_endpoints([listed(n, state=EndpointState.DRAINING) for n in few])
-    assert sends(sidecar.request())[0].endpoint not in few
+    subset = set(sidecar.serve(60, latency_ns=SECOND))
+    sidecar.update_endpoints([listed(n, state=EndpointState.DRAINING) for n in subset])
+    assert sends(sidecar.request())[0].endpoint not in subset
 
 
 def gossip_messages(actions: list[api.Action]) -> list[api.SendGossip]:
     return [a for a in actions if isinstance(a, api.SendGossip)]
 
 
-def test_gossip_is_sparse_and_only_where_it_is_allowed() -> None:
-    silent, peer = Sidecar([listed(1)]), Sidecar([listed(1)], allowed__peers=True, fleet_size=5, self_index=2)
+def test_gossip_is_sent_at_intervals_and_only_if_it_is_allowed() -> None:
+    disabled, enabled = (
+        Sidecar([listed(1)]),
+        Sidecar([listed(1)], allowed__peers=True, fleet_size=5, self_index=2),
+    )
     messages = []
     for _ in range(50):
-        for send in sends(silent.request()):
-            assert not gossip_messages(silent.outcome(send))
-        for send in sends(peer.request()):
-            peer.now += 70 * MS
-            messages += gossip_messages(peer.outcome(send))
-    full = [m for m in messages if m.observations]
-    assert 3 <= len(full) <= 6
-    assert len(messages) == 4 * len(full)
+        for send in sends(disabled.request()):
+            assert not gossip_messages(disabled.outcome(send))
+        for send in sends(enabled.request()):
+            enabled.now += 70 * MS
+            messages += gossip_messages(enabled.outcome(send))
+    with_observations = [m for m in messages if m.observations]
+    assert 3 <= len(with_observations) <= 6
+    assert len(messages) == 4 * len(with_observations)
     assert {m.peer for m in messages} <= {0, 1, 3, 4}
 
 
-def test_a_newer_observation_of_a_peer_counts_and_an_older_one_does_not() -> None:
+def test_an_observation_counts_only_if_newer_than_the_own_sample_and_the_process_start() -> None:
     sidecar = Sidecar([listed(1), listed(2, started_ns=99 * SECOND)], allowed__peers=True)
     sidecar.serve(20)
-    at = sidecar.endpoint(1).slowdown_at
+    sampled_at = sidecar.endpoint(1).slowdown_at
     sidecar.now += SECOND
-    old = api.EndpointObservation(1, 9.0, 9.0, sidecar.now - at + MS)
+    old = api.EndpointObservation(1, 9.0, 9.0, sidecar.now - sampled_at + MS)
     before_start = api.EndpointObservation(2, 9.0, 9.0, 5 * SECOND)
     sidecar.handle(api.GossipReceived(1, 0.0, (old, before_start)))
     assert sidecar.endpoint(1).slowdown < 5 > sidecar.endpoint(2).slowdown
--- a/tests/balancer/test_hostile_events.py
+++ b/tests/balancer/test_hostile_events.py
@@ -1,4 +1,4 @@
-"""Legal but hostile figures neither raise nor break a rule; other deployments' settings run."""
+"""Extreme but valid values neither raise nor break a rule, also with other deployments' settings."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus, EndpointListKind, Settings
-from tests.balancer.test_rules import World
+from tests.balancer.test_rules import RandomEventDriver
 from tests.support import MS, SECOND, Sidecar, finals, listed, raw_settings, sends, timers
 
 
 @pytest.mark.parametrize("size", [0, 1, 300])
-def test_fleets_of_any_size(size: int) -> None:
+def test_fleets_of_any_size_do_not_raise(size: int) -> None:
     sidecar = Sidecar([listed(n, started_ns=n % 3 * 99 * SECOND) for n in range(size)])
     for _ in range(30):
         for send in sends(sidecar.request()):
@@ -19,29 +19,29 @@
         sidecar.now += 20 * MS
 
 
-@pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
-def test_report_figures_of_any_kind(figure: float) -> None:
+@pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
+def test_load_reports_with_any_values_exclude_no_endpoint(value: float) -> None:
     sidecar = Sidecar([listed(1), listed(2)], report__columns=["latency_ms", "queue", "inflight", "qps"])
     for _ in range(50):
         for send in sends(sidecar.request()):
             sidecar.now += 10 * MS
-            sidecar.outcome(send, load=(figure,) * 4)
+            sidecar.outcome(send, load=(value,) * 4)
     assert set(sidecar.serve(40)) == {1, 2}
 
 
-def test_no_time_left_is_answered_at_once() -> None:
+def test_a_request_without_time_left_is_answered_at_once() -> None:
     sidecar = Sidecar([listed(1)])
     assert len(finals(sidecar.request(left_ns=0))) == 1
 
 
-def test_a_start_time_in_the_future_counts_as_a_start_now() -> None:
+def test_an_endpoint_with_a_start_time_in_the_future_is_warming_up() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(50)
     sidecar.update_endpoints([listed(3, started_ns=sidecar.now + 60 * SECOND)])
     assert sidecar.serve(100).count(3) < 30
 
 
-def test_a_fleet_that_fails_as_a_whole_is_used_again_when_well() -> None:
+def test_a_fleet_that_failed_completely_is_used_again_once_it_recovers() -> None:
     sidecar = Sidecar([listed(1), listed(2), listed(3)])
     for _ in range(200):
         for send in sends(sidecar.request(cls=2)):
@@ -50,8 +50,8 @@
     assert len(sidecar.serve(50)) == 50
 
 
-def test_a_sidecar_with_few_requests_returns_to_a_failed_endpoint() -> None:
-    """At one request in two seconds samples are rare: a bad one must not last for ever."""
+def test_a_sidecar_with_a_low_request_rate_returns_to_a_failed_endpoint() -> None:
+    """One request in two seconds gives few samples, so a bad one has to fade with time."""
     sidecar = Sidecar([listed(1), listed(2), listed(3)])
     for _ in range(6):
         for send in sends(sidecar.request(cls=2)):
@@ -64,7 +64,7 @@
     assert chosen.count(1) > 8
 
 
-def test_old_reports_fade_and_do_not_herd() -> None:
+def test_load_reports_fade_with_age() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(40)
     for endpoint, queue in zip(sidecar.balancer.endpoints.by_id.values(), (0.0, 40.0), strict=True):
@@ -80,7 +80,7 @@
     assert load(busy, later) / load(idle, later) < 1.2
 
 
-def test_a_streaming_class_runs_to_the_clients_limit() -> None:
+def test_an_attempt_of_a_streaming_class_may_take_until_the_deadline() -> None:
     raw = raw_settings()
     raw["request-classes"][0]["stream"] = True
     sidecar = Sidecar([listed(1)])
@@ -89,7 +89,7 @@
     assert sends(sidecar.request())[0].timeout_ns == 0
 
 
-def test_waiting_for_a_stalled_endpoint_is_bounded_and_cheap() -> None:
+def test_requests_at_stalled_endpoints_keep_timers_and_state_bounded() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(20)
     pending = []
@@ -103,22 +103,22 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_the_rules_hold_with_polled_discovery_and_no_load_reports(seed: int) -> None:
     raw = raw_settings(discovery="ask", report__how="silent", report__columns=[], allowed__cancel=False)
-    checker = World(seed, api.Settings.from_dict(raw), 10 * SECOND).run()
+    checker = RandomEventDriver(seed, api.Settings.from_dict(raw), 10 * SECOND).run()
     assert checker.requests
 
 
-@pytest.mark.parametrize("figure", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
-def test_peer_figures_of_any_kind(figure: float) -> None:
-    """A peer's message may hold any figures: how it is carried is the operators' choice."""
+@pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
+def test_gossip_with_any_values_does_not_raise(value: float) -> None:
+    """Gossip may hold any values, as the operators choose how it is transported."""
     sidecar = Sidecar([listed(1), listed(2)], allowed__peers=True)
-    seen = (
-        api.EndpointObservation(1, figure, figure, -(10**18)),
-        api.EndpointObservation(7, figure, figure, 10**18),
+    observations = (
+        api.EndpointObservation(1, value, value, -(10**18)),
+        api.EndpointObservation(7, value, value, 10**18),
     )
     for _ in range(50):
-        sidecar.handle(api.GossipReceived(1, figure, seen))
+        sidecar.handle(api.GossipReceived(1, value, observations))
         for send in sends(sidecar.request()):
             sidecar.now += 10 * MS
             sidecar.outcome(send)
-    is_overloaded = figure in (float("inf"), 3e38)
+    is_overloaded = value in (float("inf"), 3e38)
     assert is_overloaded or len(sidecar.serve(40)) == 40
--- a/tests/balancer/test_inspection.py
+++ b/tests/balancer/test_inspection.py
@@ -1,11 +1,11 @@
-"""What people and tools are shown of the decision module."""
+"""The view of the decision module for operators and tools."""
 
 from __future__ import annotations
 
 from anisespool.balancer.inspection import describe_settings
 from tests.support import settings
 
-# What the control socket's JSON has always called the settings, in its order.
+# Keys of the settings in the control socket's JSON, in their order there; they stay compatible.
 SETTINGS_KEYS = [
     "classes",
     "zone",
@@ -50,7 +50,7 @@
 ]
 
 
-def test_described_settings_keep_the_names_that_controllers_read() -> None:
+def test_described_settings_have_the_keys_of_the_control_socket() -> None:
     described = describe_settings(settings(tenants=[{"share": 0.25}]))
     assert list(described) == SETTINGS_KEYS
     assert [list(each) for each in described["classes"]] == [CLASS_KEYS] * 3
--- a/tests/balancer/test_retry.py
+++ b/tests/balancer/test_retry.py
@@ -1,4 +1,4 @@
-"""Attempts, retries and final answers."""
+"""Attempts, retries and final answers of requests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert sidecar.outcome(send, AttemptStatus.ERROR) == [api.Fail(send.request)]
 
 
-def test_a_retry_with_an_idempotency_key_stays_in_its_zone_and_window() -> None:
+def test_a_retry_with_an_idempotency_key_stays_in_the_deduplication_scope_and_window() -> None:
     listings = [listed(1), listed(2), listed(3, zone=1), listed(4, zone=1)]
     zone = {row.endpoint: row.zone for row in listings}
     for seed in range(40):
@@ -40,11 +40,11 @@
         assert zone[second.endpoint] == zone[first.endpoint]
     sidecar = Sidecar(listings)
     [first] = sends(sidecar.request(cls=1))
-    sidecar.now += SECOND - 30 * MS  # the retry would be in transit when the window closes
+    sidecar.now += SECOND - 30 * MS  # the window would end while the retry is in transit
     assert sends(sidecar.outcome(first, AttemptStatus.RESET)) == []
 
 
-def test_the_attempt_limit_holds_and_ends_in_one_answer() -> None:
+def test_a_request_that_reaches_the_attempt_limit_gets_one_answer() -> None:
     sidecar = Sidecar([listed(n) for n in range(1, 9)])
     actions = sidecar.request()
     for attempt in range(3):
@@ -55,7 +55,7 @@
     assert len(finals(actions)) == 1
 
 
-def test_without_endpoints_a_request_waits_and_is_rejected_in_time() -> None:
+def test_a_request_without_endpoints_waits_and_is_rejected_by_its_deadline() -> None:
     sidecar = Sidecar([])
     start = sidecar.now
     pending = timers(sidecar.request(left_ns=300 * MS))
@@ -70,7 +70,7 @@
     assert sidecar.now <= start + 300 * MS
 
 
-def test_a_waiting_request_is_sent_when_an_endpoint_appears() -> None:
+def test_a_waiting_request_is_sent_once_an_endpoint_is_listed() -> None:
     sidecar = Sidecar([])
     [timer] = timers(sidecar.request())
     sidecar.update_endpoints([listed(1)])
@@ -93,38 +93,38 @@
     assert sidecar.outcome(send, AttemptStatus.TIMEOUT, latency_ns=2 * SECOND) == [api.Fail(send.request)]
 
 
-def test_a_request_has_one_attempt_at_a_time_and_it_is_cancelled_when_the_client_goes() -> None:
+def test_the_single_attempt_of_a_request_is_cancelled_when_the_client_disconnects() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(40)
     actions = sidecar.request()
     [send] = sends(actions)
-    assert timers(actions) == []  # no hedged request: no gain beyond noise in any deployment or incident
+    assert timers(actions) == []  # hedging gave no gain beyond noise in any deployment or incident
     sidecar.now += 600 * MS
     assert sidecar.handle(api.ClientDisconnected(send.request)) == [api.Cancel(send.request, 0)]
 
 
-def test_a_slow_attempt_times_out_while_there_is_time_for_another() -> None:
-    """At a silent endpoint, or where answers are lost, waiting would use up the time for a retry."""
+def test_a_slow_attempt_times_out_early_if_a_retry_could_follow() -> None:
+    """If an endpoint does not respond or answers are lost, waiting would use up the time for a retry."""
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(60, latency_ns=50 * MS)
     [send] = sends(sidecar.request())
     assert 100 * MS < send.timeout_ns <= 300 * MS
     sidecar.now += send.timeout_ns
-    [again] = sends(sidecar.outcome(send, AttemptStatus.TIMEOUT, latency_ns=send.timeout_ns))
-    assert again.endpoint != send.endpoint
-    [unsafe] = sends(sidecar.request(cls=2))
-    assert unsafe.timeout_ns == 700 * MS
+    [retry] = sends(sidecar.outcome(send, AttemptStatus.TIMEOUT, latency_ns=send.timeout_ns))
+    assert retry.endpoint != send.endpoint
+    [not_idempotent] = sends(sidecar.request(cls=2))
+    assert not_idempotent.timeout_ns == 700 * MS
 
 
-def test_no_early_timeout_where_little_time_would_be_left() -> None:
-    """Under load a retry is no likelier to be answered than the first attempt, and adds to the load."""
+def test_an_attempt_has_no_early_timeout_if_little_time_would_be_left_for_a_retry() -> None:
+    """A retry under load is no more likely to be answered than the first attempt, and adds to the load."""
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(60, latency_ns=150 * MS)
     [send] = sends(sidecar.request())
     assert send.timeout_ns == 700 * MS
 
 
-def test_no_retry_and_no_cancel_once_a_stream_has_begun() -> None:
+def test_a_request_is_neither_retried_nor_cancelled_after_its_first_byte() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     actions = sidecar.request()
     [send] = sends(actions)
@@ -134,7 +134,7 @@
         assert sidecar.handle(api.TimerExpired(timer.token)) == []
 
 
-def test_the_retry_budget_is_a_fifth_of_the_requests() -> None:
+def test_the_retry_budget_allows_a_fifth_of_the_requests() -> None:
     budget = RetryBudget()
     retries = 0
     for _ in range(1000):
@@ -142,7 +142,7 @@
         while budget.has_token():
             budget.consume()
             retries += 1
-    assert 200 <= retries <= 210  # and the ten tokens that it began with
+    assert 200 <= retries <= 210  # a fifth, and the ten initial tokens
     for _ in range(1000):
         budget.record_request()
     assert budget.tokens == MAX_RETRY_TOKENS
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules on generated event sequences, checked by anisespool/lab/model/checker.py."""
+"""Random event sequences, checked against the four rules by anisespool/lab/model/checker.py."""
 
 from __future__ import annotations
 
@@ -19,56 +19,56 @@
 STATUSES = list(AttemptStatus)
 
 
-class World:
-    """Legal events drawn from a seed: arrivals, outcomes of every kind, endpoint list updates, timers."""
+class RandomEventDriver:
+    """Passes random valid events to a balancer and a checker: requests, outcomes, endpoint lists, timers."""
 
     def __init__(self, seed: int, cfg: api.Settings, length_ns: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cfg = cfg
         self.checker = Checker(cfg)
         self.balancer = Balancer(cfg, seed)
-        self.now = self.draw.choice((10 * SECOND, 10**15))
+        self.now = self.rng.choice((10 * SECOND, 10**15))
         self.end = self.now + length_ns
-        self.order = count()
+        self.sequence = count()
         self.queue: list[tuple[int, int, str, Any]] = []
-        self.ids = count(1)
-        self.outstanding: dict[tuple[int, int], api.Send] = {}
-        self.fate = self.draw.choice(("calm", "errors", "silent", "mixed"))
+        self.request_ids = count(1)
+        self.in_flight: dict[tuple[int, int], api.Send] = {}
+        self.outcome_mix = self.rng.choice(("ok", "errors", "silent", "mixed"))
 
-    def at(self, when: int, what: str, data: Any = None) -> None:
-        heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), what, data))
+    def schedule(self, at: int, kind: str, data: Any = None) -> None:
+        heappush(self.queue, (-(-at // TICK) * TICK, next(self.sequence), kind, data))
 
     def run(self) -> Checker:
-        self.deliver(api.EndpointListUpdate(1, api.EndpointListKind.CACHED, tuple(self.listings())))
-        self.at(self.now + TICK, "arrive")
-        self.at(self.now + SECOND, "endpoint_list")
-        self.at(self.now + SECOND, "gossip")
+        self.deliver(api.EndpointListUpdate(1, api.EndpointListKind.CACHED, tuple(self.random_listings())))
+        self.schedule(self.now + TICK, "arrival")
+        self.schedule(self.now + SECOND, "endpoint_list")
+        self.schedule(self.now + SECOND, "gossip")
         while self.queue:
-            when, _, what, data = heappop(self.queue)
-            if when > self.end + 10 * SECOND and not self.outstanding and what == "timer":
+            at, _, kind, data = heappop(self.queue)
+            if at > self.end + 10 * SECOND and not self.in_flight and kind == "timer":
                 break
-            self.now = max(self.now, when)
+            self.now = max(self.now, at)
             self.checker.nothing_owed(self.now)
-            getattr(self, "do_" + what)(data)
+            getattr(self, "on_" + kind)(data)
         self.checker.nothing_owed(self.now + 60 * SECOND)
-        assert not self.balancer.pending, "state kept for finished requests"
-        assert not self.balancer.ordering.queues, "state kept for idle keys"
+        assert not self.balancer.pending, "finished requests are still pending"
+        assert not self.balancer.ordering.queues, "ordering keys without requests still have queues"
         return self.checker
 
-    def listings(self) -> list[api.EndpointListing]:
-        draw = self.draw
+    def random_listings(self) -> list[api.EndpointListing]:
+        rng = self.rng
         started = (0, self.now, self.now - SECOND)
         return [
             api.EndpointListing(
                 n * 7919,
-                draw.choice((0.0, 1.0, 4.0)),
+                rng.choice((0.0, 1.0, 4.0)),
                 n % 3,
-                draw.randrange(2),
+                rng.randrange(2),
                 n % 2,
-                draw.choice((0, 1, 1, 1, 2)),
-                draw.choice(started),
+                rng.choice((0, 1, 1, 1, 2)),
+                rng.choice(started),
             )
-            for n in draw.sample(range(1, 9), draw.randrange(0, 8))
+            for n in rng.sample(range(1, 9), rng.randrange(0, 8))
         ]
 
     def deliver(self, event: api.Event) -> None:
@@ -77,88 +77,94 @@
         self.checker.actions(self.now, actions)
         for action in actions:
             if isinstance(action, api.Send):
-                self.sent(action)
+                self.on_send(action)
             elif isinstance(action, api.SetTimer):
-                self.at(self.now + max(action.delay_ns, TICK), "timer", action.token)
+                self.schedule(self.now + max(action.delay_ns, TICK), "timer", action.token)
             elif isinstance(action, api.Cancel):
-                self.at(self.now + TICK, "cancelled", (action.request, action.attempt))
+                self.schedule(self.now + TICK, "cancelled", (action.request, action.attempt))
 
-    def sent(self, send: api.Send) -> None:
+    def on_send(self, send: api.Send) -> None:
         ledger = self.checker.requests[send.request]
         attempt = len(ledger.copies) - 1
-        self.outstanding[send.request, attempt] = send
+        self.in_flight[send.request, attempt] = send
         limit = min(self.now + send.timeout_ns, ledger.due) if send.timeout_ns else ledger.due
-        self.at(limit, "outcome", (send.request, attempt, AttemptStatus.TIMEOUT))
-        status = self.status()
+        self.schedule(limit, "outcome", (send.request, attempt, AttemptStatus.TIMEOUT))
+        status = self.random_status()
         if status is not None:
-            wait = self.draw.choice((1, 30, 200, 900)) * MS
-            if self.now + wait < limit:
-                self.at(self.now + wait, "outcome", (send.request, attempt, status))
+            delay_ns = self.rng.choice((1, 30, 200, 900)) * MS
+            if self.now + delay_ns < limit:
+                self.schedule(self.now + delay_ns, "outcome", (send.request, attempt, status))
 
-    def status(self) -> AttemptStatus | None:
-        if self.fate == "calm":
+    def random_status(self) -> AttemptStatus | None:
+        if self.outcome_mix == "ok":
             return AttemptStatus.OK
-        if self.fate == "silent":
+        if self.outcome_mix == "silent":
             return None
-        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.fate == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
-        return self.draw.choices(STATUSES, weights)[0]
+        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.outcome_mix == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
+        return self.rng.choices(STATUSES, weights)[0]
 
-    def do_arrive(self, _: Any) -> None:
+    def on_arrival(self, _: Any) -> None:
         if self.now >= self.end:
             return
-        draw = self.draw
-        left = draw.choice((0, TICK, 300 * MS, 2 * SECOND))
-        hint = draw.choice((None, 0, 30 * MS, 2**63))
-        cls = draw.randrange(len(self.cfg.classes))
-        request = api.RequestArrived(next(self.ids), cls, left, hint, draw.choice((0, 5, 2**64 - 1)))
-        self.at(self.now + draw.choice((TICK, 20 * MS, 400 * MS)), "arrive")
+        rng = self.rng
+        remaining_ns = rng.choice((0, TICK, 300 * MS, 2 * SECOND))
+        hint = rng.choice((None, 0, 30 * MS, 2**63))
+        class_index = rng.randrange(len(self.cfg.classes))
+        request = api.RequestArrived(
+            next(self.request_ids), class_index, remaining_ns, hint, rng.choice((0, 5, 2**64 - 1))
+        )
+        self.schedule(self.now + rng.choice((TICK, 20 * MS, 400 * MS)), "arrival")
         self.deliver(request)
         ledger = self.checker.requests[request.request]
-        if draw.random() < 0.1:
-            self.at(self.now + 50 * MS, "leave", request.request)
-        self.at(ledger.due + TICK, "deadline", request.request)
+        if rng.random() < 0.1:
+            self.schedule(self.now + 50 * MS, "disconnect", request.request)
+        self.schedule(ledger.due + TICK, "deadline", request.request)
 
-    def do_leave(self, request: int) -> None:
+    def on_disconnect(self, request: int) -> None:
         if not self.checker.requests[request].answered:
             self.deliver(api.ClientDisconnected(request))
 
-    def do_deadline(self, request: int) -> None:
+    def on_deadline(self, request: int) -> None:
         ledger = self.checker.requests[request]
-        assert ledger.answered or any(c.open for c in ledger.copies), "rule 1: held past its time"
+        assert ledger.answered or any(c.open for c in ledger.copies), (
+            "rule 1: neither answered nor in flight at its deadline"
+        )
 
-    def do_cancelled(self, attempt: tuple[int, int]) -> None:
-        self.do_outcome((*attempt, AttemptStatus.CANCELLED))
+    def on_cancelled(self, attempt: tuple[int, int]) -> None:
+        self.on_outcome((*attempt, AttemptStatus.CANCELLED))
 
-    def do_outcome(self, data: tuple[int, int, AttemptStatus]) -> None:
+    def on_outcome(self, data: tuple[int, int, AttemptStatus]) -> None:
         request, attempt, status = data
-        send = self.outstanding.pop((request, attempt), None)
+        send = self.in_flight.pop((request, attempt), None)
         if send is None:
             return
         finished = self.checker.requests[request].answered or status is AttemptStatus.OK
         latency = self.now - self.checker.requests[request].copies[attempt].sent
-        load = self.draw.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
+        load = self.rng.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
         self.deliver(api.AttemptOutcome(request, send.endpoint, attempt, latency, status, finished, load))
 
-    def do_endpoint_list(self, _: Any) -> None:
-        form = self.draw.choice(
+    def on_endpoint_list(self, _: Any) -> None:
+        kind = self.rng.choice(
             (api.EndpointListKind.DELTA, api.EndpointListKind.FULL, api.EndpointListKind.FAILED)
         )
-        listings = () if form is api.EndpointListKind.FAILED else tuple(self.listings())
-        if form is not api.EndpointListKind.DELTA:
+        listings = () if kind is api.EndpointListKind.FAILED else tuple(self.random_listings())
+        if kind is not api.EndpointListKind.DELTA:
             listings = tuple(row for row in listings if row.state != EndpointState.GONE)
         if self.now < self.end:
-            self.at(self.now + self.draw.choice((TICK, SECOND)), "endpoint_list")
-        self.deliver(api.EndpointListUpdate(2, form, listings))
-
-    def do_gossip(self, _: Any) -> None:
-        draw = self.draw
-        slow, queue = draw.choice((0.1, 1.0, 50.0)), draw.choice((0.0, 9.0))
-        seen = [api.EndpointObservation(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
+            self.schedule(self.now + self.rng.choice((TICK, SECOND)), "endpoint_list")
+        self.deliver(api.EndpointListUpdate(2, kind, listings))
+
+    def on_gossip(self, _: Any) -> None:
+        rng = self.rng
+        slowdown, queue = rng.choice((0.1, 1.0, 50.0)), rng.choice((0.0, 9.0))
+        observations = [
+            api.EndpointObservation(n * 7919, slowdown, queue, rng.randrange(SECOND)) for n in range(1, 9)
+        ]
         if self.now < self.end and self.cfg.may_gossip:
-            self.at(self.now + draw.choice((TICK, SECOND)), "gossip")
-            self.deliver(api.GossipReceived(1, draw.random(), tuple(seen)))
+            self.schedule(self.now + rng.choice((TICK, SECOND)), "gossip")
+            self.deliver(api.GossipReceived(1, rng.random(), tuple(observations)))
 
-    def do_timer(self, token: int) -> None:
+    def on_timer(self, token: int) -> None:
         self.deliver(api.TimerExpired(token))
 
 
@@ -175,7 +181,7 @@
     in_order=strategies.sampled_from([(), (2,), (0, 1, 2)]),
     settle_ns=strategies.sampled_from([0, 100 * MS, SECOND]),
 )
-def test_the_rules_hold_for_any_attemptal_events(
+def test_the_rules_hold_for_any_valid_events(
     seed: int,
     dedup_scope: str,
     may_hedge: bool,
@@ -195,9 +201,9 @@
         guarantees__order_settle_ns=settle_ns,
     )
     raw["request-classes"][1].update({"dedup-scope": dedup_scope, "dedup-window-ns": dedup_window_ns})
-    for cls in raw["request-classes"]:
-        cls["late-worth"] = late_weight
+    for request_class in raw["request-classes"]:
+        request_class["late-worth"] = late_weight
     for index in in_order:
         raw["request-classes"][index]["in-order"] = True
-    checker = World(seed, api.Settings.from_dict(raw), 8 * SECOND).run()
+    checker = RandomEventDriver(seed, api.Settings.from_dict(raw), 8 * SECOND).run()
     assert checker.requests
--- a/tests/balancer/test_weights.py
+++ b/tests/balancer/test_weights.py
@@ -1,4 +1,4 @@
-"""The draw: weights by load, slowdown, cost of a connection and key affinity."""
+"""The random choice of an endpoint, weighted by load, slowdown, connection cost and key affinity."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def test_weights_are_the_inverse_of_load_plus_one_times_slowdown() -> None:
-    """The frequencies of 4000 draws against 1 / w_i, where w_i = (L_i + 1) * x_i."""
+    """Compares the frequencies of 4000 choices with 1 / w_i, where w_i = (L_i + 1) * x_i."""
     queues, slow = {1: 0, 2: 1, 3: 4}, {1: 1.0, 2: 2.0, 3: 1.0}
     counts = dict.fromkeys(queues, 0)
     for seed in range(4000):
@@ -41,35 +41,35 @@
         assert abs(counts[number] - 4000 * probability) < bound, (number, counts)
 
 
-def test_a_faster_endpoint_gets_more() -> None:
+def test_a_faster_endpoint_gets_more_requests() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     chosen = []
     for _ in range(400):
         [send] = sends(sidecar.request())
         chosen.append(send.endpoint)
-        took = (20 if send.endpoint == 1 else 100) * MS
-        sidecar.now += took
-        sidecar.outcome(send, latency_ns=took)
+        latency_ns = (20 if send.endpoint == 1 else 100) * MS
+        sidecar.now += latency_ns
+        sidecar.outcome(send, latency_ns=latency_ns)
     assert share(chosen, 1) > 0.65
 
 
 def test_own_attempts_since_the_last_report_count_as_load() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     counts = {1: 0, 2: 0}
-    for _ in range(60):  # all at once: the answer rate is not known yet, so none is rejected
+    for _ in range(60):  # open at the same time; none is rejected, as the answer rate is not known yet
         for send in sends(sidecar.request()):
             counts[send.endpoint] += 1
-    assert min(counts.values()) > 20  # a fair coin would go below this once in 200 seeds
+    assert min(counts.values()) > 20  # even odds would give a lower count for one seed in 200
 
 
-def test_an_idle_connection_is_preferred_by_what_a_handshake_costs() -> None:
-    """Hundreds of sidecars would else open a connection for every second request."""
-    met = {}
+def test_endpoints_with_an_idle_connection_are_preferred_if_handshakes_have_a_cost() -> None:
+    """Without this, hundreds of sidecars open a connection for every second request."""
+    endpoints_used = {}
     for price in (0.0, 0.07):
         sidecar = Sidecar([listed(n) for n in range(8)], prices__handshake=price)
-        met[price] = len(set(sidecar.serve(30, latency_ns=100 * MS)))
-    assert met[0.0] == 8, met
-    assert met[0.07] <= 6, met
+        endpoints_used[price] = len(set(sidecar.serve(30, latency_ns=100 * MS)))
+    assert endpoints_used[0.0] == 8, endpoints_used
+    assert endpoints_used[0.07] <= 6, endpoints_used
 
 
 @pytest.mark.parametrize(
@@ -91,11 +91,11 @@
     sidecar.outcome(send, status, finished=True)
     assert sidecar.endpoint(1).idle_connections == left
     sidecar.update_endpoints([listed(1, started_ns=sidecar.now)])
-    assert sidecar.endpoint(1).idle_connections == 0  # another process
+    assert sidecar.endpoint(1).idle_connections == 0  # the endpoint has restarted
 
 
-def test_a_warming_endpoint_needs_no_idle_connection_to_be_drawn() -> None:
-    """Where half of a fleet was replaced, the other half got nearly all requests until it rejected them."""
+def test_a_warming_endpoint_without_connections_is_not_penalized_for_it() -> None:
+    """If half of a fleet is replaced, the other half gets nearly all requests until it rejects them."""
     hits = 0
     for seed in range(200):
         sidecar = Sidecar([listed(n) for n in range(6)], seed=seed, prices__handshake=0.07)
@@ -107,8 +107,8 @@
 
 
 @pytest.mark.parametrize("size", [10, 80])
-def test_key_affinity_is_alike_in_small_and_large_fleets(size: int) -> None:
-    """A fixed weight for the key's endpoint would be a third in a fleet of ten and a twelfth in one of 73."""
+def test_key_affinity_has_the_same_effect_in_small_and_large_fleets(size: int) -> None:
+    """A fixed weight would give a key's endpoint a third of the requests among 10, a twelfth among 73."""
     sidecar = Sidecar([listed(n) for n in range(size)], family_info__warm_keys=True)
     counts: dict[int, int] = {}
     for _ in range(400):
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and a scripted world for the tests. The figures are made up for them."""
+"""Settings and a scripted sidecar for the tests; all values are made up."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    """A settings object in the wire's terms; `a__b=v` changes key `b` inside `a`."""
+    """Return a settings object as in the platform's JSON; the change `a__b=v` sets key `b` inside `a`."""
     raw: dict[str, Any] = {
         "allowed": {
             "attempts-cap": 3,
@@ -59,10 +59,10 @@
     }
     for path, value in changes.items():
         *parents, key = [part.replace("_", "-") for part in path.split("__")]
-        place = raw
+        section = raw
         for parent in parents:
-            place = place.setdefault(parent, {})
-        place[key] = value
+            section = section.setdefault(parent, {})
+        section[key] = value
     return copy.deepcopy(raw)
 
 
@@ -80,12 +80,12 @@
     state: int = api.EndpointState.READY,
     started_ns: int = 0,
 ) -> api.EndpointListing:
-    """An entry of the endpoint list; ready and warm if nothing else is said."""
+    """Return an entry of the endpoint list, ready and warm by default."""
     return api.EndpointListing(endpoint, weight, cell, machine_type, zone, state, started_ns)
 
 
 class Sidecar:
-    """One balancer and its endpoints; events and time are passed in by hand."""
+    """A balancer and its endpoints; the test passes in the events and advances the time."""
 
     def __init__(self, listings: list[api.EndpointListing], seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -96,19 +96,19 @@
     def update_endpoints(
         self, listings: list[api.EndpointListing], kind: api.EndpointListKind = api.EndpointListKind.DELTA
     ) -> list[api.Action]:
-        """Let discovery send a list, or the changes to one."""
+        """Pass an endpoint list or a delta to the balancer."""
         return self.handle(api.EndpointListUpdate(1, kind, tuple(listings)))
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Pass an event to the balancer now."""
+        """Pass an event to the balancer at the current time."""
         return self.balancer.handle(self.now, event)
 
     def endpoint(self, number: int) -> Endpoint:
-        """What the balancer knows of an endpoint."""
+        """Return the balancer's state of an endpoint."""
         return self.balancer.endpoints.by_id[number]
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
-        """Let a client send the next request, of class `cls`."""
+        """Pass the next request to the balancer, of the class with index `cls`."""
         self.last_request += 1
         event = api.RequestArrived(self.last_request, cls, left_ns, **fields)
         return without_logs(self.balancer.handle(self.now, event))
@@ -123,13 +123,13 @@
         finished: bool | None = None,
         load: tuple[float, ...] = (0.0,),
     ) -> list[api.Action]:
-        """End an attempt."""
+        """Pass the outcome of an attempt to the balancer."""
         done = status is api.AttemptStatus.OK if finished is None else finished
         event = api.AttemptOutcome(send.request, send.endpoint, attempt, latency_ns, status, done, load)
         return without_logs(self.balancer.handle(self.now, event))
 
     def serve(self, count: int, latency_ns: int = 50 * MS, cls: int = 0) -> list[int]:
-        """Send and answer requests one after another; returns the endpoints chosen."""
+        """Send and answer requests one after another, and return the endpoints selected."""
         chosen = []
         for _ in range(count):
             for send in sends(self.request(cls)):
@@ -140,27 +140,27 @@
 
 
 def without_logs(actions: list[api.Action]) -> list[api.Action]:
-    """The actions except log lines."""
+    """Return the actions other than log lines."""
     return [a for a in actions if not isinstance(a, api.Log)]
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """The attempts among the actions."""
+    """Return the attempts among the actions."""
     return [a for a in actions if isinstance(a, api.Send)]
 
 
 def finals(actions: list[api.Action]) -> list[api.Action]:
-    """The final answers among the actions."""
+    """Return the final answers among the actions."""
     return [a for a in actions if isinstance(a, api.Reject | api.Fail)]
 
 
 def timers(actions: list[api.Action]) -> list[api.SetTimer]:
-    """The timers set by the actions."""
+    """Return the timers set by the actions."""
     return [a for a in actions if isinstance(a, api.SetTimer)]
 
 
 def pending_request(sidecar: Sidecar) -> PendingRequest:
-    """A request of the first class that has arrived at `sidecar` now."""
+    """Return a request of the first class that arrives at `sidecar` now."""
     event = api.RequestArrived(10**6, 0, 2 * SECOND)
     request_class = sidecar.balancer.settings.classes[0]
     deadlines = Deadlines(event, request_class, 0, sidecar.now)
@@ -168,5 +168,5 @@
 
 
 def share(chosen: list[int], endpoint: int) -> float:
-    """The part of the draws that went to `endpoint`."""
+    """Return the fraction of the choices that went to `endpoint`."""
     return chosen.count(endpoint) / len(chosen)
