--- a/anisespool/balancer/endpoint_table.py
+++ b/anisespool/balancer/endpoint_table.py
@@ -28,13 +28,13 @@
             listed = {listing.endpoint for listing in update.entries}
             self.by_id = {n: e for n, e in self.by_id.items() if n in listed}
         for listing in update.entries:
-            known = self.by_id.pop(listing.endpoint, None)
+            endpoint = self.by_id.pop(listing.endpoint, None)
             if listing.state == api.EndpointState.GONE:
                 continue
-            if known is None or known.listing.started_ns != listing.started_ns:
-                known = Endpoint(listing, hash_pair(self._salt, listing.endpoint), self._settings)
-            known.update(listing)
-            self.by_id[listing.endpoint] = known
+            if endpoint is None or endpoint.listing.started_ns != listing.started_ns:
+                endpoint = Endpoint(listing, hash_pair(self._salt, listing.endpoint), self._settings)
+            endpoint.update(listing)
+            self.by_id[listing.endpoint] = endpoint
         local_zone = self._settings.zone if self._settings.cross_zone_cost else None
         self.ready = order_by_rank([e for e in self.by_id.values() if e.ready], local_zone)
 
--- a/anisespool/balancer/selection/eligibility.py
+++ b/anisespool/balancer/selection/eligibility.py
@@ -38,8 +38,8 @@
             subset = _in_scope(subset, first.endpoint, request.request_class.dedup_scope)
         if not request.attempts:
             return subset
-        tried = {attempt.endpoint.id for attempt in request.attempts}
-        return [e for e in subset if e.id not in tried] or subset
+        used_ids = {attempt.endpoint.id for attempt in request.attempts}
+        return [e for e in subset if e.id not in used_ids] or subset
 
 
 def _in_scope(endpoints: list[Endpoint], executed_by: Endpoint, scope: DedupScope) -> list[Endpoint]:
--- a/anisespool/balancer/selection/slow_start.py
+++ b/anisespool/balancer/selection/slow_start.py
@@ -14,7 +14,7 @@
 
 
 class SlowStart:
-    """Slow start at one sidecar; work is the sum of the attempts' expected latencies."""
+    """Slow start at one sidecar; work is counted in expected latencies."""
 
     def __init__(self, settings: api.Settings) -> None:
         self._settings = settings
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -17,7 +17,7 @@
 
 
 class WarmupLimiter:
-    """Compares the work sent to one endpoint with the work it answered, both as sums of expected latencies.
+    """Compares the work sent to one endpoint with the work it answered, both counted in expected latencies.
 
     Attributes:
         allowance: Maximum ratio of the work sent to the work answered.
--- a/anisespool/balancer/simulator/host.py
+++ b/anisespool/balancer/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts decision modules for the simulator: batches of events on standard input, replies on output."""
+"""Hosts decision modules for the simulator: events on standard input, actions on standard output."""
 
 from __future__ import annotations
 
