--- a/anisespool/discovery/__init__.py
+++ b/anisespool/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the watch on the endpoint list, and which endpoints have been withdrawn from use."""
+"""Service discovery: watches the endpoint list, and tracks which endpoints are withdrawn from use."""
--- a/anisespool/discovery/repeat_limit.py
+++ b/anisespool/discovery/repeat_limit.py
@@ -1,12 +1,13 @@
-"""Limits how often the same log line is written: attempts to reach discovery may be frequent. Pure."""
+"""Limits how often the same log line is written, as attempts to reach discovery may be frequent. Pure."""
 
 from __future__ import annotations
 
-LOG_INTERVAL_S = 2.0  # between two identical log lines
+# Minimum time between two identical log lines.
+LOG_INTERVAL_S = 2.0
 
 
 class RepeatLimit:
-    """Suppresses a log line that repeats the one before it, for LOG_INTERVAL_S."""
+    """Suppresses a log line that repeats the previous one, for LOG_INTERVAL_S."""
 
     def __init__(self) -> None:
         self._last_line = ""
@@ -16,8 +17,8 @@
         """Return whether to write the line; if so, it counts as written.
 
         Args:
-            line: What identifies the line.
-            now_s: Monotonic time, s.
+            line: Text that identifies the line.
+            now_s: Monotonic time.
         """
         if line == self._last_line and now_s < self._repeat_at_s:
             return False
--- a/anisespool/discovery/timeouts.py
+++ b/anisespool/discovery/timeouts.py
@@ -1,8 +1,8 @@
-"""Timeouts of the endpoint watch, and how long its backoff may grow. Pure: no I/O, no clock.
+"""Timeouts and backoff limits of the endpoint watch. Pure: no I/O, no clock.
 
 The platform's protocol counts an update as delivered 6 s after the watch last received anything from
-discovery, arrived or not. Within that time a silent connection has to be noticed, a new connection that is
-silent as well has to be given up, and a third one has to bring the update.
+discovery, even if the update did not arrive. Within that time the watch has to detect a silent connection,
+abandon a second connection that is silent too, and receive the update over a third one.
 """
 
 from __future__ import annotations
@@ -11,21 +11,24 @@
 
 from anisespool.balancer.interface import DiscoveryMode, Settings
 
-SILENCE_TIMEOUT_S = 2.5  # an empty line is due every 2 s; TCP alone does not notice a peer that is cut off
+# Discovery sends an empty line every 2 s; TCP alone does not detect a peer that is cut off.
+SILENCE_TIMEOUT_S = 2.5
 INITIAL_BACKOFF_S = 0.05
-INVALID_UPDATE_BACKOFF_S = 2.0  # at most, while updates can't be applied: the next may be just as bad
+# Longest backoff while updates can't be applied, as the next update may fail in the same way.
+INVALID_UPDATE_BACKOFF_S = 2.0
 PUSH_RESPONSE_TIMEOUT_S = 1.0
-DRAIN_GRACE_SHARE = 0.4  # for connecting, and as much for the pause before it
+# Share of the drain grace period for connecting, and also for the pause before it.
+DRAIN_GRACE_SHARE = 0.4
 MIN_TIMEOUT_S = 0.05
 
 
 class WatchTiming(NamedTuple):
-    """How long one attempt may take and how far attempts are apart.
+    """Time limits for one attempt, and the longest pause between two attempts.
 
     Attributes:
-        connect_timeout_s: For the connection to be established, s.
-        response_timeout_s: From then to the head of the response or the first update, s.
-        max_backoff_s: Longest pause between two attempts, s.
+        connect_timeout_s: Time limit for establishing the connection.
+        response_timeout_s: Time limit from then to the head of the response or the first update.
+        max_backoff_s: Longest pause between two attempts.
     """
 
     connect_timeout_s: float
@@ -33,16 +36,16 @@
     max_backoff_s: float
 
 
-# A discovery service shared by the fleet works through its calls in turn and ends each after 2 s itself: a
-# call given up sooner would have waited for nothing, and come again.
+# A discovery service shared by the fleet handles its calls in turn and ends each after 2 s itself. A call
+# that is abandoned sooner has waited in vain and is made again.
 POLL_TIMING = WatchTiming(connect_timeout_s=0.5, response_timeout_s=2.2, max_backoff_s=2.0)
 
 
 def watch_timing(settings: Settings) -> WatchTiming:
-    """Return the timing for the platform's kind of discovery.
+    """Return the timing for the platform's discovery mode.
 
-    With `push` an agent on this machine responds at once and at no cost, and its list counts as delivered
-    whether or not a watch is open, so an agent that was away is found again within the drain grace.
+    With `push` an agent on this machine responds at once and at no cost. Its list counts as delivered whether
+    or not a watch is open, so the watch reconnects within the drain grace period to an agent that was away.
     """
     if settings.discovery_mode is DiscoveryMode.POLL:
         return POLL_TIMING
--- a/anisespool/discovery/update_stream.py
+++ b/anisespool/discovery/update_stream.py
@@ -1,6 +1,6 @@
-"""One connection to the discovery service: a long HTTP response of JSON documents, each a list update.
+"""One connection to the discovery service: an HTTP response that streams list updates as JSON documents.
 
-What an update holds, and when another connection follows, is decided by `watch`.
+`watch` interprets the updates and decides when to connect again.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 from anisespool.discovery import timeouts
 from anisespool.discovery.timeouts import WatchTiming
 
-MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # of one update
+# Maximum size of one update.
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 READ_BYTES = 65536
 
 ApplyUpdates = Callable[[list[Any]], bool]
@@ -28,11 +29,11 @@
     def __init__(
         self, address: Address, revision: int, timing: WatchTiming, apply_updates: ApplyUpdates
     ) -> None:
-        """Prepare the attempt; `run` makes it.
+        """Prepare an attempt, which `run` carries out.
 
         Args:
-            address: Of the discovery service.
-            revision: Updates after it are requested; 0: the complete list.
+            address: Address of the discovery service.
+            revision: Revision after which updates are requested; 0 requests the complete list.
             timing: Timeouts of the attempt.
             apply_updates: Takes the JSON documents that arrived together, in order. Returns whether to
                 continue.
@@ -41,11 +42,12 @@
         self._revision = revision
         self._timing = timing
         self._apply_updates = apply_updates
-        self._body = bytearray()  # received and not yet parsed as JSON
+        # Received bytes that have not been parsed as JSON yet.
+        self._body = bytearray()
         self._documents = JsonStreamParser(MAX_DOCUMENT_BYTES)
 
     async def run(self) -> None:
-        """Receive updates until the response ends, is no stream of updates, or `apply_updates` ends it.
+        """Receive updates until the response ends or is an error, or `apply_updates` returns false.
 
         Raises:
             OSError: The connection failed.
@@ -91,7 +93,7 @@
 
 
 def _has_ended(parser: http1.ResponseParser) -> bool:
-    """Return whether the response is complete, or is none that can bring updates."""
+    """Return whether the response is complete, invalid or an error, so that no update can follow."""
     has_head = parser.status != 0
     is_error = has_head and parser.status != HTTPStatus.OK
     return parser.failed or parser.response is not None or is_error
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: reconnects to discovery, and applies each update once, in order."""
+"""Watches the endpoint list: reconnects to discovery, and applies each update once, in order."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
         on_update: Callable[[EndpointList], None],
         timing: WatchTiming,
     ) -> None:
-        """Prepare a watch; `run` opens it.
+        """Prepare a watch, which `run` opens.
 
         Args:
-            address: Of the discovery service.
+            address: Address of the discovery service.
             names: Converts an update's JSON to a checked list.
-            revision: Of the last update that was applied before.
-            on_update: Applies an update; one for which it raises counts as not applied.
+            revision: Revision of the last update that has already been applied.
+            on_update: Applies an update. If it raises, the update counts as not applied.
             timing: Timeouts and backoff.
         """
         self.first_attempt_done = asyncio.Event()
@@ -54,10 +54,10 @@
         self._repeat_limit = RepeatLimit()
 
     def change_address(self, address: Address) -> None:
-        """Watch at another address, without waiting for the old attempt or its backoff to end.
+        """Switch to another address, without waiting for the old attempt or its backoff to end.
 
-        Another service may number its revisions differently, and updates could be missed after a revision of
-        the old one: the complete list is requested.
+        Another service may number its revisions differently, and updates after a revision of the old service
+        could be incomplete, so the complete list is requested.
         """
         if address == self._address:
             return
@@ -73,16 +73,17 @@
         while True:
             self._attempt = asyncio.create_task(self._attempt_and_back_off())
             try:
-                await asyncio.wait([self._attempt])  # a cancelled attempt does not end the watch
+                await asyncio.wait([self._attempt])  # A cancelled attempt does not end the watch.
             finally:
                 self._attempt.cancel()
-            # An attempt whose own error handling fails would fail again at once.
+            # Without this pause, an attempt whose error handling fails would be repeated at once.
             if not self._attempt.cancelled() and self._attempt.exception():
                 await asyncio.sleep(timeouts.INVALID_UPDATE_BACKOFF_S)
 
     async def _attempt_and_back_off(self) -> None:
         self._progress.begin_attempt()
-        failure = ""  # as text: a stored exception would keep the frames of the attempt alive
+        # The failure is stored as text, because an exception would keep the frames of the attempt alive.
+        failure = ""
         try:
             revision = self._progress.revision
             await UpdateStream(self._address, revision, self._timing, self._apply_updates).run()
@@ -90,7 +91,8 @@
             if isinstance(error, JsonStreamError):
                 self._progress.record_invalid_stream(str(error))
             failure = _describe(error)
-        except Exception as error:  # of any kind: without a watch every later drain would be missed
+        except Exception as error:
+            # Every kind of error is handled, because without a watch all later drains would be missed.
             log_event("endpoint_list_watch_crashed", error=_describe(error))
             traceback.print_exc()
         self.first_attempt_done.set()
@@ -102,7 +104,7 @@
         await asyncio.sleep(delay_s)
 
     def _apply_updates(self, documents: list[Any]) -> bool:
-        """Apply updates that arrived together; return whether all updates of this attempt were applied."""
+        """Apply updates that arrived together; return whether this attempt has had no fault."""
         for document in documents:
             self._apply_update(document)
         if self._progress.fault:
@@ -111,7 +113,7 @@
         return True
 
     def _apply_update(self, document: Any) -> None:
-        """Apply one update of the list, as far as it can be read."""
+        """Apply the readable part of one update of the list."""
         update: EndpointList | None = None
         try:
             update = parse_endpoint_list(document, self._names)
@@ -119,7 +121,8 @@
             self._on_update(update)
         except ValueError as error:
             fault = str(error)
-        except Exception as error:  # an error in applying an update must not end the watch
+        except Exception as error:
+            # An error in applying an update must not end the watch.
             traceback.print_exc()
             fault = _describe(error)
         if fault:
--- a/tests/discovery/test_drains.py
+++ b/tests/discovery/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains by the operator and by the endpoint list, and lists that are behind an earlier one."""
+"""Drains by the operator and by the endpoint list, and lists that are older than an earlier one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 GONE = EndpointState.GONE
 
 
-def test_an_operator_drain_adds_to_the_endpoint_list_and_overrides_no_drain_of_it() -> None:
+def test_an_operator_drain_affects_only_endpoints_that_are_ready_in_the_list() -> None:
     assert [effective_state(state, True) for state in (READY, DRAINING, GONE)] == [DRAINING, DRAINING, GONE]
     assert [effective_state(state, False) for state in (READY, DRAINING, GONE)] == [READY, DRAINING, GONE]
     assert leaves_no_ready_endpoint({"a"}, {"a", "b"})
@@ -35,17 +35,18 @@
 def test_an_older_list_does_not_end_a_drain(
     listed: int, started_ns: int, revision: int, after_ns: int, stays_draining: bool
 ) -> None:
-    """Listed at revision 50 of the start at 5, and not since; two lists contradict it, `after_ns` apart."""
+    """The drain is listed at revision 50 for the start at 5; two lists, `after_ns` apart, contradict it."""
     tracker = DrainTracker()
     assert tracker.resolve(1, "s-0", 5, listed, 50) == listed
-    assert tracker.resolve(2, "s-0", 5, GONE, 30) == GONE  # behind, which makes no difference here
+    # An older list that agrees does not lower the revision of the withdrawal.
+    assert tracker.resolve(2, "s-0", 5, GONE, 30) == GONE
     assert tracker.resolve(1000, "s-0", 5, READY, 49) == DRAINING
     resolved = tracker.resolve(1000 + after_ns, "s-0", started_ns, READY, revision)
     assert resolved == (DRAINING if stays_draining else READY)
     assert tracker.resolve(1, "s-1", 5, READY, 1) == READY
 
 
-def test_the_number_of_remembered_drains_is_bounded_and_the_oldest_is_dropped_first() -> None:
+def test_stored_withdrawals_are_bounded_and_the_least_recently_updated_is_dropped_first() -> None:
     tracker = DrainTracker(max_endpoints=2)
     for name in ("a", "b", "a", "c"):
         tracker.resolve(0, name, 5, GONE, 50)
--- a/tests/discovery/test_repeat_limit.py
+++ b/tests/discovery/test_repeat_limit.py
@@ -1,4 +1,4 @@
-"""Identical log lines in a row are written seldom."""
+"""The limit on consecutive identical log lines."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
     assert due == [True, False, True]
 
 
-def test_another_line_is_written_at_once_and_ends_the_suppression() -> None:
+def test_a_different_line_is_written_at_once_and_ends_the_suppression() -> None:
     limit = RepeatLimit()
     assert [limit.is_due(line, 5.0) for line in ("a", "b", "a", "a")] == [True, True, True, False]
--- a/tests/discovery/test_update_progress.py
+++ b/tests/discovery/test_update_progress.py
@@ -1,4 +1,4 @@
-"""Which revision is requested next, after updates that were applied, failed once or failed twice."""
+"""The revision requested next, after updates that were applied, failed once or failed twice."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def attempt(progress: UpdateProgress, *updates: tuple[int | None, str]) -> int:
-    """The revision after an attempt with these updates, each a revision and a fault."""
+    """Return the revision after an attempt with these updates, given as pairs of revision and fault."""
     progress.begin_attempt()
     for revision, fault in updates:
         progress.record_update(revision, fault)
@@ -18,7 +18,7 @@
     assert attempt(UpdateProgress(1), (2, NO_FAULT), (5, NO_FAULT)) == 5
 
 
-def test_nothing_advances_past_an_update_that_failed_for_the_first_time() -> None:
+def test_the_revision_does_not_advance_past_an_update_that_failed_for_the_first_time() -> None:
     progress = UpdateProgress(1)
     assert attempt(progress, (2, NO_FAULT), (3, "bad"), (4, NO_FAULT)) == 2
     assert progress.fault == "bad"
@@ -46,7 +46,7 @@
     assert attempt(progress, (None, "bad"), (6, NO_FAULT)) == 6
 
 
-def test_a_stream_that_cannot_be_read_is_a_fault_of_its_attempt() -> None:
+def test_a_stream_that_cannot_be_parsed_is_a_fault_of_its_attempt() -> None:
     progress = UpdateProgress(1)
     progress.begin_attempt()
     progress.record_invalid_stream("no JSON")
@@ -55,11 +55,11 @@
     assert attempt(progress, (2, NO_FAULT)) == 2
 
 
-def test_an_attempt_that_was_cancelled_leaves_what_is_skipped() -> None:
+def test_a_cancelled_attempt_does_not_change_which_update_is_skipped() -> None:
     progress = UpdateProgress(1)
     attempt(progress, (3, "bad"))
     progress.begin_attempt()
-    progress.record_update(3, "worse")  # cancelled here: it does not end
+    progress.record_update(3, "worse")  # The attempt is cancelled here, so it does not end.
     assert attempt(progress, (3, "bad"), (4, NO_FAULT)) == 4
 
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -52,27 +52,28 @@
 async def test_an_update_that_was_not_applied_is_requested_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """Behind each bad update, on its connection and in the same write, a valid one with a later revision."""
+    """A valid update with a later revision follows each invalid one at once, on the same connection."""
     monkeypatch.setattr(timeouts, "INVALID_UPDATE_BACKOFF_S", 0.02)
     bad = [*INVALID_JSON, *(json.dumps(raw).encode() for raw in INVALID_UPDATES)]
     async with Endpoint().serve() as old, running_sidecar(tmp_path, old) as sidecar:
-        watch = sidecar.discovery
+        discovery = sidecar.discovery
         for index, text in enumerate(bad):
-            await wait_until_watched(watch, index + 1)
-            watch.send(text)
-            watch.send(member_list(9, [], complete=False))
-        await wait_until_watched(watch, len(bad) + 1)
-        assert set(watch.targets) == {b"/v1/servers?stream=1&index=1"}  # never past the update that was lost
-        watch.send(
+            await wait_until_watched(discovery, index + 1)
+            discovery.send(text)
+            discovery.send(member_list(9, [], complete=False))
+        await wait_until_watched(discovery, len(bad) + 1)
+        # No request is for updates after the one that was not applied.
+        assert set(discovery.targets) == {b"/v1/servers?stream=1&index=1"}
+        discovery.send(
             json.dumps(member_list(7, [member("s-0", old.address, "draining")], False), indent=1).encode()
         )
-        await wait_until_watched(watch, len(bad) + 1)
+        await wait_until_watched(discovery, len(bad) + 1)
         await wait_until_health(sidecar.address, 503)
-        watch.connections[-1].writer.transport.abort()
-        await wait_until_watched(watch, len(bad) + 2)
-        assert watch.targets[-1] == b"/v1/servers?stream=1&index=7"
-        watch.send({"revision": 8, "complete": False, "members": [{"id": "s-0", "phase": "removed"}]})
-        watch.send(member_list(9, [member("s-9", old.address)]))
+        discovery.connections[-1].writer.transport.abort()
+        await wait_until_watched(discovery, len(bad) + 2)
+        assert discovery.targets[-1] == b"/v1/servers?stream=1&index=7"
+        discovery.send({"revision": 8, "complete": False, "members": [{"id": "s-0", "phase": "removed"}]})
+        discovery.send(member_list(9, [member("s-9", old.address)]))
         await wait_until_health(sidecar.address, 200)
     log = capfd.readouterr().err
     assert "\nendpoint_list_update_not_applied error=" in log
@@ -80,21 +81,22 @@
     assert "members[0] ('s-0'): ValueError: 'here' is no host:port" in log
 
 
-async def test_an_invalid_entry_is_skipped_alone_and_requested_once_more(tmp_path: Path) -> None:
+async def test_only_the_invalid_entry_is_skipped_and_its_update_is_requested_again(tmp_path: Path) -> None:
     good = Endpoint()
     bad = {"id": "s-7", "phase": "up", "host_port": 7}
     async with good.serve(), running_sidecar(tmp_path) as sidecar:
-        watch = sidecar.discovery
+        discovery = sidecar.discovery
         for index in range(2):
-            await wait_until_watched(watch, index + 1)
-            watch.send(member_list(5, [bad, member("s-1", good.address)]))
+            await wait_until_watched(discovery, index + 1)
+            discovery.send(member_list(5, [bad, member("s-1", good.address)]))
             while (await send_request(sidecar.address, request_bytes("once", f"t{index}"))).status != 200:
                 pass
-        watch.send(member_list(6, [], complete=False))  # skipped at the second time, and the next is applied
-        await wait_until(lambda: bool(watch.connections))
-        watch.connections[-1].writer.transport.abort()
-        await wait_until_watched(watch, 3)
-        assert [target.rpartition(b"=")[2] for target in watch.targets] == [b"1", b"1", b"6"]
+        # Revision 5 is skipped the second time, so the next update is applied.
+        discovery.send(member_list(6, [], complete=False))
+        await wait_until(lambda: bool(discovery.connections))
+        discovery.connections[-1].writer.transport.abort()
+        await wait_until_watched(discovery, 3)
+        assert [target.rpartition(b"=")[2] for target in discovery.targets] == [b"1", b"1", b"6"]
 
 
 @asynccontextmanager
@@ -138,20 +140,20 @@
     assert timeouts.watch_timing(settings(discovery="ask")) is timeouts.POLL_TIMING
 
 
-async def test_connecting_times_out_sooner_than_waiting_for_a_response(
+async def test_connecting_has_a_shorter_timeout_than_waiting_for_a_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """An agent that is back answers new connections, and none that were opened before."""
+    """An agent that is back answers new connections, but none that were opened before."""
     connect = asyncio.open_connection
     attempts = 0
 
-    async def connect_at_the_sixth_attempt(*address: Any) -> Any:
+    async def hang_until_sixth_attempt(*address: Any) -> Any:
         nonlocal attempts
         attempts += 1
         return await (asyncio.Event().wait() if attempts <= 5 else connect(*address))
 
     seen: list[int] = []
-    monkeypatch.setattr(asyncio, "open_connection", connect_at_the_sixth_attempt)
+    monkeypatch.setattr(asyncio, "open_connection", hang_until_sixth_attempt)
     timing = timeouts.WatchTiming(0.01, 3600.0, 0.01)
     async with (
         ScriptedDiscovery().serve() as service,
@@ -161,15 +163,21 @@
         service.send(member_list(2, []))
         await wait_until(lambda: bool(seen))
     assert attempts == 6
-    assert capfd.readouterr().err.count("TimeoutError") == 1  # one log line for the same failure
+    # Identical failures are logged once.
+    assert capfd.readouterr().err.count("TimeoutError") == 1
 
 
 class SilentDiscovery(FakeServer):
-    """A discovery that falls silent in the way named, to the second watch too; the third gets an update."""
+    """A discovery service that stays silent for the first two watches and sends an update to the third.
 
-    def __init__(self, how: str) -> None:
+    Attributes:
+        mode: `head`: silent after the head and an empty line; `nothing`: no response to the second watch;
+            `drips`: bytes that never complete a document.
+    """
+
+    def __init__(self, mode: str) -> None:
         super().__init__()
-        self.how = how
+        self.mode = mode
         self.connection_count = 0
         self.silent_since = 0.0
 
@@ -178,7 +186,7 @@
         number = self.connection_count
         self.connections.append(Connection(reader, writer))
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        if number == 2 and self.how == "nothing":
+        if number == 2 and self.mode == "nothing":
             await reader.read()
             return
         await http1.read_request(reader)
@@ -188,23 +196,24 @@
             return
         writer.write(b"1\r\n\n\r\n")
         self.silent_since = self.silent_since or monotonic()
-        while self.how == "drips" and not writer.is_closing():
+        while self.mode == "drips" and not writer.is_closing():
             writer.write(b"1\r\n{\r\n" if number else b"")
             await asyncio.sleep(0.01)
 
 
 UPDATE = json.dumps(member_list(2, [])).encode() + b"\n"
-SPARE_FRACTION = 0.2  # of the time in which an update counts as delivered: a process may get its core late
+# Reserve of the time in which an update counts as delivered, as a process may be scheduled late.
+SPARE_FRACTION = 0.2
 
 
-@pytest.mark.parametrize("how", ["head", "nothing", "drips"])
+@pytest.mark.parametrize("mode", ["head", "nothing", "drips"])
 @pytest.mark.parametrize("timing", [PUSHED, timeouts.POLL_TIMING])
 async def test_an_update_arrives_in_time_although_the_second_watch_is_silent_too(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str, timing: timeouts.WatchTiming
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, mode: str, timing: timeouts.WatchTiming
 ) -> None:
-    """Calculated from the watch's timeouts, then run with a twentieth of each."""
+    """The time is calculated from the watch's timeouts, then the watch runs with a twentieth of each."""
     delivered_s = 6.0
-    # The second watch gets the head of a response and no more, or nothing.
+    # The second watch receives either only the head of a response or nothing.
     second_s = max(timeouts.SILENCE_TIMEOUT_S, timing.connect_timeout_s + timing.response_timeout_s)
     worst_s = timeouts.SILENCE_TIMEOUT_S + second_s + 3 * timeouts.INITIAL_BACKOFF_S
     assert worst_s <= (1 - SPARE_FRACTION / 2) * delivered_s
@@ -212,16 +221,17 @@
     monkeypatch.setattr(timeouts, "SILENCE_TIMEOUT_S", timeouts.SILENCE_TIMEOUT_S / 20)
     seen: list[int] = []
     fast = timing._replace(response_timeout_s=timing.response_timeout_s / 20)
-    silent = SilentDiscovery(how)
+    silent = SilentDiscovery(mode)
     async with silent.serve(), watching(tmp_path, silent.address, lambda u: seen.append(u.revision), fast):
         await wait_until(lambda: bool(seen))
         assert silent.connection_count == 3
 
 
-async def test_a_silent_watch_is_opened_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A discovery that is cut off keeps its connection open; only its silence shows it."""
+async def test_a_silent_watch_is_reopened(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """If discovery is cut off, its connection stays open, and only the silence reveals the fault."""
     monkeypatch.setattr(timeouts, "SILENCE_TIMEOUT_S", 0.1)
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         await wait_until(lambda: len(sidecar.discovery.connections) >= 2)
-        assert (await sidecar.discovery.connections[0].reader.read()) == b""  # the old one is given up
-        assert (await send_request(sidecar.address, request_bytes())).status == 200  # by the list it has
+        assert (await sidecar.discovery.connections[0].reader.read()) == b""  # The old watch was closed.
+        # The sidecar still serves requests with the list that it received before.
+        assert (await send_request(sidecar.address, request_bytes())).status == 200
