--- a/anisespool/membership/__init__.py
+++ b/anisespool/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Which sidecars of the fleet are alive: SWIM's protocol, its codec, its UDP transport and the service.
+"""Fleet membership: detects which sidecars are alive, with the SWIM protocol over UDP.
 
-Loaded only where the operator's file has a [peers] section. `protocol.py` is where the protocol begins, and
-`service.py` shows how a sidecar runs it. docs/membership.md explains the design.
+The package is loaded only if the operator's file has a [peers] section. `protocol.py` is the protocol's entry
+point, and `service.py` runs it in a sidecar. docs/membership.md explains the design.
 """
--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: repairs what gossip missed, by comparing digests of buckets with a random member.
+"""Anti-entropy: repairs what gossip missed by comparing bucket digests with a random member.
 
-memberlist's push/pull exchanges the complete state. Here the members are divided into buckets by number, and
-only a bucket whose digest differs is sent.
+memberlist's push/pull exchanges the complete state. Here members are divided into buckets by number, and only
+a bucket whose digest differs is sent.
 """
 
 from __future__ import annotations
@@ -14,28 +14,31 @@
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
-INITIAL_DIGEST_DATAGRAMS = 4  # a comparison, until each bucket was compared once after the start
-UNSETTLED_RATE_FACTOR = 5  # comparisons are so many times as frequent while views change
-# Of a member without an update.
+# Digests per comparison until each bucket has been compared once after the start.
+INITIAL_DIGEST_DATAGRAMS = 4
+# Comparisons are this many times as frequent while views change.
+UNSETTLED_RATE_FACTOR = 5
+# The precedence assumed for a member without any update.
 LOWEST_PRECEDENCE = Precedence(boot=-1, incarnation=0, state=MemberState.ALIVE)
 
 
 class AntiEntropy:
-    """Compares each bucket once after the start, then random ones."""
+    """Compares each bucket once after the start, then random buckets."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
         self._bucket_count = (state.fleet_size + BUCKET_MEMBERS - 1) // BUCKET_MEMBERS
-        self._initial_buckets: list[int] = []  # still to be compared after the start
+        # Buckets not yet compared since the start.
+        self._initial_buckets: list[int] = []
 
     def start(self) -> None:
-        """Queue every bucket for one comparison, as a member has no updates when it starts."""
+        """Queue every bucket for comparison, because a member starts without any updates."""
         self._initial_buckets = list(range(self._bucket_count))
 
     def compare(self, now_ns: int) -> list[Outgoing]:
-        """Return digests of some buckets, each for a random member; the timer calls it.
+        """Return bucket digests, each addressed to a random member; called by the timer.
 
-        The next comparison is sooner while buckets of the start are left, or a view has changed lately.
+        The next comparison is sooner while initial buckets are left or if the view changed recently.
 
         Args:
             now_ns: Monotonic time.
@@ -55,12 +58,12 @@
         return outgoing
 
     def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return all states of the bucket for the sender, in as many messages as it takes, if digests differ.
+        """Return the bucket's states for the sender if the digests differ, in as many messages as needed.
 
         Args:
             now_ns: Monotonic time.
             sender: Number of the member that sent the digest.
-            message: A BUCKET_DIGEST.
+            message: A BUCKET_DIGEST message.
         """
         bucket = message.target
         if not self._is_bucket(bucket) or message.digest == self.digest(bucket):
@@ -73,12 +76,12 @@
         ]
 
     def receive_states(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return the bucket's states that supersede the sender's; none if the message is itself an answer.
+        """Return the local states that supersede the sender's; none if the message is itself an answer.
 
         Args:
             now_ns: Monotonic time.
             sender: Number of the member that sent the states.
-            message: A BUCKET_STATE whose updates have been applied.
+            message: A BUCKET_STATE message whose updates have already been applied.
         """
         bucket = message.target
         if not self._is_bucket(bucket) or message.sequence != BucketStateSequence.FIRST:
@@ -95,7 +98,7 @@
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
-        """Return the CRC-32 of a bucket's states, this member's among them; reporters are left out.
+        """Return the CRC-32 of a bucket's states, including this member's but without reporters.
 
         Args:
             bucket: Index of the bucket.
--- a/anisespool/membership/codec.py
+++ b/anisespool/membership/codec.py
@@ -1,10 +1,12 @@
 """Encodes messages as datagrams and decodes them: at most 256 bytes, versioned, with a checksum.
 
+Layout by byte offset; numbers are big-endian:
+
     0 magic  1 version  2 kind  3 number of updates  4-8 boot  9-10 incarnation  11-12 sequence  13-14 target
-    15-18 digest  19 length of the payload   updates of 13 bytes each   payload   CRC-32 of all before
+    15-18 digest  19 payload length  then updates of 13 bytes each, payload, CRC-32 of all bytes before it
 
-An update: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535: none), suspicion's age (1).
-Numbers are big-endian; a boot is packed as its highest byte and four more.
+An update has, by length in bytes: member (2), boot (5), incarnation (2), state (1), reporter (2; 65535 for
+none), suspicion age (1). A boot is packed as its highest byte and its four lower bytes.
 """
 
 from __future__ import annotations
@@ -25,19 +27,19 @@
 
 
 class FixedValue(IntEnum):
-    """Values that the format prescribes."""
+    """Constants of the datagram format."""
 
     MAGIC = 0xA5
     VERSION = 1
     NO_REPORTER = 0xFFFF
 
 
-# A plain global, as each update of a datagram is compared with it.
+# A module-level int avoids an enum lookup for each update of a datagram.
 _ENCODED_NO_REPORTER = int(FixedValue.NO_REPORTER)
 
 
 class InvalidReason(Enum):
-    """Why bytes are no valid datagram; the values are names of counters on the control socket."""
+    """Reasons for rejecting a datagram; the values are the names of counters on the control socket."""
 
     TOO_LONG = "too long"
     FOREIGN = "not ours"
@@ -47,7 +49,7 @@
 
 
 class InvalidDatagramError(ValueError):
-    """The sender's fault: bytes that are no datagram of this version.
+    """The received bytes are not a valid datagram of this version, which is the sender's fault.
 
     Attributes:
         reason: The first check that failed.
@@ -59,23 +61,23 @@
 
 
 def max_updates(payload_bytes: int) -> int:
-    """Return how many updates fit into a datagram beside a payload of this length."""
+    """Return how many updates fit into a datagram together with a payload of this length."""
     return (MAX_BYTES - HEADER.size - CHECKSUM.size - payload_bytes) // UPDATE.size
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's datagram; a payload that does not fit beside the updates is left out.
+    """Return a message's datagram; a payload that does not fit together with the updates is left out.
 
     Args:
-        message: Each number within the bytes that the format has for it.
+        message: The message, whose numbers must fit into their fields.
 
     Raises:
-        ValueError: The caller's fault: the updates alone do not fit.
+        ValueError: The updates do not fit even without the payload, which is the caller's fault.
     """
     payload = message.payload if max_updates(len(message.payload)) >= len(message.updates) else b""
     count = len(message.updates)
     if count > max_updates(len(payload)):
-        raise ValueError(f"{count} updates beside {len(payload)} bytes, wanted at most 256 in all")
+        raise ValueError(f"{count} updates and {len(payload)} payload bytes exceed a datagram of 256 bytes")
     header = HEADER.pack(
         FixedValue.MAGIC,
         FixedValue.VERSION,
@@ -107,13 +109,13 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return a datagram's message. Members, targets and boots are not checked against the fleet.
+    """Return the message of a datagram, without checking members, targets or boots against the fleet.
 
     Args:
         data: The complete datagram.
 
     Raises:
-        InvalidDatagramError: The first check that failed is its reason.
+        InvalidDatagramError: The datagram is invalid; the error's reason is the first check that failed.
     """
     _check_envelope(data)
     fields = HEADER.unpack_from(data)
--- a/anisespool/membership/config.py
+++ b/anisespool/membership/config.py
@@ -1,4 +1,4 @@
-"""Parameters of the membership protocol; docs/membership.md gives the reason of each."""
+"""Parameters of the membership protocol; docs/membership.md gives the reason for each."""
 
 from __future__ import annotations
 
@@ -7,36 +7,37 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 
-BUCKET_MEMBERS = 16  # that one comparison of anti-entropy covers
+# Members covered by one anti-entropy comparison.
+BUCKET_MEMBERS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
     """Intervals, timeouts and bounds of the protocol.
 
-    The operator's file sets most of them, under its own keys in ms: `service.py` converts them.
+    The operator's file sets most of them in ms under its own keys, which `service.py` converts.
 
     Attributes:
-        probe_interval_ns: Between the starts of two probes; SWIM's protocol period.
-        ping_timeout_ns: For a direct ACK, before indirect probes begin.
-        probe_timeout_ns: For any ACK, before the target is suspected.
-        indirect_probes: Helpers that are sent a ping-req; SWIM's k.
-        suspicion_min_ns: From the start of the failed probe to DEAD, with all `confirmations`.
-        suspicion_max_ns: The same without confirmation.
-        confirmations: Independent reporters beside the first that bring the time down to the minimum.
-        max_reported_suspicion_age_ns: At most so much of the age counts that another member reports.
-        gossip_interval_ns: Between two rounds of gossip.
-        urgent_gossip_interval_ns: The same while a suspicion or a refutation is new.
-        fanout: Members that receive each round of gossip.
-        retransmit_multiplier: Transmissions of an update, times log10 of the fleet's size.
-        anti_entropy_interval_ns: Between two comparisons of a bucket, while views are settled.
-        unsettled_period_ns: After a change of the view, in which comparisons are more frequent.
-        reconnect_interval_ns: Between two rounds of pings to members that are dead or without an update.
-        pause_threshold_ns: A tick later than this is a pause: this process itself did not run.
-        pause_grace_ns: After a pause, before this member raises a suspicion.
-        max_broadcasts: Updates in the queue.
-        max_probes: This member's own probes in flight.
-        max_relays: Pings in flight on behalf of others.
+        probe_interval_ns: Time between the starts of two probes; SWIM's protocol period.
+        ping_timeout_ns: Time to wait for a direct ACK before probing indirectly.
+        probe_timeout_ns: Time to wait for any ACK before suspecting the target.
+        indirect_probes: Number of helpers that receive a ping-req; SWIM's k.
+        suspicion_min_ns: Time from the start of the failed probe to DEAD with all `confirmations`.
+        suspicion_max_ns: Time from the start of the failed probe to DEAD without confirmation.
+        confirmations: Number of independent reporters besides the first that reduces the time to the minimum.
+        max_reported_suspicion_age_ns: Cap on the age of a suspicion that another member reports.
+        gossip_interval_ns: Time between two gossip rounds.
+        urgent_gossip_interval_ns: Time between two gossip rounds while a suspicion or refutation is new.
+        fanout: Number of members that receive each gossip round.
+        retransmit_multiplier: Transmissions of an update, as a multiple of log10 of the fleet's size.
+        anti_entropy_interval_ns: Time between two bucket comparisons while views are settled.
+        unsettled_period_ns: Time after a change of the view in which comparisons are more frequent.
+        reconnect_interval_ns: Time between two rounds of pings to dead or unknown members.
+        pause_threshold_ns: Delay of a tick beyond which this process counts as paused.
+        pause_grace_ns: Time after a pause in which this member raises no suspicion.
+        max_broadcasts: Maximum number of queued updates.
+        max_probes: Maximum number of this member's own probes in flight.
+        max_relays: Maximum number of pings in flight on behalf of other members.
     """
 
     probe_interval_ns: int = 120 * NS_PER_MS
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -1,7 +1,7 @@
 """Dissemination: the bounded queue of updates that gossip and probes carry to the fleet.
 
-Each update is sent a limited number of times that grows with the logarithm of the fleet's size; the least
-transmitted goes first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
+Each update is sent a limited number of times, which grows with the logarithm of the fleet's size. The least
+transmitted updates are sent first (SWIM, section 4.1; memberlist's TransmitLimitedQueue).
 """
 
 from __future__ import annotations
@@ -20,12 +20,14 @@
     suspicion_age_units,
 )
 
-URGENT_UPDATE_DATAGRAMS = 3  # carry a suspicion or a refutation before it waits for ordinary rounds
-CONFIRMATION_DATAGRAMS = 4  # carry a further report of a suspicion: after many deaths most updates are such
+# A suspicion or refutation is urgent until this many datagrams have carried it.
+URGENT_UPDATE_DATAGRAMS = 3
+# Transmission limit of a further report of a suspicion, as most updates are such after many deaths.
+CONFIRMATION_DATAGRAMS = 4
 
 
 class BroadcastKey(NamedTuple):
-    """What a queued update is about; `reporter` is NO_REPORTER unless it reports a suspicion."""
+    """Identifies a queued update; `reporter` is NO_REPORTER unless the update reports a suspicion."""
 
     member: int
     reporter: int
@@ -36,9 +38,9 @@
     """A queued update.
 
     Attributes:
-        update: As it was added.
-        suspected_at_ns: When the suspicion that it reports began; unused for other states.
-        transmissions: Datagrams that carried it so far.
+        update: The update as it was added.
+        suspected_at_ns: Start of the reported suspicion; unused for other states.
+        transmissions: Number of datagrams that have carried the update.
     """
 
     update: MemberUpdate
@@ -47,10 +49,10 @@
 
 
 class BroadcastQueue:
-    """One update a member, and of a suspicion one a reporter, as each report confirms it.
+    """Holds one update per member, but one per reporter for a suspicion, as each report confirms it.
 
     Attributes:
-        dropped: Updates that left the full queue before their last transmission.
+        dropped: Updates removed from the full queue before their last transmission.
     """
 
     def __init__(self, config: MembershipConfig, local_member: int) -> None:
@@ -58,7 +60,8 @@
         self._config = config
         self._local_member = local_member
         self._broadcasts: dict[BroadcastKey, _Broadcast] = {}
-        self._reporters: dict[int, dict[int, None]] = {}  # by member; a dict as a set in order of arrival
+        # Reporters by member; the inner dict is a set in order of arrival.
+        self._reporters: dict[int, dict[int, None]] = {}
 
     def __bool__(self) -> bool:
         return bool(self._broadcasts)
@@ -68,7 +71,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a suspicion, or an update that refutes one, was sent in a few datagrams only."""
+        """Whether a suspicion or refutation has been sent fewer than URGENT_UPDATE_DATAGRAMS times."""
         return any(
             broadcast.transmissions < URGENT_UPDATE_DATAGRAMS
             and (broadcast.update.state is MemberState.SUSPECT or broadcast.update.incarnation)
@@ -76,11 +79,11 @@
         )
 
     def add(self, update: MemberUpdate, suspected_at_ns: int = 0) -> None:
-        """Queue an update, in the place of those that it supersedes.
+        """Queue an update in place of those that it supersedes.
 
         Args:
-            update: Any state; of a SUSPECT the reporter counts.
-            suspected_at_ns: When the suspicion began, sent along as its age; monotonic time.
+            update: An update in any state; its reporter matters only if the state is SUSPECT.
+            suspected_at_ns: Monotonic start of the suspicion, from which the age to send is computed.
         """
         reporter = update.reporter if update.state is MemberState.SUSPECT else NO_REPORTER
         for other in list(self._reporters.get(update.member, ())):
@@ -94,12 +97,12 @@
         self._reporters.setdefault(update.member, {})[reporter] = None
 
     def take(self, count: int, fleet_size: int, now_ns: int) -> tuple[MemberUpdate, ...]:
-        """Return the next updates for one datagram, and remove those that were sent often enough.
+        """Return the next updates for one datagram, and remove those that reached their transmission limit.
 
         Args:
-            count: At most so many updates.
-            fleet_size: Members by the settings, from which the transmissions of an update follow.
-            now_ns: Monotonic time, for the ages of suspicions.
+            count: Maximum number of updates.
+            fleet_size: Number of configured members, which determines the transmission limit.
+            now_ns: Monotonic time, from which the ages of suspicions are computed.
         """
         if not self._broadcasts:
             return ()
@@ -118,9 +121,9 @@
         return key.reporter == NO_REPORTER or key.reporter == next(iter(self._reporters[key.member]))
 
     def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
-        """Return the sort key of a queued update: about this member, least transmitted, then highest state.
+        """Return the sort key: updates about this member, then least transmitted, then highest state.
 
-        A plain tuple, as after many deaths hundreds are built for each datagram.
+        The key is a plain tuple because hundreds are built for each datagram after many deaths.
         """
         broadcast = self._broadcasts[key]
         state = broadcast.update.state
@@ -128,7 +131,7 @@
         return key.member != self._local_member, broadcast.transmissions, state_rank, key
 
     def _drop_one(self) -> None:
-        """Drop the most transmitted update about another member; anti-entropy repairs what it misses."""
+        """Drop the most transmitted update about another member; anti-entropy repairs the loss."""
         key = max(
             self._broadcasts,
             key=lambda key: (key.member != self._local_member, self._broadcasts[key].transmissions, key),
@@ -145,7 +148,7 @@
 
 
 def _with_age(broadcast: _Broadcast, now_ns: int) -> MemberUpdate:
-    """Return the update as it is sent now: a suspicion with its age."""
+    """Return the update to send now, with the current age if it reports a suspicion."""
     age_units = 0
     if broadcast.update.state is MemberState.SUSPECT:
         age_units = suspicion_age_units(now_ns - broadcast.suspected_at_ns)
--- a/anisespool/membership/events.py
+++ b/anisespool/membership/events.py
@@ -1,4 +1,4 @@
-"""Events of membership for the instance's event log; field names are the keys of the log's JSON."""
+"""Membership events for the instance's event log; field names are the keys of the log's JSON."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class MembershipEvent(msgspec.Struct, frozen=True):
-    """A change of a member's state, or of this member's protocol."""
+    """A change of a member's state or of this member's own protocol."""
 
     what: ClassVar[str]
     """Value of the key `what` in the log's JSON."""
 
 
 class MemberJoined(MembershipEvent, frozen=True):
-    """The first update that a member, or a new boot of it, is alive."""
+    """A member, or a new boot of a member, was reported alive for the first time."""
 
     what: ClassVar[str] = "joined"
     member: int
 
 
 class MemberRejoined(MembershipEvent, frozen=True):
-    """A member that was dead or had left is alive with the same boot."""
+    """A member that was dead or had left is alive again with the same boot."""
 
     what: ClassVar[str] = "back"
     member: int
@@ -34,11 +34,11 @@
     what: ClassVar[str] = "suspected"
     member: int
     by: int
-    """Reporter of the first report that arrived."""
+    """The member whose report arrived first."""
 
 
 class MemberDied(MembershipEvent, frozen=True):
-    """A suspicion expired: this member declares the other dead."""
+    """A suspicion expired, and this member declared the suspect dead."""
 
     what: ClassVar[str] = "dead"
     member: int
@@ -52,14 +52,14 @@
 
 
 class SuspicionRefuted(MembershipEvent, frozen=True):
-    """This member refuted an update about itself by a higher incarnation."""
+    """This member refuted an update about itself with a higher incarnation."""
 
     what: ClassVar[str] = "refuted"
     incarnation: int
 
 
 class ProtocolPaused(MembershipEvent, frozen=True):
-    """A tick was later than the pause threshold: this process did not run."""
+    """A tick was later than the pause threshold, so this process was paused."""
 
     # `ms` is the length of the pause.
 
@@ -68,17 +68,17 @@
 
 
 class NumberConflict(MembershipEvent, frozen=True):
-    """An update names a higher boot of this member's own number: another process, or a clock set back."""
+    """An update has a higher boot for this member: another process uses its number, or a clock went back."""
 
     what: ClassVar[str] = "double"
     boot: int
 
 
 class ViewChanged(MembershipEvent, frozen=True):
-    """The members by state have changed."""
+    """The view of the members by state has changed."""
 
     what: ClassVar[str] = "view"
     view: str
     """Alive and suspect members as ranges, such as `0-4,6`."""
     alive: int
-    """Count of the members in `view`."""
+    """Number of members in `view`."""
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -1,7 +1,7 @@
-"""Gossip rounds: queued updates to a few random members, more often while an update is urgent.
+"""Gossip rounds: send queued updates to a few random members, more often while an update is urgent.
 
-memberlist's gossip: beside the updates that probes carry (SWIM's piggybacking), so that an update spreads
-faster than one probe interval a hop.
+As in memberlist, gossip complements the updates that probes carry (SWIM's piggybacking), so that an update
+spreads faster than one hop per probe interval.
 """
 
 from __future__ import annotations
@@ -10,20 +10,21 @@
 from anisespool.membership.schedule import Timer
 from anisespool.membership.state import ProtocolState
 
-LONG_QUEUE_INTERVAL_FACTOR = 2  # on the urgent interval, while the queue exceeds one datagram
+# Multiplies the urgent interval while the queue exceeds one datagram.
+LONG_QUEUE_INTERVAL_FACTOR = 2
 
 
 def gossip(state: ProtocolState, now_ns: int) -> list[Outgoing]:
-    """Return the messages of one round; the timer calls it, and a start or resumption.
+    """Return the messages of one round; called by the timer, at the start and after a pause.
 
     Args:
-        state: Its queue is consumed, and the timer brought forward where another round is urgent.
+        state: Its queue is consumed, and its gossip timer is set earlier if another round is urgent.
         now_ns: Monotonic time.
     """
     queue = state.broadcasts
     if not queue:
         return []
-    # After many deaths the updates fill several rounds: at the ordinary interval suspicions expire first.
+    # After many deaths the updates fill several rounds. At the ordinary interval, suspicions expire first.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
         interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -1,10 +1,10 @@
-"""States of a member, updates about them, and which of two updates supersedes the other.
+"""Member states, updates about members, and the rule for which of two updates supersedes the other.
 
-A member is a number in the fleet and a boot: a restart under the same number is another member and replaces
-the previous one at once. Of one boot the higher incarnation wins, which only the member itself increments; of
-one incarnation the state that is higher in `MemberState` (SWIM, section 4.2: Das, Gupta, Motivala, "SWIM",
-2002). This order is total, so all members that received the same updates agree, whatever the order and
-however often they received them.
+A member is identified by its number in the fleet and a boot: a restart under the same number is a new member,
+which replaces the previous one at once. Within a boot the higher incarnation wins, and only the member itself
+increments it. Within an incarnation the higher state in `MemberState` wins (SWIM, section 4.2: Das, Gupta,
+Motivala, "SWIM", 2002). This order is total, so members that received the same updates agree, regardless of
+order and repetition.
 """
 
 from __future__ import annotations
@@ -12,20 +12,24 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_INCARNATION = 2**16 - 1  # two bytes of a datagram; beyond it a member takes a higher boot
-MAX_BOOT = 2**40 - 1  # five bytes of a datagram
-NO_REPORTER = -1  # in the place of a reporter
-SUSPICION_AGE_UNIT_NS = 20_000_000  # a suspicion's age takes one byte of a datagram
+# An incarnation takes two bytes of a datagram; a member that would exceed it takes a higher boot.
+MAX_INCARNATION = 2**16 - 1
+# A boot takes five bytes of a datagram.
+MAX_BOOT = 2**40 - 1
+# The reporter of an update that has none.
+NO_REPORTER = -1
+# Unit of a suspicion's age, which takes one byte of a datagram.
+SUSPICION_AGE_UNIT_NS = 20_000_000
 MAX_SUSPICION_AGE_NS = 255 * SUSPICION_AGE_UNIT_NS
 
 
 class MemberState(IntEnum):
-    """States in the order of precedence; the values are those of the datagram."""
+    """Member states in order of precedence; the values are those used in datagrams."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # it announced its own shutdown
+    LEFT = 3  # The member announced its shutdown.
 
 
 class IncarnationKey(NamedTuple):
@@ -36,7 +40,7 @@
 
 
 class Precedence(NamedTuple):
-    """The sort key of updates about one member: a total order."""
+    """Sort key that totally orders the updates about one member."""
 
     boot: int
     incarnation: int
@@ -44,16 +48,16 @@
 
 
 class MemberUpdate(NamedTuple):
-    """The state of a member as one member reports it, or as it announces it itself.
+    """The state of a member, as reported by another member or announced by the member itself.
 
-    A NamedTuple because thousands are built each second where a large fleet changes.
+    It is a NamedTuple because thousands are built per second while a large fleet changes.
 
     Attributes:
         member: Number in the fleet.
-        boot: Which start of that member; a later start has a higher number.
-        incarnation: Of that boot; incremented by the member itself to refute a suspicion.
+        boot: Number of the member's start; a later start has a higher number.
+        incarnation: Number within the boot, which the member increments to refute a suspicion.
         state: The reported state.
-        reporter: Who suspects it or declared it dead; NO_REPORTER otherwise.
+        reporter: The member that suspects it or declared it dead; NO_REPORTER otherwise.
         suspicion_age_units: Age of the suspicion, in units of SUSPICION_AGE_UNIT_NS.
     """
 
@@ -66,27 +70,27 @@
 
     @property
     def precedence(self) -> Precedence:
-        """Sort key of this update among those about the member."""
+        """Sort key of this update among those about the same member."""
         return Precedence(self.boot, self.incarnation, self.state)
 
     @property
     def incarnation_key(self) -> IncarnationKey:
-        """The incarnation that the update is about; a refutation has to exceed it."""
+        """The incarnation that the update is about; a refutation exceeds it."""
         return IncarnationKey(self.boot, self.incarnation)
 
 
 def suspicion_age_units(age_ns: int) -> int:
-    """Return a suspicion's age in units of SUSPICION_AGE_UNIT_NS, within what one byte holds.
+    """Return a suspicion's age in units of SUSPICION_AGE_UNIT_NS, limited to what fits into one byte.
 
     Args:
-        age_ns: Below 0 counts as 0.
+        age_ns: Age of the suspicion; a negative age counts as 0.
     """
     return min(MAX_SUSPICION_AGE_NS, max(0, age_ns)) // SUSPICION_AGE_UNIT_NS
 
 
 def supersedes(update: MemberUpdate, current: MemberUpdate) -> bool:
-    """Return whether `update` replaces `current`; both are about one member."""
-    # Plain tuples: thousands are compared a second, and building a Precedence each costs thrice as much.
+    """Return whether `update` replaces `current`; both are about the same member."""
+    # Plain tuples: thousands are compared per second, and building Precedence objects costs thrice as much.
     return (update.boot, update.incarnation, update.state) > (
         current.boot,
         current.incarnation,
@@ -95,10 +99,11 @@
 
 
 def refutation(local: MemberUpdate, received: MemberUpdate) -> MemberUpdate | None:
-    """Return what a live member announces after an update about itself, or None if it need not refute.
+    """Return the update with which a live member refutes one about itself, or None if it need not refute.
 
-    An update may name a higher boot than the member has: its clock was set back across a restart, or a faulty
-    member sent it. That must not exclude the member permanently, so the answer exceeds that boot too.
+    The received update has a higher boot than the member if the member's clock was set back before a restart
+    or a faulty member sent the update. The refutation exceeds that boot too; otherwise the update would
+    exclude the member permanently.
 
     Args:
         local: The member's own state.
@@ -109,5 +114,5 @@
     if received.boot == local.boot and received.incarnation < MAX_INCARNATION:
         return local._replace(incarnation=received.incarnation + 1)
     if received.boot >= MAX_BOOT:
-        return None  # nothing exceeds it: only a faulty member sends that
+        return None  # No boot exceeds it, and only a faulty member sends it.
     return local._replace(boot=received.boot + 1, incarnation=0)
--- a/anisespool/membership/messages.py
+++ b/anisespool/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members as values; `codec.py` encodes them as datagrams."""
+"""Messages between members as plain values; `codec.py` encodes them as datagrams."""
 
 from __future__ import annotations
 
@@ -7,40 +7,48 @@
 
 from anisespool.membership.member_state import MemberUpdate
 
-MAX_UPDATES = 17  # that fit into one datagram
+# Number of updates that fit into one datagram.
+MAX_UPDATES = 17
 
 
 class MessageKind(IntEnum):
-    """Kinds of messages; the values are those of the datagram."""
-
-    PING = 1  # the receiver `target` answers with an ACK of the same `sequence`
-    ACK = 2  # `target` has acknowledged the ping `sequence`
-    PING_REQ = 3  # the receiver pings `target` and relays its ACK: SWIM's indirect probe
-    NACK = 4  # a helper has pinged `target` for the receiver, without an ACK so far (Lifeguard)
-    GOSSIP = 5  # updates and nothing else
-    BUCKET_DIGEST = 6  # of bucket `target`; a receiver whose digest differs answers with its states
-    BUCKET_STATE = 7  # the sender's states in bucket `target`; `sequence` is a BucketStateSequence
+    """Kinds of messages; the values are those used in datagrams."""
+
+    # The receiver `target` answers with an ACK that has the same `sequence`.
+    PING = 1
+    # `target` has acknowledged the ping with this `sequence`.
+    ACK = 2
+    # The receiver pings `target` and relays its ACK; this is SWIM's indirect probe.
+    PING_REQ = 3
+    # A helper has pinged `target` for the receiver and has received no ACK yet (Lifeguard).
+    NACK = 4
+    # The message carries updates only.
+    GOSSIP = 5
+    # The message carries the digest of bucket `target`; a receiver with another one answers with its states.
+    BUCKET_DIGEST = 6
+    # The message carries the sender's states in bucket `target`; `sequence` is a BucketStateSequence.
+    BUCKET_STATE = 7
 
 
 class BucketStateSequence(IntEnum):
-    """What the `sequence` of a BUCKET_STATE means, as it matches no probe."""
+    """Meanings of `sequence` in a BUCKET_STATE, which belongs to no probe."""
 
-    FIRST = 0  # the receiver answers with its states that supersede these
-    ANSWER = 1  # not answered again
+    FIRST = 0  # The receiver answers with its states that supersede these.
+    ANSWER = 1  # The receiver does not answer.
 
 
 class Message(NamedTuple):
-    """The content of one datagram; each shows by boot and incarnation that its sender is alive.
+    """The content of one datagram; its boot and incarnation show that the sender is alive.
 
     Attributes:
-        kind: What the message is for.
-        boot: The sender's.
-        incarnation: The sender's.
-        sequence: Matches an ACK or a NACK with its probe.
+        kind: Purpose of the message.
+        boot: The sender's boot.
+        incarnation: The sender's incarnation.
+        sequence: Number that matches an ACK or a NACK with its probe.
         target: A member's number or a bucket's index.
-        digest: CRC-32 of the bucket's states, in a BUCKET_DIGEST.
-        updates: About any members.
-        payload: Opaque bytes of the balancer; dropped where the updates leave no room for them.
+        digest: CRC-32 of the bucket's states in a BUCKET_DIGEST.
+        updates: Updates about any members.
+        payload: Opaque bytes of the balancer; left out if the updates leave no space for them.
     """
 
     kind: MessageKind
@@ -54,7 +62,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent to the member with number `recipient`."""
+    """A message to send to the member with the number `recipient`."""
 
     recipient: int
     message: Message
--- a/anisespool/membership/probe_order.py
+++ b/anisespool/membership/probe_order.py
@@ -1,6 +1,6 @@
-"""The order in which members are probed: round-robin, shuffled anew each round (SWIM, section 4.3).
+"""The order in which members are probed: round-robin, reshuffled each round (SWIM, section 4.3).
 
-It bounds the time until a fault is detected: a member is probed at the latest after two rounds.
+This bounds the time until a fault is detected: each member is probed within two rounds.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class ProbeOrder:
-    """The members that are still to be probed in this round."""
+    """Chooses the next member to probe, from a shuffled round of all candidates."""
 
     def __init__(
         self,
@@ -19,21 +19,22 @@
         is_candidate: Callable[[int], bool],
         is_skipped: Callable[[int], bool],
     ) -> None:
-        """Create an empty round; the first `next` fills it.
+        """Create an empty round, which the first call of `next` fills.
 
         Args:
-            fleet_size: Members by the settings; their numbers run from 0.
+            fleet_size: Number of configured members, which are numbered from 0.
             local_member: This member's number, which is never probed.
-            random_below: Takes n, returns a random integer from 0 to n - 1.
+            random_below: Takes n and returns a random integer from 0 to n - 1.
             is_candidate: Whether a member is alive or suspect; checked when a round begins and at its turn.
-            is_skipped: Whether a member's turn is skipped, as this member suspects it already.
+            is_skipped: Whether to skip a member's turn because this member already suspects it.
         """
         self._fleet_size = fleet_size
         self._local_member = local_member
         self._random_below = random_below
         self._is_candidate = is_candidate
         self._is_skipped = is_skipped
-        self._round: list[int] = []  # the last is probed next
+        # The last member of the list is probed next.
+        self._round: list[int] = []
 
     def put_first(self, member: int) -> None:
         """Probe a member next, in addition to its turn in the round."""
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -1,8 +1,8 @@
-"""Failure detection: direct pings, then indirect ones through helpers, and pings on behalf of others.
+"""Failure detection: direct pings, indirect pings through helpers, and pings on behalf of others.
 
-SWIM, section 3.1, with Lifeguard's NACK: a helper without an ACK sends one, which shows that the fault is not
-in the member that probes. And with its buddy system: a ping to a suspect carries the suspicion, so that the
-suspect can refute it at once.
+This is SWIM, section 3.1, with two additions from Lifeguard. A helper without an ACK sends a NACK, which
+shows that the fault is not in the probing member. A ping to a suspect carries the suspicion, so that the
+suspect can refute it at once (the buddy system).
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.updates import UpdateProcessor
 
-MAX_RECONNECT_PROBES = 4  # at a time, of members that are dead or unknown
+# Maximum number of dead or unknown members that are pinged in one round.
+MAX_RECONNECT_PROBES = 4
 
 
 @dataclass(slots=True)
@@ -32,13 +33,13 @@
     """A probe in flight; times are monotonic ns.
 
     Attributes:
-        target: The member probed.
+        target: The probed member.
         sequence: Sequence number of its pings.
         sent_at_ns: When the first ping was sent.
         indirect_at_ns: When ping-reqs are sent to helpers.
         fails_at_ns: When the target is suspected, unless an ACK has arrived.
-        is_indirect: Ping-reqs have been sent.
-        nack_received: A helper has sent a NACK.
+        is_indirect: Whether ping-reqs have been sent.
+        nack_received: Whether a helper has sent a NACK.
     """
 
     target: int
@@ -51,7 +52,7 @@
 
 
 class Prober:
-    """This member's own probes, and its part as a helper in those of others.
+    """Runs this member's own probes and, as a helper, pings members for the probes of others.
 
     Attributes:
         relays: Pings in flight on behalf of others.
@@ -62,28 +63,29 @@
         self._state = state
         self._updates = updates
         self._order = order
-        self._probes: dict[int, Probe] = {}  # by sequence
+        # Probes in flight by sequence number.
+        self._probes: dict[int, Probe] = {}
 
     def due_times(self) -> Iterator[int]:
-        """Yield when each probe in flight sends ping-reqs or fails."""
+        """Yield the time at which each probe in flight sends ping-reqs or fails."""
         for probe in self._probes.values():
             yield probe.fails_at_ns if probe.is_indirect else probe.indirect_at_ns
 
     def abandon(self) -> None:
-        """Drop all probes in flight without a suspicion, as ACKs were missed in a pause."""
+        """Drop all probes in flight without a suspicion, because ACKs were missed during a pause."""
         self._probes.clear()
         self.relays.clear()
 
     def tick(self, now_ns: int) -> list[Outgoing]:
-        """Advance the probes in flight, and begin one if the timer is due.
+        """Advance the probes in flight, and start a new one if the timer is due.
 
-        A target whose probe fails is suspected, and pinged once more with the suspicion.
+        If a probe fails, its target is suspected and pinged once more with the suspicion.
 
         Args:
             now_ns: Monotonic time.
 
         Returns:
-            Pings and ping-reqs.
+            Pings and ping-reqs to send.
         """
         outgoing: list[Outgoing] = []
         for probe in list(self._probes.values()):
@@ -100,9 +102,9 @@
         return outgoing
 
     def reconnect(self, now_ns: int) -> list[Outgoing]:
-        """Return pings for random members that are dead or without an update; the timer calls it.
+        """Return pings to random members that are dead or unknown; called by the timer.
 
-        As Serf's reconnect does: after a partition nothing else makes its sides contact each other.
+        After a partition nothing else makes its sides contact each other. Serf's reconnect does the same.
 
         Args:
             now_ns: Monotonic time.
@@ -121,17 +123,18 @@
             target = absent[state.random_below(len(absent))]
             ping = state.compose(now_ns, MessageKind.PING, target=target)
             current = state.members.get(target)
-            updates = (current,) if current else ()  # a live member refutes its own DEAD
+            # A live member refutes the update that it is dead.
+            updates = (current,) if current else ()
             outgoing.append(Outgoing(target, ping._replace(updates=updates)))
         return outgoing
 
     def receive_ping(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return the ACK of a ping; none if another member is its target.
+        """Return the ACK for a ping, or nothing if another member is its target.
 
         Args:
             now_ns: Monotonic time.
             sender: Number of the member that pinged.
-            message: A PING.
+            message: A PING message.
         """
         if message.target != self._state.local.member:
             return []
@@ -139,7 +142,7 @@
         return [Outgoing(sender, ack)]
 
     def receive_ping_req(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return a ping for the target and a NACK for the sender; none beyond the highest number of relays.
+        """Return a ping for the target and a NACK for the sender, or nothing at the maximum of relays.
 
         The NACK is sent with the ping, not after a timeout as in Lifeguard: it shows at once that the path
         between sender and helper works.
@@ -147,7 +150,7 @@
         Args:
             now_ns: Monotonic time.
             sender: Number of the member that requests the ping.
-            message: A PING_REQ.
+            message: A PING_REQ message.
         """
         state = self._state
         target = message.target
@@ -168,12 +171,12 @@
         return [Outgoing(target, ping), Outgoing(sender, nack)]
 
     def receive_ack(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Complete a probe of this member, or return the relayed ACK of a ping for another.
+        """Complete a probe of this member, or return the ACK to relay for another member's probe.
 
         Args:
             now_ns: Monotonic time.
             sender: Number of the member that sent the ACK: the target or a helper.
-            message: An ACK.
+            message: An ACK message.
         """
         self._succeed(sender, message)
         relay = self.relays.complete(message.sequence, sender)
@@ -183,7 +186,7 @@
         return [Outgoing(relay.requester, ack)]
 
     def receive_nack(self, message: Message) -> None:
-        """Record on the probe that a helper answered, so that the fault is not in this member."""
+        """Record on the probe that a helper answered, which shows that the fault is not in this member."""
         probe = self._probes.get(message.sequence)
         if probe:
             probe.nack_received = True
@@ -205,7 +208,7 @@
         return [self._ping(now_ns, sequence, target)]
 
     def _ping(self, now_ns: int, sequence: int, target: int) -> Outgoing:
-        """Return a ping; to a suspect with the suspicion as its first update (Lifeguard's buddy system)."""
+        """Return a ping; for a suspect, its first update is the suspicion (Lifeguard's buddy system)."""
         ping = self._state.compose(now_ns, MessageKind.PING, sequence, target)
         suspicion = self._state.suspicions.get(target)
         if suspicion is None:
@@ -224,7 +227,7 @@
         probe.is_indirect = True
         ping_req = state.compose(now_ns, MessageKind.PING_REQ, probe.sequence, probe.target)
         # With many suspects, the helpers of all probes would send most of the fleet's datagrams, and the
-        # delay that they cause would fail more probes.
+        # resulting delay would make more probes fail.
         helpers = 1 if state.suspicions.is_widespread else state.config.indirect_probes
         outgoing = [Outgoing(helper, ping_req) for helper in state.choose_members(helpers, {probe.target})]
         outgoing.append(self._ping(now_ns, probe.sequence, probe.target))
@@ -245,7 +248,7 @@
         state = self._state
         del self._probes[probe.sequence]
         state.reached_indirectly.discard(probe.target)
-        # With many suspects the network is cut or they are dead, and longer timeouts prevent nothing.
+        # With many suspects, the network is cut or they are dead, and longer timeouts would not help.
         state.health.record_failure(is_fault_remote=probe.nack_received or state.suspicions.is_widespread)
         current = state.members.get(probe.target)
         if current and current.state < MemberState.DEAD and now_ns >= state.suspicions.allowed_at_ns:
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -1,14 +1,14 @@
-"""One member's part in the membership protocol, without I/O, clock or randomness of its own.
+"""The membership protocol of one member, without I/O; the caller provides the time and the randomness.
 
-SWIM (Das, Gupta, Motivala 2002) with what Lifeguard (Dadgar, Phillips, Currey 2018) adds: probes in shuffled
-rounds, indirect probes, suspicions that expire the sooner the more members confirm them, refutation by
-incarnation, a health score that delays the suspicions of a member in poor health. Beyond these papers, a DEAD
-from another member is not adopted (`updates.py`), and a member whose process was paused raises no suspicion
-for what it missed.
+It is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018):
+probes in shuffled rounds, indirect probes, suspicions that expire sooner the more members confirm them,
+refutation by incarnation, and a health score that delays the suspicions of a member in poor health. Beyond
+these papers, a DEAD reported by another member is not adopted (`updates.py`), and a member whose process was
+paused raises no suspicion for messages that it missed.
 
-The parts are a module each: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
-Methods return the messages to be sent; the caller sends them, and calls `tick` at `next_tick_at_ns`. Times
-are monotonic ns.
+Each part has its own module: `probing`, `suspicion`, `updates`, `dissemination`, `gossip`, `anti_entropy`.
+Methods return the messages to send. The caller sends them, and calls `tick` at `next_tick_at_ns`. Times are
+monotonic ns.
 """
 
 from __future__ import annotations
@@ -32,16 +32,19 @@
 from anisespool.membership.updates import UpdateProcessor
 from anisespool.membership.view import MembershipView
 
-MAX_BOOT_SKEW_MS = 24 * 3600 * 1000  # between the clocks of two machines
-PAUSE_PENALTY_LEVEL = 2  # added to the health score after a pause
-LEAVE_FANOUT_FACTOR = 2  # a member that leaves sends its announcement once only
+# Largest accepted difference between the clocks of two machines.
+MAX_BOOT_SKEW_MS = 24 * 3600 * 1000
+# Added to the health score after a pause.
+PAUSE_PENALTY_LEVEL = 2
+# Multiplies the fanout, because a leaving member sends its announcement only once.
+LEAVE_FANOUT_FACTOR = 2
 
 
 class MembershipProtocol:
-    """A member of a fleet whose numbers run from 0 to `fleet_size` - 1.
+    """A member of a fleet in which members are numbered from 0 to `fleet_size` - 1.
 
     Attributes:
-        is_leaving: The shutdown was announced: nothing is sent or accepted any more.
+        is_leaving: Whether the shutdown was announced; nothing is sent or accepted afterwards.
     """
 
     def __init__(
@@ -55,10 +58,10 @@
         """Create a member that sends nothing before `start`.
 
         Args:
-            member: Its number.
-            boot: Time of the process's start in ms, so that a later start has a higher boot.
-            fleet_size: Members by the settings.
-            random_below: Takes n, returns a random integer from 0 to n - 1.
+            member: The member's number.
+            boot: Start time of the process in ms, so that a later start has a higher boot.
+            fleet_size: Number of configured members.
+            random_below: Takes n and returns a random integer from 0 to n - 1.
             config: Parameters; None for the defaults.
         """
         self.is_leaving = False
@@ -77,7 +80,7 @@
 
     @property
     def config(self) -> MembershipConfig:
-        """The parameters."""
+        """Parameters of the protocol."""
         return self._state.config
 
     @property
@@ -117,11 +120,11 @@
 
     @property
     def reached_indirectly(self) -> set[int]:
-        """Members whose last probe was acknowledged through helpers alone."""
+        """Members whose last probe was acknowledged only through helpers."""
         return self._state.reached_indirectly
 
     def take_events(self) -> list[MembershipEvent]:
-        """Return the events since the last call."""
+        """Return the events recorded since the last call."""
         taken = list(self._state.events)
         self._state.events.clear()
         return taken
@@ -131,7 +134,7 @@
         return self._state.view()
 
     def start(self, now_ns: int) -> list[Outgoing]:
-        """Start the timers and return the announcement of this member for a few others.
+        """Start the timers, and return messages that announce this member to a few others.
 
         Args:
             now_ns: Monotonic time.
@@ -147,7 +150,7 @@
 
     @property
     def next_tick_at_ns(self) -> int:
-        """When `tick` is due next; any call of another method may change it."""
+        """Time at which `tick` is due next; a call of any other method may change it."""
         return min(self._due_times())
 
     def tick(self, now_ns: int) -> list[Outgoing]:
@@ -159,7 +162,7 @@
             now_ns: Monotonic time.
 
         Returns:
-            Messages to be sent.
+            Messages to send.
         """
         if self.is_leaving:
             return []
@@ -172,15 +175,15 @@
         return outgoing
 
     def receive(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Apply a message's updates and return the replies; an implausible one is counted and dropped.
+        """Apply a message's updates and return the replies; an implausible message is counted and dropped.
 
         Args:
             now_ns: Monotonic time.
-            sender: The member's number, by the address from which the datagram came.
-            message: Decoded, its numbers and boots unchecked.
+            sender: Number of the member that has the datagram's source address.
+            message: A decoded message whose numbers and boots are unchecked.
 
         Returns:
-            Messages to be sent.
+            Messages to send.
         """
         state = self._state
         max_boot = self._max_plausible_boot(now_ns)
@@ -189,22 +192,23 @@
             return []
         current = state.members.get(sender)
         if current and message.boot < current.boot:
-            # Either a late datagram of an earlier boot, or the sender started with its clock set back. The
-            # answer makes it take a higher boot in the second case, and is superseded in the first.
+            # Either this is a late datagram of an earlier boot, or the sender restarted with its clock set
+            # back. In the second case the reply makes it take a higher boot; in the first it is superseded.
             state.stats.ignored += 1
-            return [state.answer_with(now_ns, sender, current)]
+            return [state.reply_with_update(now_ns, sender, current)]
         local = state.local
         outgoing = self._apply_sender(now_ns, sender, message)
         self._apply_updates(now_ns, message, max_boot)
-        if state.local is not local:  # refuted: the sender of the suspicion gets the refutation first
-            outgoing.append(state.answer_with(now_ns, sender, state.local))
+        if state.local is not local:
+            # This member refuted an update; the sender of the update receives the refutation first.
+            outgoing.append(state.reply_with_update(now_ns, sender, state.local))
         outgoing += self._reply(now_ns, sender, message)
         return outgoing
 
     def leave(self, now_ns: int) -> list[Outgoing]:
-        """Return the announcement of this member's shutdown for a few others, which disseminate it.
+        """Return messages that announce this member's shutdown to a few others, which disseminate it.
 
-        After it `tick` and `receive` return nothing.
+        Afterwards `tick` and `receive` return nothing.
 
         Args:
             now_ns: Monotonic time.
@@ -226,7 +230,7 @@
     def _run_timers(self, now_ns: int) -> list[Outgoing]:
         state = self._state
         outgoing: list[Outgoing] = []
-        # A timer is set before its job runs, as the job may set an earlier time.
+        # A timer is set before its job runs, because the job may set an earlier time.
         if state.schedule.is_due(Timer.GOSSIP, now_ns):
             state.schedule.set(Timer.GOSSIP, now_ns + state.config.gossip_interval_ns)
             outgoing += gossip(state, now_ns)
@@ -239,7 +243,7 @@
         return outgoing
 
     def _resume(self, now_ns: int, pause_ns: int) -> list[Outgoing]:
-        """Restart the timers after a pause, and suspect no member for messages missed in it."""
+        """Restart the timers after a pause, and suspect no member for messages missed during it."""
         state = self._state
         state.stats.pauses += 1
         state.record_event(ProtocolPaused(pause_ns // NS_PER_MS))
@@ -256,7 +260,7 @@
         state.schedule.restart(now_ns, state.config.gossip_interval_ns, state.random_below)
 
     def _max_plausible_boot(self, now_ns: int) -> int:
-        """Return the highest boot to accept: one far ahead of it would exclude its member permanently."""
+        """Return the highest accepted boot: one far in the future would exclude its member permanently."""
         return (
             self._state.local.boot
             + max(0, now_ns - self._state.started_at_ns) // NS_PER_MS
@@ -269,12 +273,12 @@
         return not self.is_leaving and message.boot <= max_boot
 
     def _apply_sender(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Apply that the sender is alive; return its DEAD state for it to refute, if that has precedence."""
+        """Mark the sender as alive, or return its DEAD state for it to refute, if that has precedence."""
         alive = MemberUpdate(sender, message.boot, message.incarnation, MemberState.ALIVE)
         self._updates.apply(now_ns, alive)
         current = self._state.members.get(sender)
         if current and current.state is MemberState.DEAD:
-            return [self._state.answer_with(now_ns, sender, current)]
+            return [self._state.reply_with_update(now_ns, sender, current)]
         return []
 
     def _apply_updates(self, now_ns: int, message: Message, max_boot: int) -> None:
--- a/anisespool/membership/rate_limiter.py
+++ b/anisespool/membership/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Bounds the datagrams that one member sends, so that no fault of the protocol floods the network."""
+"""Limits the datagrams that one member sends, so that a protocol fault cannot flood the network."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
         """Create a full bucket.
 
         Args:
-            datagrams_per_s: Tokens added each second; also the highest burst.
+            datagrams_per_s: Tokens added per second, which is also the largest burst.
             now_s: Monotonic time.
         """
         self._datagrams_per_s = datagrams_per_s
@@ -18,7 +18,7 @@
         self._refilled_at_s = now_s
 
     def try_consume(self, now_s: float) -> bool:
-        """Consume the token of one datagram, and return whether there was one.
+        """Consume a token for one datagram, and return whether there was one.
 
         Args:
             now_s: Monotonic time, no earlier than in the last call.
--- a/anisespool/membership/relays.py
+++ b/anisespool/membership/relays.py
@@ -13,9 +13,9 @@
 
     Attributes:
         requester: Member that sent the ping-req.
-        requester_sequence: The requester's sequence number, under which the ACK is relayed.
-        target: The member pinged.
-        expires_at_ns: From this instant the relay is removed once another is requested; monotonic.
+        requester_sequence: The requester's sequence number, which the relayed ACK has.
+        target: The pinged member.
+        expires_at_ns: Monotonic time from which the next ping-req removes the relay.
     """
 
     requester: int
@@ -25,7 +25,7 @@
 
 
 class RelayTable:
-    """Relays by the sequence number of their own ping; bounded, as any member may send ping-reqs."""
+    """Relays by the sequence number of their ping; bounded, because any member may send ping-reqs."""
 
     def __init__(self, config: MembershipConfig) -> None:
         self._config = config
@@ -35,7 +35,7 @@
         return len(self._relays)
 
     def has_capacity(self, now_ns: int) -> bool:
-        """Return whether one more relay is allowed, after those that have expired were removed.
+        """Remove expired relays, and return whether one more relay is allowed.
 
         Args:
             now_ns: Monotonic time.
@@ -50,10 +50,10 @@
         self._relays[sequence] = relay
 
     def complete(self, sequence: int, sender: int) -> Relay | None:
-        """Remove the relay that an ACK is for; return it, or None where the sender is not its target."""
+        """Remove the relay of an ACK and return it, or None if the sender of the ACK is not its target."""
         relay = self._relays.pop(sequence, None)
         return relay if relay is not None and relay.target == sender else None
 
     def clear(self) -> None:
-        """Drop all relays, as after a pause their requesters no longer wait."""
+        """Drop all relays, because their requesters no longer wait after a pause."""
         self._relays.clear()
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -1,4 +1,4 @@
-"""The control socket's answer to `GET /v1/peers`: this sidecar's view, counts of protocol and datagrams."""
+"""The control socket's response to `GET /v1/peers`: this sidecar's view, protocol and datagram counters."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
         "health_score": "health",
     },
 ):
-    """The answer's fields; `rename` maps these names to the keys on the socket.
+    """Fields of the response; `rename` maps these names to the keys on the socket.
 
     Attributes:
         number: This member's number in the fleet.
-        boot: Of this start of the process.
-        incarnation: Of that boot.
-        view_version: Incremented with each change of the view.
-        age_ms: Since the last change of the view.
-        alive: Numbers of members by state, here and in the next fields.
-        suspect: Under suspicion.
-        dead: Declared dead.
-        reached_indirectly: Alive or suspect, and last acknowledged through helpers alone.
-        left: Announced their shutdown.
-        unknown: Without any update so far.
-        alive_min: Lower bound on the members alive.
-        alive_max: Upper bound on the members alive.
-        is_isolated: This member may itself be cut off from the others.
-        failed_probes: Of this member's last probes.
-        health_score: 0 is healthy.
-        stats: Counts of the protocol.
-        datagrams: Counts by what became of them (`TransportCounter`, `InvalidReason`).
+        boot: This member's boot.
+        incarnation: This member's incarnation.
+        view_version: Number that is incremented with each change of the view.
+        age_ms: Time since the last change of the view.
+        alive: Numbers of the members that are alive.
+        suspect: Numbers of the members under suspicion.
+        dead: Numbers of the members declared dead.
+        reached_indirectly: Numbers of live or suspect members last acknowledged only through helpers.
+        left: Numbers of the members that announced their shutdown.
+        unknown: Numbers of the members without any update so far.
+        alive_min: Lower bound on the number of live members.
+        alive_max: Upper bound on the number of live members.
+        is_isolated: Whether this member may itself be cut off from the others.
+        failed_probes: Failures among this member's last probes.
+        health_score: This member's health score; 0 is healthy.
+        stats: Protocol counters.
+        datagrams: Datagram counters by name (`TransportCounter`, `InvalidReason`).
     """
 
     number: int
@@ -75,11 +75,11 @@
 
 
 def build_report(protocol: MembershipProtocol, datagrams: dict[str, int], now_ns: int) -> MembershipReport:
-    """Return the present state of a protocol with the transport's counts.
+    """Return the present state of a protocol and the transport's counters.
 
     Args:
-        protocol: This member's.
-        datagrams: Counts by the names on the control socket.
+        protocol: This member's protocol.
+        datagrams: Counters by their names on the control socket.
         now_ns: Monotonic time.
     """
     view = protocol.view()
@@ -106,6 +106,6 @@
 
 
 def to_json_object(report: MembershipReport) -> JsonObject:
-    """Return the report under the names that it has on the control socket."""
+    """Return the report with its keys on the control socket."""
     built: JsonObject = msgspec.to_builtins(report)
     return built
--- a/anisespool/membership/schedule.py
+++ b/anisespool/membership/schedule.py
@@ -1,4 +1,4 @@
-"""When each of the protocol's periodic jobs is due next. Times are monotonic ns."""
+"""Due times of the protocol's periodic jobs, in monotonic ns."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Timer(Enum):
-    """The periodic jobs; their order is that of the random delays at the start."""
+    """The periodic jobs, in the order in which their random delays are drawn at the start."""
 
     PROBE = "probe"
     GOSSIP = "gossip"
@@ -25,9 +25,9 @@
         """Set each timer to a random time, so that members that start together do not send together.
 
         Args:
-            now_ns: The present.
-            spread_ns: The times lie within so much after it.
-            random_below: Takes n, returns a random integer from 0 to n - 1; called once a timer, in order.
+            now_ns: Monotonic time.
+            spread_ns: Length of the period after `now_ns` in which the times lie.
+            random_below: Takes n and returns a random integer from 0 to n - 1; called in the order of timers.
         """
         for timer in Timer:
             self._due_at_ns[timer] = now_ns + random_below(max(1, spread_ns))
@@ -48,7 +48,7 @@
         """Yield the next due times.
 
         Args:
-            is_gossip_pending: Whether updates are queued; without any, gossip needs no wake-up.
+            is_gossip_pending: Whether updates are queued. If not, the gossip timer is left out.
         """
         for timer, at_ns in self._due_at_ns.items():
             if timer is not Timer.GOSSIP or is_gossip_pending:
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -20,14 +20,16 @@
 from anisespool.membership.transport import UdpTransport
 from anisespool.membership.view import MembershipView, format_ranges
 
-BOOT_EPOCH_S = 1_700_000_000  # boots are milliseconds since then: 40 bits last for 34 years
+# Boots are milliseconds since this time; 40 bits last for 34 years.
+BOOT_EPOCH_S = 1_700_000_000
 MIN_TICK_INTERVAL_S = 0.002
 RETRY_S = 0.5
-LINGER_S = 0.02  # after the last message, for the socket's buffer to empty
+# Delay after the last message, in which the socket's buffer empties.
+LINGER_S = 0.02
 
 
 class MembershipService:
-    """The protocol on the event loop. An error in it is logged and affects no request.
+    """Runs the protocol on the event loop. An error in it is logged and affects no request.
 
     Attributes:
         protocol: The protocol core.
@@ -40,11 +42,11 @@
         options: MembershipOptions,
         on_event: Callable[[MembershipEvent], None],
     ) -> None:
-        """Create a service that opens nothing before `start`.
+        """Create a service that opens no socket before `start`.
 
         Args:
-            config: The platform's configuration; its file names the peers' addresses.
-            options: The operator's section `[peers]`.
+            config: The platform's configuration, whose file has the peers' addresses.
+            options: The section `[peers]` of the operator's file.
             on_event: Called with each event, for the instance's event log.
 
         Raises:
@@ -66,12 +68,12 @@
         self._published_version = -1
 
     def start(self, is_retry: bool = False) -> None:
-        """Bind the address and start the protocol, or log the failure once and retry each RETRY_S.
+        """Bind the address and start the protocol, or log the failure once and retry every RETRY_S.
 
-        At a restart the previous process may still have the address, and requests must not wait for it.
+        At a restart the previous process may still hold the address, and requests must not wait for it.
 
         Args:
-            is_retry: The failure was logged already.
+            is_retry: Whether the failure has already been logged.
         """
         try:
             self._transport = UdpTransport(
@@ -103,7 +105,7 @@
             self._transport.close()
 
     def describe(self) -> JsonObject:
-        """Return the answer to `GET /v1/peers`, which `anisespool peers` reads."""
+        """Return the response to `GET /v1/peers`, which `anisespool peers` reads."""
         counts = self._transport.counts if self._transport else {}
         datagrams = {counter.value: count for counter, count in counts.items()}
         return to_json_object(build_report(self.protocol, datagrams, time.monotonic_ns()))
@@ -116,7 +118,8 @@
     def _tick(self) -> None:
         try:
             self._send(self.protocol.tick(time.monotonic_ns()))
-        except Exception as error:  # must neither end requests nor repeat at once
+        except Exception as error:
+            # An error must neither affect requests nor recur immediately.
             log_event("membership_tick_failed", error=repr(error), retry_s=RETRY_S)
             self._schedule_tick(RETRY_S)
             return
@@ -125,7 +128,8 @@
     def _receive(self, sender: int, message: Message) -> None:
         try:
             self._send(self.protocol.receive(time.monotonic_ns(), sender, message))
-        except Exception as error:  # must not end the reading of other datagrams, nor requests
+        except Exception as error:
+            # An error must affect neither requests nor the reading of other datagrams.
             log_event("membership_message_failed", member=sender, error=repr(error))
 
     def _send(self, outgoing: list[Outgoing]) -> None:
@@ -152,13 +156,13 @@
     number = config.settings.self_index
     if number >= len(addresses.peers):
         raise ConfigError(
-            f"LB_CONFIG: key peers: found {len(addresses.peers)}, wanted one for number {number}"
+            f"LB_CONFIG: key peers: found {len(addresses.peers)} addresses, wanted one for member {number}"
         )
     return addresses
 
 
 def _protocol_config(options: MembershipOptions) -> MembershipConfig:
-    """Convert the operator's options from ms to ns; other parameters have their defaults."""
+    """Convert the operator's options from ms to ns; other parameters keep their defaults."""
     return MembershipConfig(
         probe_interval_ns=int(options.probe_interval_ms * NS_PER_MS),
         ping_timeout_ns=int(options.ping_timeout_ms * NS_PER_MS),
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the protocol share (members, queue, timers, events), and messages made of it."""
+"""State shared by the parts of the protocol (members, queue, timers, events), and messages built from it."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 from anisespool.membership.suspicion import SuspicionTable
 from anisespool.membership.view import MembershipView, ViewCache
 
-MAX_EVENTS = 1000  # that wait to be taken; beyond it the oldest are dropped
-SEQUENCE_NUMBERS = 2**16  # two bytes of a datagram
+# Maximum number of events that wait to be taken; beyond it the oldest are dropped.
+MAX_EVENTS = 1000
+# A sequence number takes two bytes of a datagram.
+SEQUENCE_NUMBERS = 2**16
 PIGGYBACK_KINDS = frozenset({MessageKind.PING, MessageKind.ACK, MessageKind.PING_REQ, MessageKind.NACK})
 
-RandomBelow = Callable[[int], int]  # takes n, returns a random integer from 0 to n - 1
+# Takes n and returns a random integer from 0 to n - 1.
+RandomBelow = Callable[[int], int]
 
 
 @dataclass(slots=True)
 class ProtocolStats:
-    """Counts since the start; the fields' names are those on the control socket.
+    """Counts since the start; the field names are those on the control socket.
 
     Attributes:
         accusations: Failed probes after which this member suspected the target.
         refutations: Updates about this member that it refuted.
-        pauses: Ticks later than the pause threshold.
-        ignored: Messages and updates that were dropped: of an earlier boot, an implausible one, or no member.
+        pauses: Ticks that were later than the pause threshold.
+        ignored: Messages and updates dropped because of an earlier or implausible boot or an unknown number.
     """
 
     accusations: int = 0
@@ -45,18 +48,18 @@
 
     Attributes:
         config: The protocol's parameters.
-        fleet_size: Members by the settings; their numbers run from 0.
+        fleet_size: Number of configured members, which are numbered from 0.
         random_below: The only source of randomness.
         local: This member's own state, as it announces it.
         health: The health score, which lengthens this member's timeouts.
         broadcasts: Updates that are being disseminated.
         suspicions: Members under suspicion.
-        members: Current updates about the others, by number; none before the first about a member.
+        members: Current updates about the other members, by number; unknown members have none.
         schedule: When periodic jobs are due.
         views: The view that the sidecar reads.
-        events: Since they were last taken.
+        events: Events recorded since they were last taken.
         stats: Counts for the control socket.
-        reached_indirectly: Members whose last probe was acknowledged through helpers alone: a path is cut.
+        reached_indirectly: Members whose last probe was acknowledged only through helpers: a path is cut.
         started_at_ns: When this member started.
         last_sequence: Sequence number of the last ping.
     """
@@ -86,8 +89,8 @@
         """Return random members to send to: alive ones, else suspects, else any of the fleet.
 
         Args:
-            count: At most so many.
-            excluded: Members never returned.
+            count: Maximum number of members.
+            excluded: Members that are never returned.
         """
         active = [
             member
@@ -108,18 +111,18 @@
         return chosen
 
     def next_sequence(self) -> int:
-        """Return the sequence number of a new ping; probes and relays share one series."""
+        """Return the sequence number for a new ping; probes and relays share one series."""
         self.last_sequence = (self.last_sequence + 1) % SEQUENCE_NUMBERS
         return self.last_sequence
 
     def compose(self, now_ns: int, kind: MessageKind, sequence: int = 0, target: int = 0) -> Message:
-        """Return a message from this member; those of a probe carry queued updates (SWIM's piggybacking).
+        """Return a message from this member; a probe's messages carry queued updates (SWIM's piggybacking).
 
         Args:
-            now_ns: Monotonic time, for the ages of suspicions.
-            kind: What the message is for.
-            sequence: As the kind defines it.
-            target: A member's number or a bucket's index, as the kind defines it.
+            now_ns: Monotonic time, from which the ages of suspicions are computed.
+            kind: Purpose of the message.
+            sequence: Sequence number, with the meaning that the kind defines.
+            target: A member's number or a bucket's index, depending on the kind.
         """
         updates: tuple[MemberUpdate, ...] = ()
         if kind in PIGGYBACK_KINDS:
@@ -130,12 +133,12 @@
         """Return a GOSSIP with these updates and no others."""
         return self.compose(now_ns, MessageKind.GOSSIP)._replace(updates=updates)
 
-    def answer_with(self, now_ns: int, recipient: int, update: MemberUpdate) -> Outgoing:
+    def reply_with_update(self, now_ns: int, recipient: int, update: MemberUpdate) -> Outgoing:
         """Return a GOSSIP with one update for one member, which may have to refute it."""
         return Outgoing(recipient, self.compose_gossip(now_ns, (update,)))
 
     def expedite_gossip(self, now_ns: int) -> None:
-        """Bring the next round forward, as a refutation must arrive before the suspicion expires."""
+        """Bring the next gossip round forward: a refutation must arrive before the suspicion expires."""
         self.schedule.bring_forward(Timer.GOSSIP, now_ns + self.config.urgent_gossip_interval_ns)
 
     def record_event(self, event: MembershipEvent) -> None:
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""Suspicions and when they expire: the more independent members confirm one, the sooner (Lifeguard, IV-B).
+"""Suspicions, which expire sooner the more independent members confirm them (Lifeguard, IV-B).
 
-Without confirmation a suspicion lasts for the maximum, in which a live suspect can refute it. Confirmations
-show that the fault is not in one member's path, and bring the time down to the minimum.
+Without confirmation a suspicion lasts for the maximum time, in which a live suspect can refute it.
+Confirmations show that the fault is not in one member's path, and reduce the time towards the minimum.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from anisespool.membership.local_health import LocalHealth
 from anisespool.membership.member_state import IncarnationKey
 
-WIDESPREAD_MEMBERS = 8  # with so many suspects a fault of the network is likelier than single deaths
+# With this many suspects, a network fault is likelier than independent deaths.
+WIDESPREAD_MEMBERS = 8
 
 
 @dataclass(slots=True)
@@ -23,8 +24,8 @@
 
     Attributes:
         incarnation_key: The suspected incarnation; a higher one ends the suspicion.
-        suspected_at_ns: When the first failed probe was sent, as far as its reported age counts.
-        reporters: Members that reported it; all but the first are confirmations.
+        suspected_at_ns: When the first failed probe was sent, within the limit on reported ages.
+        reporters: Members that reported the suspicion; all but the first are confirmations.
     """
 
     incarnation_key: IncarnationKey
@@ -32,11 +33,11 @@
     reporters: set[int] = field(default_factory=set)
 
     def expires_at_ns(self, config: MembershipConfig, multiplier: float) -> int:
-        """Return when the suspicion expires: from the maximum down to the minimum by log(confirmations).
+        """Return when the suspicion expires; the time falls from maximum to minimum with log(confirmations).
 
         Args:
-            config: Minimum, maximum and the confirmations that bring the time down to the minimum.
-            multiplier: Local health multiplier, 1.0 or more; it lengthens what exceeds the minimum.
+            config: The minimum, the maximum, and the number of confirmations that lead to the minimum.
+            multiplier: Local health multiplier, 1.0 or more; it applies to the part above the minimum.
         """
         confirmations = min(max(0, len(self.reporters) - 1), config.confirmations)
         share = log(confirmations + 1) / log(config.confirmations + 1)
@@ -48,7 +49,7 @@
     """Suspicions by member. Times are monotonic ns.
 
     Attributes:
-        allowed_at_ns: Before this instant this member raises no suspicion, and none expires.
+        allowed_at_ns: Time before which this member raises no suspicion and none expires.
     """
 
     def __init__(self, config: MembershipConfig, health: LocalHealth, local_member: int) -> None:
@@ -69,7 +70,7 @@
         return self._suspicions.get(member)
 
     def open(self, member: int, incarnation_key: IncarnationKey, suspected_at_ns: int) -> Suspicion:
-        """Begin a suspicion and return it; one of an earlier incarnation is replaced."""
+        """Start a suspicion and return it; a suspicion of an earlier incarnation is replaced."""
         suspicion = Suspicion(incarnation_key, suspected_at_ns)
         self._suspicions[member] = suspicion
         return suspicion
@@ -108,13 +109,13 @@
         }
 
     def postpone(self, now_ns: int, pause_ns: int) -> None:
-        """Move all suspicions after a pause of this process, as refutations sent meanwhile were not received.
+        """Postpone all suspicions after a pause of this process, which missed the refutations sent meanwhile.
 
-        Each keeps at least the grace period before its expiry.
+        Each suspicion lasts at least for the grace period after the pause.
 
         Args:
             now_ns: When the process resumed.
-            pause_ns: How long it did not run.
+            pause_ns: Length of the pause.
         """
         earliest_at_ns = now_ns - self._config.suspicion_max_ns + self._config.pause_grace_ns
         for suspicion in self._suspicions.values():
--- a/anisespool/membership/transport.py
+++ b/anisespool/membership/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket between members: identifies senders by address, limits what is sent, counts datagrams."""
+"""The UDP socket between members: identifies senders by address, limits the send rate, counts datagrams."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 from anisespool.membership.messages import Message
 from anisespool.membership.rate_limiter import RateLimiter
 
-READ_BATCH_DATAGRAMS = 32  # read before requests get their turn
-READ_BYTES = 512  # more than the longest valid datagram, so that a longer one is recognized
+# Maximum number of datagrams read in a row, after which requests are handled.
+READ_BATCH_DATAGRAMS = 32
+# Larger than the longest valid datagram, so that a longer one is recognized.
+READ_BYTES = 512
 RECEIVE_BUFFER_BYTES = 2**18
 
 
 class TransportCounter(Enum):
-    """What became of datagrams; the values are the names on the control socket."""
+    """Counters of datagrams and bytes; the values are the names on the control socket."""
 
     SENT = "sent"
     SENT_BYTES = "sent_bytes"
@@ -36,7 +38,7 @@
     """Sends and receives messages.
 
     Attributes:
-        counts: Datagrams and bytes by what became of them; invalid datagrams by the reason.
+        counts: Datagrams and bytes by counter; invalid datagrams by the reason for their rejection.
     """
 
     def __init__(
@@ -46,16 +48,16 @@
         max_datagrams_per_s: float,
         on_message: Callable[[int, Message], None],
     ) -> None:
-        """Bind the socket and begin to read.
+        """Bind the socket and start reading.
 
         Args:
             listen: Address to bind.
-            peers: Addresses of all members, by number.
+            peers: Addresses of all members, indexed by number.
             max_datagrams_per_s: Messages beyond this rate are dropped.
             on_message: Called with the sender's number and its message.
 
         Raises:
-            OSError: The address can't be bound; nothing stays open.
+            OSError: The address can't be bound; no socket is left open.
         """
         self.counts: Counter[TransportCounter | InvalidReason] = Counter()
         self._peers = list(peers)
@@ -66,14 +68,15 @@
         asyncio.get_running_loop().add_reader(self._socket, self._read)
 
     def send(self, recipient: int, message: Message) -> None:
-        """Send a message, or drop and count it: the protocol tolerates lost datagrams."""
+        """Send a message, or drop and count it; the protocol tolerates lost datagrams."""
         if not self._limiter.try_consume(time.monotonic()):
             self.counts[TransportCounter.RATE_LIMITED] += 1
             return
         data = codec.encode(message)
         try:
             self._socket.sendto(data, self._peers[recipient])
-        except OSError:  # a full buffer, or no process at that address
+        except OSError:
+            # The buffer is full, or no process uses the address.
             self.counts[TransportCounter.SEND_FAILED] += 1
             return
         self.counts[TransportCounter.SENT] += 1
@@ -91,12 +94,13 @@
                 data, source = self._socket.recvfrom(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # of one datagram: the others are still to be read
+            except OSError:
+                # The error concerns one datagram; the others can still be read.
                 continue
             self._receive(data, source)
 
     def _receive(self, data: bytes, source: Address) -> None:
-        """Handle one datagram; `source` is the socket module's pair, which equals an Address."""
+        """Handle one datagram; `source` is the socket module's tuple, which compares equal to an Address."""
         sender = self._numbers.get(source)
         if sender is None:
             self.counts[TransportCounter.UNKNOWN_SENDER] += 1
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -1,8 +1,8 @@
 """Applies updates about members, as memberlist's aliveNode, suspectNode, deadNode and refute do.
 
-A DEAD from another member is not adopted. It counts as one more confirmation of a suspicion, and each member
-declares the death when the suspicion expires by its own clock. So one faulty member can't shorten the time in
-which its victim may refute.
+A DEAD reported by another member is not adopted but counts as a confirmation of a suspicion. Each member
+declares the death itself when the suspicion expires by its own clock, so one faulty member cannot shorten the
+time in which its victim can refute the suspicion.
 """
 
 from __future__ import annotations
@@ -29,22 +29,23 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.suspicion import Suspicion
 
-PROBES_PER_CONFIRMATION_FACTOR = 3  # expected early probes of a suspect, for each confirmation it takes
+# Expected number of early probes of a suspect for each confirmation that is required.
+PROBES_PER_CONFIRMATION_FACTOR = 3
 
 
 class UpdateProcessor:
-    """The rules by which the state of a member changes; no other module changes that of another member."""
+    """Applies the rules for member states; no other module changes the state of another member."""
 
     def __init__(self, state: ProtocolState, probe_order: ProbeOrder) -> None:
         self._state = state
         self._probe_order = probe_order
 
     def apply(self, now_ns: int, update: MemberUpdate) -> None:
-        """Apply an update from whichever member; one that is superseded changes nothing.
+        """Apply an update received from any member; a superseded update changes nothing.
 
         Args:
             now_ns: Monotonic time.
-            update: About a member of the fleet, this one included; its number and boot are checked.
+            update: An update about any member, including this one, with a checked number and boot.
         """
         if update.member == self._state.local.member:
             self._refute(now_ns, update)
@@ -56,7 +57,7 @@
                 self._set_state(now_ns, update)
 
     def expire_suspicions(self, now_ns: int) -> None:
-        """Declare the members dead whose suspicion has expired.
+        """Declare dead the members whose suspicion has expired.
 
         Args:
             now_ns: Monotonic time.
@@ -73,7 +74,7 @@
             self._set_state(now_ns, dead)
 
     def _refute(self, now_ns: int, received: MemberUpdate) -> None:
-        """Announce a higher incarnation of this member if the update would supersede the current one."""
+        """Announce a higher incarnation of this member if the update would supersede its own state."""
         state = self._state
         answer = refutation(state.local, received)
         if answer is None:
@@ -84,11 +85,12 @@
         state.stats.refutations += 1
         state.record_event(SuspicionRefuted(answer.incarnation))
         state.expedite_gossip(now_ns)
-        state.health.degrade()  # Lifeguard: a refuted suspicion suggests that this member answered too late
+        # A refuted suspicion suggests that this member answered too late (Lifeguard).
+        state.health.degrade()
         state.broadcasts.add(answer)
 
     def _apply_suspicion(self, now_ns: int, report: MemberUpdate) -> None:
-        """Begin a suspicion, or count its reporter as one more confirmation."""
+        """Start a suspicion, or count the reporter as a further confirmation."""
         state = self._state
         current = state.members.get(report.member)
         if current is None:
@@ -108,7 +110,7 @@
             state.expedite_gossip(now_ns)
 
     def _begin_suspicion(self, now_ns: int, report: MemberUpdate) -> Suspicion:
-        """Date the suspicion back by the reported age, which is bounded as the reporter may be faulty."""
+        """Start a suspicion, backdated by the reported age; this is bounded as the reporter may be faulty."""
         state = self._state
         reported_age_ns = report.suspicion_age_units * SUSPICION_AGE_UNIT_NS
         age_ns = min(reported_age_ns, state.config.max_reported_suspicion_age_ns)
@@ -119,7 +121,7 @@
         return suspicion
 
     def _maybe_probe_next(self, now_ns: int, report: MemberUpdate) -> None:
-        """Probe the suspect next on a few random members, as its turn in their rounds may be far away."""
+        """Probe the suspect next at random, so that a few members probe it although its turn is far away."""
         state = self._state
         if state.suspicions.is_widespread or report.reporter == state.local.member:
             return
@@ -137,7 +139,8 @@
             state.suspicions.close(update.member)
         if previous and _is_still_alive(previous, update):
             return
-        if not is_suspect:  # a suspicion is queued with its reporter
+        if not is_suspect:
+            # `_apply_suspicion` queues suspicions with their reporters.
             state.broadcasts.add(update)
             if previous and previous.state is not MemberState.ALIVE:
                 state.expedite_gossip(now_ns)
@@ -158,6 +161,6 @@
 
 
 def _is_still_alive(previous: MemberUpdate, update: MemberUpdate) -> bool:
-    """Return whether only the incarnation of a live member differs, which is no change of the view."""
+    """Return whether only the incarnation of a live member differs, which does not change the view."""
     both_alive = previous.state is MemberState.ALIVE and update.state is MemberState.ALIVE
     return both_alive and previous.boot == update.boot
--- a/anisespool/membership/view.py
+++ b/anisespool/membership/view.py
@@ -1,4 +1,4 @@
-"""The view that the rest of the sidecar reads: immutable, with a version and the time of the last change."""
+"""The immutable membership view that the rest of the sidecar reads, with its version and time of change."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Return numbers as ranges such as `0-4,6`, which keeps log entries of large fleets short.
 
     Args:
-        numbers: Distinct, in any order.
+        numbers: Distinct numbers in any order.
     """
     parts: list[str] = []
     last = None
@@ -30,16 +30,16 @@
     """Members by state; each number is in exactly one of the sets.
 
     Attributes:
-        version: Incremented with each change of the sets.
-        changed_at_ns: When the sets last changed; monotonic.
-        alive: Alive, this member included.
-        suspect: Under suspicion.
-        dead: Declared dead, as their suspicion expired.
-        left: Announced their shutdown.
-        unknown: Without any update so far.
-        is_isolated: This member may itself be cut off from the others.
-        failed_probes: Of this member's last probes, from which `is_isolated` follows.
-        health_score: This member's; 0 is healthy.
+        version: Number that is incremented with each change of the sets.
+        changed_at_ns: Monotonic time of the last change of the sets.
+        alive: Live members, including this one.
+        suspect: Members under suspicion.
+        dead: Members declared dead because their suspicion expired.
+        left: Members that announced their shutdown.
+        unknown: Members without any update so far.
+        is_isolated: Whether this member may itself be cut off from the others.
+        failed_probes: Failures among this member's last probes, which determine `is_isolated`.
+        health_score: This member's health score; 0 is healthy.
     """
 
     version: int
@@ -55,21 +55,21 @@
 
     @property
     def alive_min(self) -> int:
-        """Lower bound on the members alive: suspects and unknown ones count as dead."""
+        """Lower bound on the number of live members: suspect and unknown members count as dead."""
         return len(self.alive)
 
     @property
     def alive_max(self) -> int:
-        """Upper bound on the members alive: suspects and unknown ones count as alive."""
+        """Upper bound on the number of live members: suspect and unknown members count as alive."""
         return len(self.alive) + len(self.suspect) + len(self.unknown)
 
 
 class ViewCache:
-    """The last view built, and its version.
+    """Caches the last view until a member's state changes.
 
     Attributes:
-        version: Of the next view.
-        changed_at_ns: When a member's state last changed; monotonic.
+        version: Version of the next view.
+        changed_at_ns: Monotonic time of the last change of a member's state.
     """
 
     def __init__(self) -> None:
@@ -90,17 +90,17 @@
     def current(
         self, local_member: int, members: Mapping[int, MemberUpdate], fleet_size: int, health: LocalHealth
     ) -> MembershipView:
-        """Return the view of a state, built anew only after a change.
+        """Return the current view, which is rebuilt only after a change.
 
         Args:
             local_member: This member's number.
-            members: Current updates about the others.
-            fleet_size: Members by the settings.
-            health: This member's.
+            members: Current updates about the other members.
+            fleet_size: Number of configured members.
+            health: This member's health.
         """
         view = self._view or self._build(local_member, members, fleet_size, health)
         failed_probes = health.failed_probes
-        # These change without a change of the sets, and make no new version.
+        # These values change independently of the sets and do not increment the version.
         if view.failed_probes != failed_probes or view.health_score != health.score:
             view = view._replace(
                 is_isolated=health.is_isolated, failed_probes=failed_probes, health_score=health.score
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Protocol cores on one virtual clock, with a network that delays and loses messages and cuts paths."""
+"""A fleet of membership protocols in virtual time; its network delays and loses messages and cuts paths."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from anisespool.membership.messages import Message, Outgoing
 from anisespool.membership.protocol import MembershipProtocol
 
-DELAY_MS = 1.0, 3.0  # bounds of a message's delay
+# Bounds of a message's random delay.
+DELAY_BOUNDS_MS = 1.0, 3.0
 
 
 class NetworkPath(NamedTuple):
@@ -25,15 +26,15 @@
 
 
 class Death(NamedTuple):
-    """One member declared another dead."""
+    """A declaration of one member that another is dead."""
 
     at_ns: int
-    by: int
+    observer: int
     member: int
 
 
 class ScheduledCall(NamedTuple):
-    """A call due at an instant; `order` ranks those of one instant."""
+    """A call due at an instant; `order` decides between calls due at the same instant."""
 
     at_ns: int
     order: int
@@ -46,11 +47,11 @@
 
     Attributes:
         members: Running members by number.
-        paused_until_ns: By member; its messages wait so long.
-        loss: Share of messages lost.
+        paused_until_ns: End of a member's pause, during which its messages wait, by member.
+        loss: Share of messages that are lost.
         is_cut: Whether messages from the first member to the second are lost.
-        sent: Messages by member.
-        deaths: Declarations of death.
+        sent: Number of sent messages by member.
+        deaths: Declarations that a member is dead.
     """
 
     def __init__(self, size: int, seed: int = 1, config: MembershipConfig | None = None) -> None:
@@ -71,7 +72,7 @@
             self.start(member, 10)
 
     def start(self, member: int, boot: int) -> None:
-        """Start a member, in the place of the one of that number."""
+        """Start a member, replacing a running one with that number."""
         protocol = MembershipProtocol(member, boot, self.size, self.random.randrange, self.config)
         self.members[member] = protocol
         self.emit(member, protocol.start(self.now_ns))
@@ -82,7 +83,7 @@
         del self.members[member]
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         end_ns = self.now_ns + int(seconds * NS_PER_S)
         while self._queue and self._queue[0].at_ns <= end_ns:
             self.now_ns, _, call, arguments = heapq.heappop(self._queue)
@@ -90,7 +91,7 @@
         self.now_ns = end_ns
 
     def emit(self, member: int, outgoing: list[Outgoing]) -> None:
-        """Record a member's declarations of death, and deliver what it sends."""
+        """Record a member's declarations that others are dead, and deliver its messages."""
         for event in self.members[member].take_events():
             if isinstance(event, MemberDied):
                 self.deaths.append(Death(self.now_ns, member, event.member))
@@ -98,22 +99,22 @@
             self.sent[member] += 1
             assert len(message.updates) <= 17
             if not self.is_cut(member, recipient) and self.random.random() >= self.loss:
-                delay_ns = int(self.random.uniform(*DELAY_MS) * NS_PER_MS)
+                delay_ns = int(self.random.uniform(*DELAY_BOUNDS_MS) * NS_PER_MS)
                 self._call_at(self.now_ns + delay_ns, self._deliver, member, recipient, message)
 
     def alive(self, member: int) -> frozenset[int]:
-        """Members that are alive or suspect in a member's view."""
+        """Return the members that are alive or suspect in a member's view."""
         view = self.members[member].view()
         return view.alive | view.suspect
 
-    def agree(self, members: set[int], alive: set[int]) -> bool:
-        """Whether exactly `alive` are alive or suspect in the views of all `members`."""
+    def has_converged(self, members: set[int], alive: set[int]) -> bool:
+        """Return whether exactly `alive` are alive or suspect in the views of all `members`."""
         return all(self.alive(member) == alive for member in members)
 
-    def run_until_agreed(self, members: set[int], alive: set[int], limit_s: float) -> float:
-        """Run until they agree, and return the seconds that took; fails at the limit."""
+    def run_until_converged(self, members: set[int], alive: set[int], limit_s: float) -> float:
+        """Run until the views have converged, and return the seconds that took; fails at the limit."""
         start_ns = self.now_ns
-        while not self.agree(members, alive):
+        while not self.has_converged(members, alive):
             assert self.now_ns < start_ns + limit_s * NS_PER_S, {n: sorted(self.alive(n)) for n in members}
             self.run(0.1)
         return (self.now_ns - start_ns) / NS_PER_S
@@ -137,7 +138,8 @@
         protocol = self.members.get(recipient)
         if protocol is None:
             return
-        if self.paused_until_ns.get(recipient, 0) > self.now_ns:  # it waits in the socket
+        if self.paused_until_ns.get(recipient, 0) > self.now_ns:
+            # The message waits in the socket's buffer until the recipient resumes.
             self._call_at(
                 self.paused_until_ns[recipient] + NS_PER_MS, self._deliver, sender, recipient, message
             )
@@ -145,8 +147,8 @@
         self.emit(recipient, protocol.receive(self.now_ns, sender, message))
 
 
-def agreed_fleet(size: int = 20, seed: int = 1) -> SimulatedFleet:
-    """A fleet in which all members are alive in all views."""
+def converged_fleet(size: int = 20, seed: int = 1) -> SimulatedFleet:
+    """Return a fleet in which all members are alive in all views."""
     fleet = SimulatedFleet(size, seed)
-    fleet.run_until_agreed(set(range(size)), set(range(size)), 5)
+    fleet.run_until_converged(set(range(size)), set(range(size)), 5)
     return fleet
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The datagram between members, and whole conversations with noise in them."""
+"""Encoding and decoding of datagrams, and the protocol's bounds under random messages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,8 @@
     updates=st.lists(UPDATES, max_size=MAX_UPDATES).map(tuple),
     payload=st.binary(max_size=5),
 )
-REASONS = {"too long", "not ours", "version", "checksum", "malformed"}  # as the control socket counts them
+# The names of the counters on the control socket.
+REASONS = {"too long", "not ours", "version", "checksum", "malformed"}
 FULL = Message(
     MessageKind.GOSSIP,
     2**40 - 1,
@@ -48,17 +49,18 @@
 
 
 @given(MESSAGES)
-def test_a_message_survives_encoding_in_256_bytes(message: Message) -> None:
+def test_a_message_fits_into_256_bytes_and_is_decoded_unchanged(message: Message) -> None:
     data = codec.encode(message)
     assert len(data) <= codec.MAX_BYTES
     assert codec.decode(data) == message
 
 
-def test_a_full_datagram_takes_no_more_updates() -> None:
+def test_a_full_datagram_drops_the_payload_and_rejects_more_updates() -> None:
     assert codec.max_updates(0) == MAX_UPDATES == len(FULL.updates)
     assert len(codec.encode(FULL)) > 256 - 13
-    assert codec.decode(codec.encode(FULL._replace(payload=bytes(40)))).payload == b""  # updates come first
-    with pytest.raises(ValueError, match="wanted at most 256"):
+    # Updates have priority over the payload.
+    assert codec.decode(codec.encode(FULL._replace(payload=bytes(40)))).payload == b""
+    with pytest.raises(ValueError, match="exceed a datagram of 256 bytes"):
         codec.encode(FULL._replace(updates=FULL.updates * 2))
 
 
@@ -108,18 +110,18 @@
 
 @settings(max_examples=80, deadline=None)
 @given(st.lists(st.tuples(st.integers(-1, 12), MESSAGES, st.integers(0, 3)), max_size=60), st.integers(0, 9))
-def test_random_messages_keep_all_bounds(conversation: list[tuple[int, Message, int]], seed: int) -> None:
-    """No error, incarnations never decrease, one entry a member, few answers a message."""
+def test_random_messages_violate_no_bound(conversation: list[tuple[int, Message, int]], seed: int) -> None:
+    """No error is raised, incarnations never decrease, and entries and replies are bounded."""
     protocol = MembershipProtocol(3, 10, 10, Random(seed).randrange)
     now_ns = NS_PER_S
     protocol.start(now_ns)
     previous: dict[int, IncarnationKey] = {}
     for sender, message, pause_fifths in conversation:
         now_ns += pause_fifths * NS_PER_S // 5
-        answers = protocol.receive(now_ns, sender, message)
-        assert len(answers) <= 4
-        assert all(0 <= answer.recipient < 10 and answer.recipient != 3 for answer in answers)
-        for outgoing in (*answers, *protocol.tick(now_ns)):
+        replies = protocol.receive(now_ns, sender, message)
+        assert len(replies) <= 4
+        assert all(0 <= reply.recipient < 10 and reply.recipient != 3 for reply in replies)
+        for outgoing in (*replies, *protocol.tick(now_ns)):
             assert len(codec.encode(outgoing.message)) <= 256
         for member, update in protocol.members.items():
             assert update.incarnation_key >= previous.get(member, IncarnationKey(0, 0))
--- a/tests/membership/test_events.py
+++ b/tests/membership/test_events.py
@@ -1,4 +1,4 @@
-"""Membership's events as the control socket shows them."""
+"""Membership events as shown on the control socket."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from anisespool.membership.events import MembershipEvent
 from anisespool.proxy.event_log import EventLog
 
-# Names and keys are those that scripts and the lab read.
+# Scripts and the lab read these names and keys.
 ENTRIES: list[tuple[MembershipEvent, dict[str, Any]]] = [
     (events.MemberJoined(3), {"what": "joined", "member": 3}),
     (events.MemberRejoined(3), {"what": "back", "member": 3}),
@@ -25,11 +25,11 @@
 
 
 @pytest.mark.parametrize(("event", "entry"), ENTRIES, ids=lambda value: type(value).__name__)
-def test_the_event_log_shows_an_event_under_its_names(event: MembershipEvent, entry: dict[str, Any]) -> None:
+def test_the_event_log_shows_an_event_with_its_keys(event: MembershipEvent, entry: dict[str, Any]) -> None:
     event_log = EventLog(lambda: 7)
     event_log.record(event)
     assert list(event_log.after(0)["events"][0].items()) == [("n", 1), ("at_ns", 7), *entry.items()]
 
 
-def test_every_event_is_compared_with_its_entry() -> None:
+def test_every_type_of_event_has_an_expected_entry() -> None:
     assert {type(event) for event, _ in ENTRIES} == set(MembershipEvent.__subclasses__())
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -8,7 +8,7 @@
 RELAY = Relay(requester=4, requester_sequence=70, target=9, expires_at_ns=1000)
 
 
-def test_a_relay_is_completed_once_and_by_its_target_alone() -> None:
+def test_a_relay_is_completed_only_once_and_only_by_its_target() -> None:
     relays = RelayTable(MembershipConfig())
     relays.add(5, RELAY)
     relays.add(6, RELAY)
--- a/tests/membership/test_transport.py
+++ b/tests/membership/test_transport.py
@@ -1,4 +1,4 @@
-"""The socket between members, with real datagrams on loopback."""
+"""The UDP socket between members, with real datagrams on loopback."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def counts(transport: UdpTransport) -> dict[str, int]:
-    """Under the names of the control socket."""
+    """Return the counters by their names on the control socket."""
     return {counter.value: count for counter, count in transport.counts.items()}
 
 
@@ -58,7 +58,7 @@
     }
 
 
-async def test_sent_datagrams_are_counted_and_limited_in_rate() -> None:
+async def test_sent_datagrams_are_counted_and_rate_limited() -> None:
     listen = free_address()
     with bound_udp_socket() as peer:
         peers = [listen, Address(*peer.getsockname())]
@@ -66,7 +66,7 @@
         for _ in range(2):
             transport.send(1, PING)
         transport.close()
-        transport.close()  # a second call does nothing
+        transport.close()  # A second call does nothing.
         data = peer.recv(300)
     assert codec.decode(data) == PING
     assert counts(transport) == {"sent": 1, "sent_bytes": len(data), "over rate": 1}
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The view that the rest of the sidecar sees."""
+"""The membership view that the rest of the sidecar reads."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from anisespool.membership.view import format_ranges
-from tests.membership.simulated_fleet import agreed_fleet
+from tests.membership.simulated_fleet import converged_fleet
 
 
 @pytest.mark.parametrize(
@@ -17,8 +17,8 @@
     assert format_ranges(numbers) == text
 
 
-def test_a_view_has_a_version_and_shows_who_may_be_isolated() -> None:
-    fleet = agreed_fleet()
+def test_a_view_has_a_version_and_shows_that_its_member_may_be_isolated() -> None:
+    fleet = converged_fleet()
     view = fleet.members[0].view()
     assert (view.alive_min, view.alive_max, view.is_isolated) == (20, 20, False)
     assert fleet.members[0].view() is view
