--- a/anisespool/proxy/event_log.py
+++ b/anisespool/proxy/event_log.py
@@ -18,7 +18,7 @@
 JsonObject = dict[str, Any]  # fields differ from event to event
 
 MAX_EVENTS = 1000  # kept; the oldest are dropped, and counted
-MAX_EVENTS_IN_ANSWER = 500
+MAX_EVENTS_PER_PAGE = 500
 PAUSE_CHECK_INTERVAL_S = 0.1
 MIN_REPORTED_PAUSE_S = 0.1
 
@@ -109,8 +109,8 @@
         self._events.append(RecordedEvent(self._count, self._clock(), event))
 
     def after(self, number: int) -> EventPage:
-        """The events after that number, the oldest first, `MAX_EVENTS_IN_ANSWER` at most."""
-        found = [event for event in self._events if event.number > number][:MAX_EVENTS_IN_ANSWER]
+        """The events after that number, the oldest first, `MAX_EVENTS_PER_PAGE` at most."""
+        found = [event for event in self._events if event.number > number][:MAX_EVENTS_PER_PAGE]
         first = self._events[0].number if self._events else self._count + 1
         return {
             "events": [event.as_json() for event in found],
--- a/tests/control/test_inspection.py
+++ b/tests/control/test_inspection.py
@@ -98,7 +98,7 @@
 
 
 def test_events_are_bounded_and_report_how_many_were_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(event_log, "MAX_EVENTS_IN_ANSWER", 300)
+    monkeypatch.setattr(event_log, "MAX_EVENTS_PER_PAGE", 300)
     events = event_log.EventLog(lambda: 7)
     for number in range(event_log.MAX_EVENTS + 50):
         events.record(event_log.ConfigApplied(number))
