--- a/anisespool/proxy/__init__.py
+++ b/anisespool/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The request lifecycle, for any protocol: calls, attempts, deadlines, exactly one final response."""
+"""The request lifecycle for any protocol: calls, attempts, deadlines and exactly one final response."""
--- a/anisespool/proxy/balancer_driver.py
+++ b/anisespool/proxy/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Feeds events to the balancer one at a time, and hands its actions to those who carry them out."""
+"""Passes events to the balancer one at a time and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from anisespool.balancer import interface as api
 from anisespool.log import log_event
 
-# After these events a request may be finished.
+# A request may be finished after an event of one of these types.
 FINISHING_EVENTS = (api.AttemptOutcome, api.ClientDisconnected)
 MIN_TRACEBACK_INTERVAL_S = 1.0
 
 
 class BalancerDriver:
-    """The balancer's event queue.
+    """Event queue in front of the balancer.
 
-    An action may end an attempt at once, and so cause an event while another is being handled; it is queued
-    and handled afterwards. An exception in the balancer fails one request, not all that are open.
+    An action can end an attempt immediately and thereby cause an event while another one is being handled.
+    That event is queued and handled afterwards. An exception in the balancer fails one request, not all open
+    ones.
     """
 
     def __init__(
@@ -34,11 +35,11 @@
         """Create a driver with an empty queue.
 
         Args:
-            balancer: The decision module.
-            actions: Executor of each type of action. Types without one are ignored: the settings forbid them,
-                or the list's watch does them anyway.
-            on_request_failed: Called with the id of a request whose event the balancer failed on.
-            on_request_event: Called with a request's id after each event that may have been its last.
+            balancer: Returns the actions for each event.
+            actions: Executor for each type of action. Actions of other types are ignored: the settings rule
+                them out, or the endpoint watch already does what they request.
+            on_request_failed: Called with the request id if the balancer raises an exception on an event.
+            on_request_event: Called with the request id after each event that may have been its last.
         """
         self.balancer = balancer
         self._actions = actions
@@ -49,13 +50,13 @@
         self._last_traceback_s = 0.0
 
     def submit(self, event: api.Event) -> None:
-        """Handle an event: now, or after the one being handled."""
+        """Handle an event now, or after the one being handled."""
         self._events.append(event)
         if not self._handling:
             self._handle_all()
 
     def submit_first(self, prepare: Callable[[], api.Event]) -> None:
-        """Run `prepare`, then handle the event that it returns before all events that it caused."""
+        """Run `prepare` and handle the event that it returns before any event that `prepare` caused."""
         self._handling = True
         try:
             event = prepare()
@@ -90,7 +91,7 @@
             self._on_request_event(event.request)
 
     def _log_failure(self, event: api.Event, error: Exception) -> None:
-        """Log the exception being handled, with its traceback, unless another was logged just before."""
+        """Log the current exception with its traceback, at most once per `MIN_TRACEBACK_INTERVAL_S`."""
         if time.monotonic() >= self._last_traceback_s + MIN_TRACEBACK_INTERVAL_S:
             self._last_traceback_s = time.monotonic()
             log_event("balancer_failed", event=type(event).__name__, error=repr(error))
--- a/anisespool/proxy/call.py
+++ b/anisespool/proxy/call.py
@@ -1,4 +1,4 @@
-"""A request and its final response, in the form that the listener and the proxy exchange."""
+"""A request and its final response, as passed between the listener and the proxy."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class FinalResponse(NamedTuple):
-    """The one final response to a client's request."""
+    """The single final response to a client's request."""
 
     status: int
     body: bytes = b""
     retry_after_s: float = 0.0
-    """Value of the Retry-After header; 0: none."""
+    """Value of the Retry-After header; 0 omits the header."""
 
 
 class Call(NamedTuple):
-    """A client's request, with its properties that the balancer decides by."""
+    """A client's request, with the properties that the balancer's decisions depend on."""
 
     request: http1.Request
     request_class: int
-    """Index of its class in the platform's settings."""
+    """Index of the request class in the platform's settings."""
     tenant: int
-    """Index of its tenant; the number of tenants for an unknown one."""
+    """Index of the tenant. For an unknown tenant it is the number of known tenants."""
     timeout_ns: int
-    """Time until the client gives up."""
+    """How long the client waits for the response."""
     size_hint_ns: int | None
-    """Expected work on a standard core; None: no hint."""
+    """Expected work on a standard core, or None without a hint."""
     affinity_key: int
-    """Digest of the key whose requests should or must reach the same endpoint; 0: none."""
+    """Digest of the key whose requests should or must go to the same endpoint; 0 without a key."""
     is_retry: bool
-    """Whether the client marked it as a retry of its own."""
+    """Whether the client marked the request as its own retry."""
--- a/anisespool/proxy/endpoint_registry.py
+++ b/anisespool/proxy/endpoint_registry.py
@@ -1,7 +1,7 @@
-"""The endpoints as discovery lists them, less what the operator drains.
+"""The endpoints that discovery lists, with the operator's drains applied.
 
-Discovery identifies an endpoint by its id, the balancer and the connection pools by a number. The registry
-owns both, and notifies the connection pools of each change.
+Discovery identifies an endpoint by its id; the balancer and the connection pools identify it by a number. The
+registry assigns the numbers and updates the connection pools on each change.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 
 class EndpointRegistry:
-    """Endpoints by id: number, listing, and whether they may get requests."""
+    """Endpoints by id, with their number, listing and whether they may receive requests."""
 
     def __init__(self, cluster: Cluster, reapply: Callable[[list[str]], None]) -> None:
         """Create an empty registry.
 
         Args:
-            cluster: Notified of each endpoint that is added, changed or removed.
-            reapply: Called with the ids of endpoints whose listing contradicted an earlier drain, when the
-                time has passed after which the newer listing holds.
+            cluster: Updated whenever an endpoint is added, changed or removed.
+            reapply: Called with the ids of endpoints whose listing contradicted an earlier drain, once enough
+                time has passed for that listing to take effect.
         """
         self.numbers: dict[str, int] = {}
-        """Numbers by id. An endpoint that comes back gets a new number."""
+        """Numbers by id. An endpoint that is listed again after its removal gets a new number."""
         self.ready_numbers: set[int] = set()
         self.operator_drains: frozenset[str] = frozenset()
-        """Ids that the operator drains, listed or not."""
+        """Ids of the endpoints that the operator drains, including unlisted ones."""
         self._cluster = cluster
         self._reapply = reapply
         self._last_number = 0
@@ -42,14 +42,14 @@
         self._drain_tracker = DrainTracker()
 
     def apply(self, update: EndpointList, kind: EndpointListKind) -> list[api.EndpointListing]:
-        """Apply a list, or changes to one, and notify the connection pools.
+        """Apply a full list or changes to the current one, and update the connection pools.
 
         Args:
-            update: The list or the changes.
-            kind: How `update` relates to the list before.
+            update: The full list or the changes.
+            kind: How `update` relates to the previous list.
 
         Returns:
-            The listings that hold now, after earlier and operator drains, for the balancer.
+            The updated listings for the balancer, with earlier drains and operator drains applied.
         """
         if kind is not EndpointListKind.DELTA:
             self._remove_all_but({entry.id for entry in update.endpoints}, update.revision)
@@ -73,37 +73,43 @@
         return listings
 
     def remove(self, endpoint_id: str) -> None:
-        """Forget an endpoint and its number."""
+        """Remove an endpoint and its number."""
         number = self.numbers.pop(endpoint_id)
         self._listed.pop(endpoint_id, None)
         self.ready_numbers.discard(number)
         self._cluster.remove(number)
 
     def listed(self, endpoint_id: str) -> EndpointEntry:
-        """The endpoint as last received from discovery, before drains are applied.
+        """Return the endpoint as last received from discovery, before drains are applied.
 
         Raises:
-            KeyError: It is not listed.
+            KeyError: The endpoint is not listed.
         """
         return self._listed[endpoint_id]
 
     def ready_ids(self) -> set[str]:
-        """Ids that discovery lists as ready, before operator drains are applied."""
-        return {name for name, entry in self._listed.items() if entry.listing.state == EndpointState.READY}
+        """Return the ids that discovery lists as ready, before operator drains are applied."""
+        return {
+            endpoint_id
+            for endpoint_id, entry in self._listed.items()
+            if entry.listing.state == EndpointState.READY
+        }
 
     def last_listings(self, endpoint_ids: list[str]) -> EndpointList:
-        """Entries of these endpoints as last received from discovery, without those that are gone."""
-        entries = tuple(self._listed[name] for name in endpoint_ids if name in self._listed)
+        """Return the entries of these endpoints as last received from discovery, except removed ones."""
+        entries = tuple(
+            self._listed[endpoint_id] for endpoint_id in endpoint_ids if endpoint_id in self._listed
+        )
         return EndpointList(self._revision, False, entries)
 
     def _number_of(self, entry: EndpointEntry) -> int:
-        """The endpoint's number; a new one where it has none."""
+        """Return the endpoint's number, assigning one if it has none."""
         number = self.numbers.get(entry.id)
         if number is None:
             self._last_number += 1
             number = self._last_number
             self.numbers[entry.id] = number
-            # The balancer's log lines name endpoints by number.
+            # The balancer's log lines identify endpoints by number.
             log_event("endpoint_added", number=number, endpoint=entry.id, address=_format_address(entry))
         return number
 
@@ -122,9 +128,9 @@
     def _tracked_state(
         self, endpoint_id: str, listing: api.EndpointListing, state: int, revision: int
     ) -> int:
-        """The state that holds after earlier drains.
+        """Return the endpoint's state with earlier drains applied.
 
-        An endpoint may be listed as gone by its id alone: then the start in its last listing holds.
+        An endpoint may be listed as gone by its id alone. Its start time is then taken from its last listing.
         """
         if state == EndpointState.GONE and endpoint_id in self._listed:
             listing = self._listed[endpoint_id].listing
--- a/anisespool/proxy/event_log.py
+++ b/anisespool/proxy/event_log.py
@@ -1,7 +1,7 @@
-"""What one sidecar observed: a bounded list of events, read over the control socket.
+"""Bounded log of the events that a sidecar observed, read over the control socket.
 
-A reader joins the lists of many sidecars. Times are the machine's monotonic clock in ns: the processes of one
-machine share it, and it is not affected by changes of the wall clock. Over the control socket an event is
+Readers merge the logs of many sidecars. Times are in ns on the machine's monotonic clock, which all processes
+of a machine share and which changes of the wall clock do not affect. On the control socket an event is
 `{"n", "at_ns", "what", ...}`; `n` counts from 1 in each process.
 """
 
@@ -15,18 +15,18 @@
 
 import msgspec
 
-JsonObject = dict[str, Any]  # fields differ from event to event
+JsonObject = dict[str, Any]  # the fields depend on the event
 
-MAX_EVENTS = 1000  # kept; the oldest are dropped, and counted
+MAX_EVENTS = 1000  # limit on stored events; the oldest are dropped and counted
 MAX_EVENTS_PER_PAGE = 500
 PAUSE_CHECK_INTERVAL_S = 0.1
 MIN_REPORTED_PAUSE_S = 0.1
 
 
 class Event(Protocol):
-    """A `msgspec.Struct` with the name of an event. Field names are those of the JSON.
+    """A `msgspec.Struct` with the name of an event. Its fields have the same names as in the JSON.
 
-    Subsystems that may not import this module (docs/architecture.md) have event classes of their own.
+    Subsystems that may not import this module (docs/architecture.md) define their own event classes.
     """
 
     what: ClassVar[str]
@@ -34,17 +34,17 @@
 
 
 class EndpointListChanged(msgspec.Struct, frozen=True):
-    """The set of ready endpoints is another one."""
+    """The set of ready endpoints has changed."""
 
     what: ClassVar[str] = "list"
     revision: int
     ready: int
     view: str
-    """Digest of the ready endpoints' ids: equal where two sidecars see the same."""
+    """Digest of the ready endpoints' ids, equal on all sidecars that have the same ready endpoints."""
 
 
 class ConfigApplied(msgspec.Struct, frozen=True):
-    """A configuration is in force."""
+    """A configuration took effect."""
 
     what: ClassVar[str] = "applied"
     generation: int
@@ -57,28 +57,28 @@
 
 
 class OperatorDrainsChanged(msgspec.Struct, frozen=True):
-    """The operator drains exactly these endpoints now."""
+    """The set of endpoints that the operator drains has changed to `ids`."""
 
     what: ClassVar[str] = "drained"
     ids: list[str]
 
 
 class ProcessPaused(msgspec.Struct, frozen=True):
-    """The process did not run for a while: it was stopped, starved, or busy with one thing for too long."""
+    """The event loop did not run for a while: the process was stopped or starved, or a task blocked it."""
 
     what: ClassVar[str] = "stalled"
     ms: int
 
 
 class RecordedEvent(NamedTuple):
-    """An event in the log."""
+    """An event in the log, with its number and time."""
 
     number: int
     at_ns: int
     event: Event
 
     def as_json(self) -> JsonObject:
-        """The event as the control socket sends it."""
+        """Return the event as the control socket sends it."""
         fields: JsonObject = msgspec.to_builtins(self.event)
         return {"n": self.number, "at_ns": self.at_ns, "what": self.event.what} | fields
 
@@ -87,29 +87,29 @@
     """Part of the log, as the control socket sends it."""
 
     events: list[JsonObject]
-    """Each a `RecordedEvent` as JSON."""
+    """Events in the format of `RecordedEvent.as_json`."""
     dropped: int
-    """Events after the requested number that are no longer kept."""
+    """Number of events after the requested number that have been dropped."""
     next: int
-    """Number to request the events that follow with."""
+    """Number to use in the request for the next page."""
 
 
 class EventLog:
-    """The last `MAX_EVENTS` events."""
+    """The latest `MAX_EVENTS` events."""
 
     def __init__(self, clock: Callable[[], int] = time.monotonic_ns) -> None:
-        """Create an empty log. `clock` gives monotonic ns."""
+        """Create an empty log. `clock` returns monotonic ns."""
         self._clock = clock
         self._events: deque[RecordedEvent] = deque(maxlen=MAX_EVENTS)
         self._count = 0
 
     def record(self, event: Event) -> None:
-        """Append an event, with the next number and the time."""
+        """Append an event with the next number and the current time."""
         self._count += 1
         self._events.append(RecordedEvent(self._count, self._clock(), event))
 
     def after(self, number: int) -> EventPage:
-        """The events after that number, the oldest first, `MAX_EVENTS_PER_PAGE` at most."""
+        """Return at most `MAX_EVENTS_PER_PAGE` events after event `number`, the oldest first."""
         found = [event for event in self._events if event.number > number][:MAX_EVENTS_PER_PAGE]
         first = self._events[0].number if self._events else self._count + 1
         return {
@@ -120,7 +120,7 @@
 
 
 async def watch_pauses(event_log: EventLog) -> None:
-    """Record each time that this process was kept from running. Runs until it is cancelled."""
+    """Record each time that the event loop was kept from running. Runs until it is cancelled."""
     loop = asyncio.get_running_loop()
     while True:
         due_s = loop.time() + PAUSE_CHECK_INTERVAL_S
--- a/anisespool/proxy/exchange.py
+++ b/anisespool/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One client request from its arrival until its last attempt has finished."""
+"""The state of one client request, from its arrival until its last attempt has finished."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 from anisespool.proxy.call import Call, FinalResponse
 from anisespool.upstream.attempt import Attempt
 
-# 503 allows the client a retry, so it is sent only where one is harmless; 504 promises nothing.
-RETRY_IS_HARMLESS = FinalResponse(503, b"no decision in time\n")
-MAY_HAVE_EXECUTED = FinalResponse(504, b"no answer in time\n")
+# 503 permits the client to retry, so it is sent only if a retry is harmless; 504 gives no such permission.
+RETRYABLE_RESPONSE = FinalResponse(503, b"no decision in time\n")
+NON_RETRYABLE_RESPONSE = FinalResponse(504, b"no answer in time\n")
 
 
 class Completion(NamedTuple):
-    """How a request ended, for request records."""
+    """How and when a request ended, for request records."""
 
     status: int
-    """Of the final response; 0: the client disconnected first."""
+    """Status of the final response; 0 if the client disconnected first."""
     at_ns: int
     retry_after_s: float
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request's state. Instants are monotonic ns."""
+    """State of one request. Times are monotonic ns."""
 
     call: Call
     attempts_end_at: int
-    """Before the client gives up (proxy/deadlines.py)."""
+    """Time when all attempts end, which is before the client gives up (proxy/deadlines.py)."""
     send_response: Callable[[FinalResponse], None] | None
-    """Delivers the final response. None: it was sent, or the client disconnected."""
+    """Sends the final response; None once it was sent or the client has disconnected."""
     attempts: list[Attempt] = field(default_factory=list)
     backstop: asyncio.TimerHandle | None = None
-    """Timer for a response without the balancer."""
+    """Timer after which the proxy responds without the balancer."""
     completion: Completion | None = None
-    """Set only where request records are kept."""
+    """Set only if request records are kept."""
 
     def close(self) -> None:
-        """Mark the request as responded to, or as abandoned by its client."""
+        """Mark the request as answered, or as abandoned by its client."""
         self.send_response = None
         if self.backstop:
             self.backstop.cancel()
 
     def set_backstop(self, at_ns: int, on_expiry: Callable[[int], None], request_id: int) -> None:
-        """Set or replace the timer that calls `on_expiry(request_id)` at `at_ns`."""
+        """Start the timer that calls `on_expiry(request_id)` at `at_ns`, replacing an earlier one."""
         if self.backstop:
             self.backstop.cancel()
         loop = asyncio.get_running_loop()
@@ -56,11 +56,14 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether the response was sent, or the client disconnected, and every attempt has its status."""
+        """Whether no response is due any more and every attempt has its status."""
         return self.send_response is None and all(attempt.status is not None for attempt in self.attempts)
 
     def backstop_response(self, request_class: RequestClass) -> FinalResponse:
-        """The response where the balancer made no decision in time; the balancer's rule on retries holds."""
+        """Return the response to send if the balancer has not decided in time.
+
+        It follows the balancer's rule on whether the client may retry.
+        """
         may_have_executed = any(attempt.may_have_executed for attempt in self.attempts)
-        is_harmless = may_client_retry(request_class, may_have_executed)
-        return RETRY_IS_HARMLESS if is_harmless else MAY_HAVE_EXECUTED
+        may_retry = may_client_retry(request_class, may_have_executed)
+        return RETRYABLE_RESPONSE if may_retry else NON_RETRYABLE_RESPONSE
--- a/anisespool/proxy/observed.py
+++ b/anisespool/proxy/observed.py
@@ -1,6 +1,6 @@
-"""The proxy with counters, an event log and a view into the balancer, for the control socket.
+"""The proxy with response counters, an event log and access to the balancer's state, for the control socket.
 
-Loaded only where an operator's file is given.
+Loaded only if an operator file is configured.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class ResponseCounts:
-    """Requests of one class that have ended, by outcome."""
+    """Number of finished requests of one class, by outcome."""
 
     served: int = 0
     rejected: int = 0
@@ -39,7 +39,7 @@
             self.failed += 1
 
     def as_json(self) -> dict[str, int]:
-        """The counts under the names that the control socket uses."""
+        """Return the counts under the names that the control socket uses."""
         return {
             "served": self.served,
             "refused": self.rejected,
@@ -49,17 +49,17 @@
 
 
 class EndpointDescription(NamedTuple):
-    """An endpoint as discovery lists it, for the control socket."""
+    """Address and state of an endpoint as discovery lists it, for the control socket."""
 
     address: str
     state: str
 
 
 class ObservedProxy(Proxy):
-    """Counts final responses by class and outcome, records events, and shows the balancer's state."""
+    """Counts final responses by class and outcome, records events and exposes the balancer's state."""
 
     def __init__(self, config: PlatformConfig, cluster: Cluster) -> None:
-        """Create a proxy whose counters are 0."""
+        """Create a proxy with all counters at 0."""
         super().__init__(config, cluster)
         self.event_log = EventLog()
         self.response_counts = [ResponseCounts() for _ in config.settings.classes]
@@ -78,7 +78,7 @@
         super().client_disconnected(request_id)
 
     def update_endpoints(self, update: EndpointList, kind: EndpointListKind | None = None) -> None:
-        """See `Proxy.update_endpoints`. Records an event where the set of ready endpoints changes."""
+        """See `Proxy.update_endpoints`. Records an event if the set of ready endpoints changes."""
         super().update_endpoints(update, kind)
         ready = sorted(self.ready_endpoint_ids())
         view = hashlib.sha256("\0".join(ready).encode()).hexdigest()[:12]
@@ -87,7 +87,7 @@
             self.event_log.record(EndpointListChanged(update.revision, len(ready), view))
 
     def inspect_balancer(self, now_ns: int, max_endpoints: int) -> BalancerView:
-        """The balancer's estimates, of at most `max_endpoints` endpoints."""
+        """Return the balancer's estimates for at most `max_endpoints` endpoints."""
         return inspect(self._driver.balancer, now_ns, max_endpoints)
 
     def configure_connections(
@@ -101,18 +101,18 @@
         return self.cluster.connection_counts(number)
 
     def endpoint_ids(self) -> dict[int, str]:
-        """Ids of the listed endpoints by number."""
+        """Return the ids of the listed endpoints by number."""
         return {number: endpoint_id for endpoint_id, number in self._registry.numbers.items()}
 
     def set_tenant_shares(self, shares: dict[int, float]) -> Settings:
-        """Change tenants' shares, by index, and return the settings that are in force now."""
+        """Change the shares of tenants, given by index, and return the settings now in effect."""
         return set_tenant_shares(self._driver.balancer, shares)
 
     def describe_endpoint(self, endpoint_id: str) -> EndpointDescription:
-        """The endpoint as discovery lists it, before drains are applied.
+        """Return the endpoint as discovery lists it, before drains are applied.
 
         Raises:
-            KeyError: It is not listed.
+            KeyError: The endpoint is not listed.
         """
         entry = self._registry.listed(endpoint_id)
         address = "{}:{}".format(*entry.address)
--- a/anisespool/proxy/proxy.py
+++ b/anisespool/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""The request lifecycle: events to the balancer, its actions to connections and timers.
+"""The request lifecycle: reports events to the balancer and applies its actions to connections and timers.
 
-The proxy decides nothing about endpoints. It tracks the requests that wait for a response, ensures that each
-gets exactly one, and responds itself where the balancer does not in time.
+The proxy makes no decisions about endpoints. It tracks the requests that wait for a response, ensures that
+each gets exactly one, and responds itself if the balancer does not respond in time.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from anisespool.upstream.attempt import Attempt
 from anisespool.upstream.cluster import Cluster
 
-FAILED = FinalResponse(502, b"failed\n")
-NO_DECISION = FinalResponse(504, b"no decision\n")  # the balancer failed on an event of the request
+FAILED_RESPONSE = FinalResponse(502, b"failed\n")
+NO_DECISION_RESPONSE = FinalResponse(504, b"no decision\n")  # the balancer raised an exception
 
 
 class Proxy:
-    """One sidecar's requests, for any listener and any protocol to the endpoints.
+    """Handles the requests of one sidecar, for any listener and any protocol to the endpoints.
 
     `ObservedProxy` and `RecordedProxy` extend `_respond`, `_attempt_finished`, `_remove_if_finished` and
-    `_apply_endpoint_list`, so that counters and records cost a plain sidecar nothing.
+    `_apply_endpoint_list`, so that a sidecar without counters and records has no overhead from them.
 
     Attributes:
-        cluster: Carries attempts to endpoints.
+        cluster: Sends attempts to endpoints.
     """
 
     def __init__(self, config: PlatformConfig, cluster: Cluster) -> None:
@@ -64,32 +64,30 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served: an endpoint is ready and not drained."""
+        """Whether requests can be served: at least one endpoint is ready and not drained."""
         return bool(self._registry.ready_numbers)
 
     @property
     def open_request_count(self) -> int:
-        """Requests that wait for their final response, or with an attempt that has not finished."""
+        """Number of requests that wait for their final response or have an unfinished attempt."""
         return len(self._exchanges)
 
-    # Called by the listener -----------------------------------------------------------------------
-
     def start_request(self, call: Call, send_response: Callable[[FinalResponse], None]) -> int:
         """Accept a request and return its id.
 
-        `send_response` is called exactly once, maybe before this returns, unless `client_disconnected` is
-        called first.
+        `send_response` is called exactly once, possibly before this method returns, unless
+        `client_disconnected` is called first.
         """
         self._last_request_id += 1
         request_id = self._last_request_id
         now = time.monotonic_ns()
-        gives_up_at = now + call.timeout_ns
+        client_gives_up_at = now + call.timeout_ns
         if self._shutdown_deadline_at is not None:
-            gives_up_at = min(gives_up_at, self._shutdown_deadline_at)
-        attempts_end = max(now, attempts_end_at(gives_up_at))
+            client_gives_up_at = min(client_gives_up_at, self._shutdown_deadline_at)
+        attempts_end = max(now, attempts_end_at(client_gives_up_at))
         exchange = Exchange(call, attempts_end, send_response)
         self._exchanges[request_id] = exchange
-        exchange.set_backstop(max(now, backstop_at(gives_up_at)), self._backstop_expired, request_id)
+        exchange.set_backstop(max(now, backstop_at(client_gives_up_at)), self._backstop_expired, request_id)
         self._driver.submit(
             api.RequestArrived(
                 request_id,
@@ -111,12 +109,12 @@
             self._abandon(request_id, exchange)
 
     def set_shutdown_deadline(self, deadline_at: int) -> None:
-        """Respond to all requests in time for this instant, however long their clients would wait.
+        """Respond to all requests before this deadline, however long their clients would wait.
 
-        For the graceful shutdown; it holds for requests that are open and for those yet to come.
+        It is set at the graceful shutdown and applies to open and to later requests.
 
         Args:
-            deadline_at: When each client counts as giving up, monotonic ns.
+            deadline_at: Time by which each client is assumed to give up (monotonic ns).
         """
         self._shutdown_deadline_at = deadline_at
         attempts_end = attempts_end_at(deadline_at)
@@ -125,36 +123,34 @@
                 exchange.attempts_end_at = attempts_end
                 exchange.set_backstop(backstop_at(deadline_at), self._backstop_expired, request_id)
 
-    # Called by control and discovery --------------------------------------------------------------
-
     @property
     def operator_drains(self) -> frozenset[str]:
-        """Ids of the endpoints that the operator drains, listed or not."""
+        """Ids of the endpoints that the operator drains, including unlisted ones."""
         return self._registry.operator_drains
 
     def set_operator_drains(self, drained: frozenset[str]) -> None:
-        """Drain exactly these endpoints (ids) from now on.
+        """Drain exactly the endpoints with these ids from now on.
 
-        Connections and balancer are notified in the order of `update_endpoints`.
+        The connection pools and the balancer are updated in the same order as by `update_endpoints`.
         """
         changed = drained ^ self._registry.operator_drains
         self._registry.operator_drains = drained
         self._reapply_listings(sorted(changed))
 
     def ready_endpoint_ids(self) -> set[str]:
-        """Ids that discovery lists as ready, before operator drains are applied."""
+        """Return the ids that discovery lists as ready, before operator drains are applied."""
         return self._registry.ready_ids()
 
     def update_endpoints(self, update: EndpointList, kind: EndpointListKind | None = None) -> None:
-        """Apply a list from discovery, or changes to one.
+        """Apply a full list from discovery, or changes to the current one.
 
-        The connections are notified first, so that nothing decided from now on reaches a draining endpoint.
-        That may end attempts. The balancer is notified of the list before these outcomes, or it would send
-        their requests to endpoints of the previous list.
+        The connection pools are updated first, so that no later decision reaches a draining endpoint. This
+        may end attempts. The balancer receives the list before the outcomes of these attempts; otherwise it
+        would retry their requests on endpoints of the previous list.
 
         Args:
-            update: The list or the changes.
-            kind: How `update` relates to the list before; None: by its own `complete`.
+            update: The full list or the changes.
+            kind: How `update` relates to the previous list; None derives it from `update.complete`.
         """
         kind = kind or (EndpointListKind.FULL if update.complete else EndpointListKind.DELTA)
 
@@ -166,21 +162,19 @@
         self._driver.submit_first(apply)
 
     def _apply_endpoint_list(self, update: EndpointList, kind: EndpointListKind) -> list[api.EndpointListing]:
-        """Apply an update to the registry, and return the listings for the balancer."""
+        """Apply an update to the registry and return the listings for the balancer."""
         return self._registry.apply(update, kind)
 
     def _reapply_listings(self, endpoint_ids: list[str]) -> None:
-        """Apply the last received entries of these again: operator drains or earlier drains have changed."""
+        """Reapply the last received entries of endpoints after a change of operator or earlier drains."""
         update = self._registry.last_listings(endpoint_ids)
         if update.endpoints:
             self.update_endpoints(update)
 
-    # The balancer's actions -----------------------------------------------------------------------
-
     def _send(self, action: api.Send) -> None:
         exchange = self._exchanges.get(action.request)
         if exchange is None or exchange.send_response is None:
-            return  # nothing is sent for a request that has its final response
+            return  # the request has its final response already
         deadline_ns = exchange.attempts_end_at
         if action.timeout_ns:
             deadline_ns = min(time.monotonic_ns() + action.timeout_ns, deadline_ns)
@@ -199,7 +193,7 @@
         self._finish(action.request, FinalResponse(503, b"refused\n", action.retry_after_ns / 1e9))
 
     def _fail(self, action: api.Fail) -> None:
-        self._finish(action.request, FAILED)
+        self._finish(action.request, FAILED_RESPONSE)
 
     def _cancel(self, action: api.Cancel) -> None:
         exchange = self._exchanges.get(action.request)
@@ -216,10 +210,8 @@
     def _close_idle(self, action: api.CloseIdleConnections) -> None:
         self.cluster.close_idle(action.endpoint)
 
-    # Exactly one final response -------------------------------------------------------------------
-
     def _attempt_finished(self, attempt: Attempt) -> None:
-        """Respond if the attempt succeeded, and notify the balancer of its outcome."""
+        """Respond if the attempt succeeded, and report its outcome to the balancer."""
         exchange = self._exchanges[attempt.request_id]
         status = attempt.status
         assert status is not None
@@ -250,7 +242,7 @@
             self._remove_if_finished(request_id)
 
     def _respond(self, exchange: Exchange, response: FinalResponse) -> None:
-        """Send the final response, unless the request has one or its client has disconnected."""
+        """Send the final response, unless one was sent already or the client has disconnected."""
         send_response = exchange.send_response
         exchange.close()
         if send_response:
@@ -262,7 +254,7 @@
             del self._exchanges[request_id]
 
     def _backstop_expired(self, request_id: int) -> None:
-        """Respond in the balancer's place, before the client's time is up or the process ends."""
+        """Respond in place of the balancer, before the client gives up or the process ends."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.send_response:
             reason = "no_decision" if self._shutdown_deadline_at is None else "shutdown"
@@ -271,14 +263,14 @@
             self._abandon(request_id, exchange)
 
     def _fail_request(self, request_id: int) -> None:
-        """Respond to a request whose event the balancer failed on, and stop its attempts."""
+        """Respond to a request on whose event the balancer raised an exception, and cancel its attempts."""
         exchange = self._exchanges.get(request_id)
         if exchange:
-            self._respond(exchange, NO_DECISION)
+            self._respond(exchange, NO_DECISION_RESPONSE)
             self._abort_attempts(request_id, exchange)
 
     def _abandon(self, request_id: int, exchange: Exchange) -> None:
-        """Notify the balancer that the request needs no response any more, and cancel its attempts."""
+        """Report to the balancer that the request needs no more response, and cancel its attempts."""
         self._driver.submit(api.ClientDisconnected(request_id))
         self._abort_attempts(request_id, exchange)
 
--- a/anisespool/proxy/runtime_controls.py
+++ b/anisespool/proxy/runtime_controls.py
@@ -1,4 +1,4 @@
-"""What a controller may change in a running sidecar beside its proxy."""
+"""The controls of a running sidecar that are not part of its proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RuntimeControls(Protocol):
-    """Lifecycle, client connections, request records and discovery of a running sidecar."""
+    """Controls of a running sidecar's lifecycle, client connections, request records and discovery."""
 
     @property
     def phase(self) -> str:
@@ -21,7 +21,7 @@
         """Start the graceful shutdown, as SIGTERM does."""
 
     def client_connections(self) -> dict[str, int]:
-        """Client connections: `open`, and of these `working`, with an open request."""
+        """Return the number of client connections (`open`) and of those with an open request (`working`)."""
 
     def set_client_idle_timeout(self, timeout_s: float) -> None:
         """Set how long a client connection may stay idle after a response."""
@@ -30,4 +30,4 @@
         """Set which request records are written from now on."""
 
     def set_discovery_address(self, address: Address | None) -> None:
-        """Watch the endpoint list at this address. None: at the platform's."""
+        """Watch the endpoint list at this address, or at the platform's address if it is None."""
