--- a/anisespool/listener/connection.py
+++ b/anisespool/listener/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: pipelined requests in, their responses out in the same order."""
+"""One client connection, which reads pipelined requests and sends their responses in the same order."""
 
 from __future__ import annotations
 
@@ -19,32 +19,33 @@
 from anisespool.listener.transport import PEER_CLOSED_EVENTS, encode_final_response, poll_now
 from anisespool.proxy.call import FinalResponse
 
-MAX_PIPELINED_REQUESTS = 64  # read ahead on one connection
-MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # of all of them, as hundreds of clients may pipeline
+MAX_PIPELINED_REQUESTS = 64  # requests read ahead on one connection
+MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # limit on their total, as hundreds of clients may pipeline
 MIN_QUEUE_WAIT_NS = 1_000_000  # a shorter wait in the pipeline is not subtracted from the client's timeout
-DISCARD_PAUSE_S = 0.004  # between two reads of input that is discarded
+DISCARD_PAUSE_S = 0.004  # pause between two reads of discarded input
 
 
 class PipelinedRequest(NamedTuple):
-    """A request that waits for those before it on its connection."""
+    """A request that waits for earlier requests on its connection."""
 
     request: http1.Request
     received_ns: int
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, one open request at a time.
+    """A client connection with one open request at a time.
 
-    It is read even while a request is open: the end of the input is how a client cancels.
+    Input is read even while a request is open, because a client cancels by ending its output.
 
     Attributes:
-        history: For the keep-alive policy.
+        history: Reuse of the connection so far, for the keep-alive policy.
         has_sent_request: Whether a complete request has been received.
-        inactive_since_s: Since when no request is open and no part of one has arrived (monotonic clock).
+        inactive_since_s: Time when the connection was opened, its last request ended or the first byte of the
+            next one arrived, whichever is latest (monotonic clock).
     """
 
     def __init__(self, listener: ListenerContext, table: ConnectionTable) -> None:
-        """Create a connection that its transport will complete."""
+        """Create the protocol object; `connection_made` adds the transport."""
         self.history = ReuseHistory()
         self.has_sent_request = False
         self.inactive_since_s = time.monotonic()
@@ -52,11 +53,11 @@
         self._table = table
         self._transport: asyncio.Transport | None = None
         self._parser = http1.RequestParser(http1.MAX_REQUEST_BODY_BYTES)
-        # Plain attributes: a type of its own for the pipeline would cost each request two calls.
+        # Plain attributes, because a class for the pipeline would cost two more calls for each request.
         self._pipelined: deque[PipelinedRequest] = deque()
         self._pipelined_body_bytes = 0
         self._idle_before_request_s = 0.0
-        # The open request. Its id is 0 until the proxy has returned from `start_request`.
+        # The open request. Its id is 0 until the proxy's `start_request` has returned.
         self._has_open_request = False
         self._request_id = 0
         self._trace_id = b""
@@ -64,11 +65,9 @@
         self._closing = False
         self._closed_by_policy = False
 
-    # State ----------------------------------------------------------------------------------------
-
     @property
     def is_idle(self) -> bool:
-        """Between two requests, with no part of the next one received and nothing being closed."""
+        """Whether no request is open, pipelined or partly received, and the connection is not closing."""
         return not (self._closing or self._has_open_request or self._pipelined or self._parser.partial)
 
     @property
@@ -78,21 +77,21 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the kernel holds bytes that have not been read."""
+        """Whether the kernel holds received bytes that have not been read."""
         return poll_now(self._transport, select.POLLIN)
 
     @property
     def _has_more_input(self) -> bool:
-        """Whether the client has sent more than was responded to.
+        """Whether the client has sent more input after the request that was just answered.
 
-        Closing now would reset the connection, and the response just written with it; and once the listener
-        has closed, the client could not send the rest anywhere else.
+        Closing now would reset the connection and lose the response just written. Once the listener has
+        closed, the client could not send the remaining requests anywhere else either.
         """
         return bool(self._pipelined) or self._parser.partial or self.has_unread_input
 
     @property
     def has_unsent_output(self) -> bool:
-        """Whether a response waits for the client to read."""
+        """Whether part of a response is in the write buffer, because the client has not read enough."""
         return bool(self._transport and self._transport.get_write_buffer_size())
 
     @property
@@ -102,8 +101,6 @@
             or self._pipelined_body_bytes > MAX_PIPELINED_BODY_BYTES
         )
 
-    # Called by the transport ----------------------------------------------------------------------
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         assert isinstance(transport, asyncio.Transport)
@@ -133,15 +130,16 @@
         self._start_requests()
 
     def eof_received(self) -> None:
-        """Cancel: the platform's protocol has no other way for a client to do so than ending its output.
+        """Cancel the client's requests.
 
-        The transport closes by itself, once the client has read earlier responses.
+        Ending its output is the only way in which the platform's protocol lets a client cancel. The transport
+        closes by itself once the client has read earlier responses.
         """
         self._cancel()
         self._table.mark_inactive(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what is open and unregister the connection."""
+        """Cancel the client's requests and unregister the connection."""
         self._cancel()
         self._table.discard(self)
         if not self._closed_by_policy:
@@ -149,7 +147,7 @@
         self._parser.close()
 
     def _discard_input(self) -> None:
-        """Throttle a client that continues to send after an error: reading it all would use up the CPU."""
+        """Throttle a client that keeps sending after an error; reading all of it would use up the CPU."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(DISCARD_PAUSE_S, self._resume_reading)
@@ -159,7 +157,7 @@
             self._transport.resume_reading()
 
     def _cancel(self) -> None:
-        """Cancel the open request and discard the pipelined ones, as the client has disconnected."""
+        """Cancel the open request and discard the pipelined ones, because the client has disconnected."""
         self._closing = True
         self._pipelined.clear()
         self._table.paused.discard(self)
@@ -168,10 +166,8 @@
             self._listener.proxy.client_disconnected(self._request_id)
             self._has_open_request = False
 
-    # Requests -------------------------------------------------------------------------------------
-
     def _start_requests(self) -> None:
-        """Start received requests in order, up to the first whose response is not immediate."""
+        """Start received requests in order, up to the first one without an immediate response."""
         while not self._has_open_request and not self._closing:
             if not self._pipelined:
                 if self._parser.error_status:
@@ -191,7 +187,7 @@
             self._start(request, received_ns)
 
     def _start(self, request: http1.Request, received_ns: int) -> None:
-        """Respond to a request here, or hand it to the proxy."""
+        """Respond to a request directly, or pass it to the proxy."""
         if request.target.partition(b"?")[0] == b"/healthz":
             self._respond(FinalResponse(200 if self._listener.proxy.ready else 503))
             return
@@ -203,7 +199,7 @@
             return
         try:
             call = validate_request(request, self._listener.names, self._listener.settings)
-            self._claim_trace_id(request.headers[b"x-trace-id"])
+            self._reserve_trace_id(request.headers[b"x-trace-id"])
         except InvalidRequest as error:
             self._reject(FinalResponse(error.status, f"{error}\n".encode()), request)
             return
@@ -214,14 +210,14 @@
         if self._has_open_request:
             self._request_id = request_id
 
-    def _claim_trace_id(self, trace_id: bytes) -> None:
-        """Reserve the trace id while the request is open.
+    def _reserve_trace_id(self, trace_id: bytes) -> None:
+        """Reserve the trace id for as long as the request is open.
 
-        With the id of another open request a client could be sent the other's response, or make an endpoint
-        execute one request twice.
+        If two open requests had the same id, a client could receive the response to the other request, or an
+        endpoint could execute one request twice.
 
         Raises:
-            DuplicateTraceId: An open request has it.
+            DuplicateTraceId: Another open request has this id.
         """
         if trace_id in self._listener.open_trace_ids:
             raise DuplicateTraceId("a request with this X-Trace-Id is open")
@@ -233,12 +229,10 @@
             self._listener.open_trace_ids.discard(self._trace_id)
             self._trace_id = b""
 
-    # Responses ------------------------------------------------------------------------------------
-
     def _respond_and_continue(self, response: FinalResponse) -> None:
         """Send the proxy's response and start the next request."""
         self._respond(response)
-        if self._request_id:  # otherwise `_start_requests` is still running and will continue
+        if self._request_id:  # otherwise `_start_requests` is still running and continues
             self._request_id = 0
             self._start_requests()
 
@@ -256,9 +250,9 @@
         self._table.mark_inactive(self)
 
     def _may_keep_alive(self) -> bool:
-        """Whether listener and policy keep the connection open.
+        """Whether the listener and the keep-alive policy keep the connection open.
 
-        It is never closed once the client has sent its next request, even if that is still unread.
+        It is never closed once the client has sent its next request, even if that request is unread.
         """
         if self._listener.stopping:
             return self._has_more_input
@@ -272,9 +266,9 @@
     def _reject(self, response: FinalResponse, request: http1.Request | None = None) -> None:
         """Send an error response and end the connection.
 
-        On a connection that stays open the client would repeat the error at once. Closed with unread input,
-        the kernel would reset it, and the client would never read the response: so only the output ends, and
-        the client has `LINGER_TIMEOUT_S` (timeouts.py) to close its side.
+        If the connection stayed open, the client would repeat the error at once. If it were closed with
+        unread input, the kernel would reset it and the client would never read the response. Therefore only
+        the output ends, and the client has `LINGER_TIMEOUT_S` (timeouts.py) to close its side.
         """
         self._has_open_request = False
         self._closing = True
@@ -286,17 +280,15 @@
             self._transport.write_eof()
 
     def _report_rejection(self, response: FinalResponse, request: http1.Request | None) -> None:
-        """Report a response that did not come from the proxy."""
+        """Report a response that the listener itself produced."""
         if self._listener.on_reject:
             self._listener.on_reject(response, request)
 
-    # Closing --------------------------------------------------------------------------------------
-
     def apply_timeouts(self, now_s: float) -> None:
-        """Close or reject a connection without open request whose client took too long.
+        """Close or reject a connection without an open request if its client took too long.
 
-        Otherwise clients that send nothing, half a request, or more input after an error would occupy
-        descriptors without a limit in time.
+        Otherwise, clients that send nothing, half a request or more input after an error would occupy
+        descriptors indefinitely.
         """
         inactive_s = now_s - self.inactive_since_s
         if self._closing or self.has_unsent_output:
@@ -318,13 +310,13 @@
             self.close_if_idle()
 
     def close_if_peer_closed(self) -> None:
-        """Detect a client's disconnect while reading is paused."""
+        """Detect that the client has disconnected while reading is paused."""
         if poll_now(self._transport, PEER_CLOSED_EVENTS):
             self.abort()
             self._cancel()
 
     def close_if_idle(self) -> bool:
-        """Close an idle connection; returns whether it was idle. Unread input counts as a request."""
+        """Close the connection if it is idle, and return whether it was. Unread input counts as a request."""
         if not self.is_idle or not self._transport or self.has_unread_input:
             return False
         self._closing = True
@@ -332,7 +324,7 @@
         return True
 
     def abort(self) -> None:
-        """Close at once, without sending what is buffered."""
+        """Close immediately, without sending buffered output."""
         self._closing = True
         if self._transport:
             self._transport.abort()
--- a/anisespool/listener/connection_table.py
+++ b/anisespool/listener/connection_table.py
@@ -1,4 +1,4 @@
-"""Connections of one listener by their state, and their limit."""
+"""The connections of one listener by state, and the limit on their number."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class ConnectionTable:
-    """All open connections: new (no request so far), idle (served before) and active (with a request).
+    """All open connections: new (no request so far), idle (between requests) and active (request open).
 
-    New and idle connections are ordered by when they became inactive. Those that still send a response and
-    those that are closing count as idle, too.
+    New and idle connections are ordered by the time when they became inactive. Connections that are closing
+    or still sending a response count as idle, too.
 
     Attributes:
         keep_alive_policy: Decides which connections stay open after a response.
-        max_connections: Limit on connections.
-        accepting: Accepted sockets that are no connection yet.
-        paused: Connections that are not read because they have pipelined too much.
+        max_connections: Limit on the number of connections.
+        accepting: Number of accepted sockets whose connection has not been added yet.
+        paused: Connections that are not being read because too much input is pipelined.
         active: Connections with an open request.
     """
 
@@ -53,10 +53,10 @@
 
     @property
     def overloaded(self) -> bool:
-        """Whether so many requests are open that the newest are rejected to keep descriptors free.
+        """Whether so many requests are open that new ones are rejected to keep descriptors free.
 
-        Idle connections don't count: they are closed when descriptors are needed, and would otherwise make
-        every request be rejected.
+        Idle connections don't count: they are closed when descriptors are needed. If they counted, they could
+        cause every request to be rejected.
         """
         return len(self.active) > self.max_connections
 
@@ -67,25 +67,25 @@
         self.mark_inactive(connection)
 
     def mark_active(self, connection: TrackedConnection) -> None:
-        """Note that a request is open on the connection, which protects it from eviction."""
+        """Move the connection to the active ones, which are not evicted."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self.active.add(connection)
 
     def mark_inactive(self, connection: TrackedConnection) -> None:
-        """Note that no request is open on the connection."""
+        """Move the connection to the new or the idle ones, because it has no open request."""
         self.discard(connection)
         connection.inactive_since_s = time.monotonic()
         (self._idle if connection.has_sent_request else self._new)[connection] = None
 
     def discard(self, connection: TrackedConnection) -> None:
-        """Remove a connection, if it is there."""
+        """Remove a connection, if it is in the table."""
         self._new.pop(connection, None)
         self._idle.pop(connection, None)
         self.active.discard(connection)
 
     def may_keep_alive(self, history: ReuseHistory) -> bool:
-        """Whether an active connection stays open after its response; may close another in its place."""
+        """Whether an active connection stays open after its response; may close an idle one instead."""
         other_active = len(self.active) - 1
         new = len(self._new) + self.accepting
         decision = self.keep_alive_policy.decide(
@@ -96,14 +96,14 @@
         return decision is not KeepAliveDecision.CLOSE
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle longest, unless its next request waits unread."""
+        """Close the connection that has been idle longest, skipping those with an unread request."""
         for connection in islice(self._idle, MAX_CANDIDATE_CONNECTIONS):
             if connection.close_if_idle():
                 self.discard(connection)
                 return
 
     def evict_if_full(self) -> None:
-        """At the connection limit, abort one connection so that the accepted one can be served."""
+        """Abort one connection at the connection limit, so that the accepted one can be served."""
         if len(self) < self.max_connections:
             return
         if connection := connection_to_evict(self._new, self._idle, time.monotonic()):
@@ -111,12 +111,12 @@
             connection.abort()
 
     def close_silent(self, now_s: float) -> None:
-        """Close connections without a request where they use up what a client process may hold.
+        """Close connections without a request when they use up the descriptors of a client process.
 
-        Such a client could open no further connection, so that `evict_if_full` would never be called.
+        Such a client could not open another connection, so `evict_if_full` would never be called.
         """
         silent = silent_connections(self._new, now_s)
-        excess = max(0, int(len(self) - self.keep_alive_policy.crowded_above))
+        excess = max(0, int(len(self) - self.keep_alive_policy.close_silent_above))
         for connection in silent[:excess]:
             if connection.close_if_idle():
                 self.discard(connection)
--- a/anisespool/listener/eviction.py
+++ b/anisespool/listener/eviction.py
@@ -1,6 +1,7 @@
-"""Which connections close when descriptors run short.
+"""Selects the connections to close when descriptors run short.
 
-Connections with an open request never do. New ones have sent no request yet; idle ones have had a response.
+Connections with an open request are never closed. New connections have not sent a request yet; idle ones have
+received a response.
 """
 
 from __future__ import annotations
@@ -10,26 +11,26 @@
 
 from anisespool.listener.tracked_connection import TrackedConnection
 
-NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection for a request has sent it by then
-MAX_CANDIDATE_CONNECTIONS = 16  # of each kind, to bound the time that one accepted connection costs
+NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection for a request sends it within this time
+MAX_CANDIDATE_CONNECTIONS = 16  # limit for each group, to bound the time spent on one accepted connection
 
 
 def connection_to_evict(
     new: Iterable[TrackedConnection], idle: Iterable[TrackedConnection], now_s: float
 ) -> TrackedConnection | None:
-    """Return the connection to abort so that one just accepted can be served; None: there is none.
+    """Return the connection to abort so that a newly accepted one can be served, or None if there is none.
 
-    Hundreds of connections without a request must not displace those with one. So the oldest new ones go
-    first, then those idle longest, and connections just opened only if there is nothing else. A connection
-    whose request waits unread is passed over.
+    Hundreds of connections without a request must not displace those with one. Therefore the oldest new
+    connections are selected first, then those that have been idle longest, and recently opened ones only as a
+    last resort. Connections with an unread request are skipped.
 
     Args:
         new: New connections, the oldest first.
-        idle: Idle connections, the one idle longest first.
-        now_s: Monotonic clock.
+        idle: Idle connections, the one that has been idle longest first.
+        now_s: Current time (monotonic clock).
     """
-    latest_s = now_s - NEW_CONNECTION_GRACE_S
-    silent = (connection for connection in new if connection.inactive_since_s < latest_s)
+    opened_before_s = now_s - NEW_CONNECTION_GRACE_S
+    silent = (connection for connection in new if connection.inactive_since_s < opened_before_s)
     candidates = chain(
         islice(silent, MAX_CANDIDATE_CONNECTIONS),
         islice(idle, MAX_CANDIDATE_CONNECTIONS),
--- a/anisespool/listener/listener_context.py
+++ b/anisespool/listener/listener_context.py
@@ -1,6 +1,6 @@
-"""What a client connection needs of the listener that accepted it.
+"""Interface of the listener, as used by the client connections that it accepted.
 
-An interface in a module of its own: `Server` creates the connections.
+It has its own module because `Server` imports `ClientConnection`, which uses this interface.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from anisespool.proxy.proxy import Proxy
 
 RejectionCallback = Callable[[FinalResponse, http1.Request | None], None]
-"""Called with a response that the listener gives itself, and with the request, if one was parsed."""
+"""Called with a response that the listener itself produced, and with the request if one was parsed."""
 
 
 class ListenerContext(Protocol):
-    """State that all connections of one listener share.
+    """State shared by all connections of one listener.
 
     Attributes:
-        proxy: Carries out valid requests.
+        proxy: Handles valid requests.
         names: Request classes and tenants by name.
         settings: The platform's settings.
-        stopping: Whether a graceful shutdown has begun; connections close with their response.
-        idle_timeout_s: After which an idle connection that was used before is closed.
+        stopping: Whether a graceful shutdown has begun, during which connections close after their response.
+        idle_timeout_s: Idle time after which a connection that has sent a request is closed.
         open_trace_ids: Trace ids of the open requests.
-        on_reject: Called with each response that the listener gives itself; None: not needed.
+        on_reject: Called with each response that the listener itself produces; None if not needed.
     """
 
     proxy: Proxy
--- a/anisespool/listener/request.py
+++ b/anisespool/listener/request.py
@@ -1,4 +1,4 @@
-"""Validation of client requests: from a parsed HTTP/1.1 request to a `Call`, or an error response."""
+"""Validation of client requests: turns a parsed HTTP/1.1 request into a `Call` or an error."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from anisespool.config.platform import NameIndex
 from anisespool.proxy.call import Call
 
-MAX_CLIENT_TIMEOUT_MS = 3_600_000  # an hour: timers have a range, and the client may send any number
-MAX_NUMBER_CHARACTERS = 18  # of a numeric header: its value fits 64 bits
+MAX_CLIENT_TIMEOUT_MS = 3_600_000  # one hour; clients may send any number, but timers have a limited range
+MAX_NUMBER_CHARACTERS = 18  # limit for a numeric header, so that its value fits 64 bits
 
-# The only values that are forwarded in a request head to an endpoint.
+# The syntax of trace ids and idempotency keys, which are forwarded in the request head to an endpoint.
 PRINTABLE_TOKEN = re.compile(rb"[!-~]{1,200}")
 
 
 class InvalidRequest(ValueError):
-    """A well-formed HTTP request that the platform's protocol does not allow; never forwarded.
+    """A well-formed HTTP request that the platform's protocol does not allow. It is never forwarded.
 
-    Its text is the body of the response.
+    The exception's text is the body of the response.
 
     Attributes:
-        status: Of the response.
+        status: Status code of the response.
     """
 
     status: ClassVar[HTTPStatus] = HTTPStatus.BAD_REQUEST
 
 
 class MethodNotAllowed(InvalidRequest):
-    """The method is neither GET nor POST, or not the one of the request's class."""
+    """The method is neither GET nor POST, or is not the method of the request's class."""
 
     status = HTTPStatus.METHOD_NOT_ALLOWED
 
 
 class UnknownRequestClass(InvalidRequest):
-    """The path names no request class of the platform's settings."""
+    """The path does not name a request class of the platform's settings."""
 
     status = HTTPStatus.NOT_FOUND
 
@@ -73,17 +73,17 @@
         tenant=len(names.tenants) if tenant is None else tenant,
         timeout_ns=class_settings.deadline_ns if timeout_ms is None else _timeout_ns(timeout_ms),
         size_hint_ns=None if size_hint_us is None else size_hint_us * 1000,
-        # Computed only where the class or the settings use the key, to save CPU.
+        # Computed only if the class or the settings use the key, to save CPU.
         affinity_key=_affinity_key(segments[-1]) if has_affinity else 0,
         is_retry=headers.get(b"x-second-try") == b"1",
     )
 
 
 def _request_class(segments: list[bytes], names: NameIndex) -> int:
-    """Index of the class that the first segment of the path names.
+    """Return the index of the request class that the first segment of the path names.
 
     Raises:
-        UnknownRequestClass: It names none.
+        UnknownRequestClass: There is no class with this name.
     """
     name = segments[0] if segments else b""
     request_class = names.index_of(names.classes, _percent_decoded(name) if b"%" in name else name)
@@ -93,9 +93,9 @@
 
 
 def _percent_decoded(name: bytes) -> bytes:
-    """The name that a path segment encodes.
+    """Return the name that a path segment encodes.
 
-    Imported here, as only class names beyond ASCII need it and the module takes 0.4 MB of memory.
+    `urllib.parse` is imported here, as only class names beyond ASCII need it and it takes 0.4 MB of memory.
     """
     from urllib.parse import unquote_to_bytes
 
@@ -106,7 +106,7 @@
     """Check the trace id, and that method, body and idempotency key fit the request's class.
 
     Raises:
-        InvalidRequest: They do not. The order of the checks decides which status a client gets.
+        InvalidRequest: A check failed. The order of the checks determines the status that the client gets.
     """
     headers = request.headers
     if not PRINTABLE_TOKEN.fullmatch(headers.get(b"x-trace-id", b"")):
@@ -123,10 +123,10 @@
 
 
 def _number(headers: dict[bytes, bytes], name: bytes) -> int | None:
-    """Value of a numeric header; None: there is none.
+    """Return the value of a numeric header, or None if the request does not have it.
 
     Raises:
-        InvalidRequest: It is not a non-negative integer.
+        InvalidRequest: The value is not a non-negative integer, or is too long.
     """
     value = headers.get(name)
     if value is None:
@@ -137,10 +137,10 @@
 
 
 def _timeout_ns(timeout_ms: int) -> int:
-    """A client's timeout, bounded."""
+    """Convert a client's timeout to ns, with `MAX_CLIENT_TIMEOUT_MS` as the upper bound."""
     return min(timeout_ms, MAX_CLIENT_TIMEOUT_MS) * 1_000_000
 
 
 def _affinity_key(segment: bytes) -> int:
-    """Digest that is the same at every sidecar; never 0, which means none."""
+    """Return a digest that is the same at every sidecar, and never 0, which stands for no key."""
     return int.from_bytes(hashlib.blake2b(segment, digest_size=8).digest(), "big") or 1
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -1,4 +1,4 @@
-"""The listener: binds the address, accepts client connections and times them out."""
+"""The listener: binds the address, accepts client connections and applies their timeouts."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from anisespool.log import log_event
 from anisespool.proxy.proxy import Proxy
 
-BACKLOG_CONNECTIONS = 512  # accepted by the kernel; it drops more
-MAX_ACCEPTED_CONNECTIONS = 8  # in one iteration of the event loop
-ACCEPT_RETRY_S = 0.05  # with no descriptor left
+BACKLOG_CONNECTIONS = 512  # limit on connections that wait in the kernel, which drops further ones
+MAX_ACCEPTED_CONNECTIONS = 8  # limit for each iteration of the event loop
+ACCEPT_RETRY_S = 0.05  # delay before accepting again after an error such as a lack of descriptors
 SWEEP_INTERVAL_S = 0.1
 
 
 class Server:
-    """Accepts connections itself, so that nothing in the backlog is reset when it closes.
+    """Accepts connections without asyncio's server, so that closing resets no connection in the backlog.
 
     Attributes:
-        proxy: Carries out valid requests.
+        proxy: Handles valid requests.
         names: Request classes and tenants by name.
         settings: The platform's settings.
         table: All connections.
-        stopping: Whether a graceful shutdown has begun; connections close with their response.
-        idle_timeout_s: After which an idle connection that was used before is closed.
+        stopping: Whether a graceful shutdown has begun, during which connections close after their response.
+        idle_timeout_s: Idle time after which a connection that has sent a request is closed.
         open_trace_ids: Trace ids of the open requests.
-        on_reject: Called with each response that the listener gives itself; None: not needed.
+        on_reject: Called with each response that the listener itself produces; None if not needed.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         """Create a listener without a socket.
 
         Args:
-            proxy: Carries out valid requests.
+            proxy: Handles valid requests.
             names: Request classes and tenants by name.
             settings: The platform's settings.
-            max_connections: Limit on client connections.
-            descriptors: Limit on descriptors of the whole process.
+            max_connections: Limit on the number of client connections.
+            descriptors: Limit on the number of descriptors of the whole process.
         """
         self.proxy = proxy
         self.names = names
@@ -66,20 +66,20 @@
         return self.table.connections
 
     def bind(self, address: Address) -> None:
-        """Reserve the address; connections are refused until `listen`.
+        """Reserve the address; connections are refused until `listen` is called.
 
         Raises:
             OSError: The address is in use or not available.
         """
-        # Unless the protocol is named, asyncio leaves TCP_NODELAY off on accepted sockets: a response behind
-        # another would be delayed by the kernel, and lost with a reset.
+        # asyncio sets TCP_NODELAY on accepted sockets only if the protocol is explicit. Without TCP_NODELAY,
+        # the kernel would delay a response that follows another one, and a reset would discard it.
         self._listener = listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(address)
 
     def listen(self) -> Address:
-        """Accept connections from now on; returns the bound address.
+        """Start accepting connections, and return the bound address.
 
         Raises:
             OSError: Another process listens on the address.
@@ -90,7 +90,7 @@
         return Address(*self._listener.getsockname())
 
     async def sweep(self) -> None:
-        """Apply the timeouts of inactive connections until cancelled, in place of a timer for each."""
+        """Apply the timeouts of all inactive connections, without a timer for each. Runs until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
@@ -101,10 +101,10 @@
                 connection.close_if_peer_closed()
 
     async def close_listener(self) -> None:
-        """Accept the connections in the backlog, then close the socket."""
+        """Accept the connections in the backlog, then close the listening socket."""
         if self._listener:
             asyncio.get_running_loop().remove_reader(self._listener)
-            while self._accept_one():  # closing resets whatever is left in the backlog
+            while self._accept_one():  # closing would reset connections left in the backlog
                 pass
             self._listener.close()
             self._listener = None
@@ -116,16 +116,16 @@
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
     def _accept(self) -> None:
-        """Accept at most `MAX_ACCEPTED_CONNECTIONS`.
+        """Accept at most `MAX_ACCEPTED_CONNECTIONS` connections.
 
-        Each may evict another connection, whose descriptor is free only in the loop's next iteration.
+        Each may evict another connection, whose descriptor is free only in the event loop's next iteration.
         """
         for _ in range(MAX_ACCEPTED_CONNECTIONS):
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        """Accept one connection; returns whether there may be more."""
+        """Accept one connection, and return whether there may be more."""
         loop = asyncio.get_running_loop()
         if not self._listener:
             return False
@@ -134,7 +134,7 @@
         except (BlockingIOError, InterruptedError, ConnectionError):
             return False
         except OSError as error:
-            # With no descriptor left the listener stays readable, and the loop would spin on it.
+            # Without a free descriptor the listening socket stays readable, and the event loop would spin.
             log_event("listener_accept_failed", error=error, retry_s=ACCEPT_RETRY_S)
             loop.remove_reader(self._listener)
             loop.call_later(ACCEPT_RETRY_S, self._start_accepting)
@@ -142,13 +142,13 @@
         self.table.evict_if_full()
         client_socket.setblocking(False)
         self.table.accepting += 1
-        task = loop.create_task(self._connect(client_socket))
+        task = loop.create_task(self._create_connection(client_socket))
         self._accept_tasks.add(task)
         task.add_done_callback(self._accept_tasks.discard)
         return True
 
-    async def _connect(self, client_socket: socket.socket) -> None:
-        """Make an accepted socket a connection."""
+    async def _create_connection(self, client_socket: socket.socket) -> None:
+        """Create the `ClientConnection` of an accepted socket."""
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: ClientConnection(self, self.table), client_socket)
--- a/anisespool/listener/shutdown.py
+++ b/anisespool/listener/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a listener: every request that reached this process gets its response."""
+"""Graceful shutdown of a listener: every request that this process received gets its response."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from anisespool.listener.tracked_connection import TrackedConnection
 from anisespool.log import log_event
 
-PARTIAL_REQUEST_GRACE_S = 1.0  # for the rest of a request that is half received when the listener closes
+PARTIAL_REQUEST_GRACE_S = 1.0  # time to receive the rest of a request after the listener closes
 POLL_INTERVAL_S = 0.01
-FLUSH_RESERVE_S = 0.05  # between the proxy's last response and the end of the shutdown (proxy/deadlines.py)
+FLUSH_RESERVE_S = 0.05  # time from the proxy's last response to the end of the shutdown (proxy/deadlines.py)
 
 
 async def shut_down(server: Server, accept_s: float, timeout_s: float) -> None:
-    """Accept for a while longer, respond to what was received, and close all connections.
+    """Accept connections for a while longer, respond to all received requests and close all connections.
 
     Args:
-        server: The listener; its connections close with their response from now on.
+        server: The listener. From now on its connections close after their response.
         accept_s: How long new connections are still accepted, in seconds.
-        timeout_s: For all of it, whatever endpoints do and however long clients would wait.
+        timeout_s: Limit on the whole shutdown, whatever endpoints do and however long clients would wait.
     """
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
     server.stopping = True
     server.proxy.set_shutdown_deadline(int((deadline_s - FLUSH_RESERVE_S) * 1e9))
-    # Clients use a connection as long as it is open. Closed now, they can still reconnect.
+    # Clients use a connection as long as it is open. If it closes now, they can still reconnect.
     server.table.close_idle()
     await asyncio.sleep(min(accept_s, timeout_s))
     await server.close_listener()
@@ -38,7 +38,7 @@
     """Wait until no connection is in use, or until the deadline (loop time)."""
     loop = asyncio.get_running_loop()
     partial_until_s = min(loop.time() + PARTIAL_REQUEST_GRACE_S, deadline_s)
-    # Requests may be on their way in on any connection, also on one that has just been accepted.
+    # A request may still be arriving on any connection, including those just accepted.
     await asyncio.sleep(2 * POLL_INTERVAL_S)
     while any(_in_use(connection, partial_until_s) for connection in server.connections):
         if loop.time() >= deadline_s:
@@ -49,7 +49,7 @@
 
 
 def _in_use(connection: TrackedConnection, partial_until_s: float) -> bool:
-    """Whether a response is due, a request is half received (up to the given time), or input is unread."""
+    """Whether a response is due, input is unread or (until `partial_until_s`) a request is incomplete."""
     if connection.has_pending_response:
         return True
     if not connection.is_idle and asyncio.get_running_loop().time() < partial_until_s:
--- a/anisespool/listener/tracked_connection.py
+++ b/anisespool/listener/tracked_connection.py
@@ -1,6 +1,6 @@
-"""A client connection as the connection table, the sweep of time-outs and the shutdown see it.
+"""Interface of a client connection, as used by the connection table, the timeout sweep and the shutdown.
 
-An interface in a module of its own: `ClientConnection` uses the table, and the table manages connections.
+It has its own module because `ClientConnection` imports `ConnectionTable`, which in turn manages connections.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 
     Attributes:
         has_sent_request: Whether a complete request has been received.
-        inactive_since_s: Since when no request is open and no part of one has arrived (monotonic clock).
+        inactive_since_s: Time when the connection was opened, its last request ended or the first byte of the
+            next one arrived, whichever is latest (monotonic clock).
     """
 
     has_sent_request: bool
@@ -21,7 +22,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Between two requests, with no part of the next one received and nothing being closed."""
+        """Whether no request is open, pipelined or partly received, and the connection is not closing."""
 
     @property
     def has_pending_response(self) -> bool:
@@ -29,20 +30,20 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the kernel holds bytes that have not been read."""
+        """Whether the kernel holds received bytes that have not been read."""
 
     @property
     def has_unsent_output(self) -> bool:
-        """Whether a response waits for the client to read."""
+        """Whether part of a response is in the write buffer, because the client has not read enough."""
 
     def apply_timeouts(self, now_s: float) -> None:
         """Close or reject the connection if its client took too long (`now_s`: monotonic clock)."""
 
     def close_if_peer_closed(self) -> None:
-        """Detect a client's disconnect while reading is paused."""
+        """Detect that the client has disconnected while reading is paused."""
 
     def close_if_idle(self) -> bool:
-        """Close the connection if it is idle; returns whether it was."""
+        """Close the connection if it is idle, and return whether it was."""
 
     def abort(self) -> None:
-        """Close at once, without sending what is buffered."""
+        """Close immediately, without sending buffered output."""
--- a/anisespool/listener/transport.py
+++ b/anisespool/listener/transport.py
@@ -1,4 +1,4 @@
-"""Kernel events of a client connection's socket, and its encoded responses."""
+"""Helpers for the transport of a client connection: socket events and encoded responses."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from anisespool.codec import http1
 from anisespool.proxy.call import FinalResponse
 
-# Reported by poll() even while received bytes are still unread.
+# Reported by poll() even while received bytes are unread.
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def poll_now(transport: asyncio.Transport | None, events: int) -> bool:
-    """Whether the kernel reports one of these poll events for an open transport, without waiting."""
+    """Whether an open transport's socket has one of these poll events now. Does not wait."""
     if not transport or transport.is_closing():
         return False
     poll = select.poll()
@@ -22,5 +22,5 @@
 
 
 def encode_final_response(response: FinalResponse, close: bool) -> bytes:
-    """Encode a response, with `Connection: close` if the connection ends with it."""
+    """Encode a response, with `Connection: close` if the connection closes after it."""
     return http1.encode_response(response.status, response.body, response.retry_after_s, close)
