--- a/anisespool/codec/__init__.py
+++ b/anisespool/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Framing and parsing of bytes, without sockets: HTTP/1.1, JSON streams, load reports of endpoints."""
+"""Framing and parsing without sockets: HTTP/1.1, JSON streams and load reports of endpoints."""
--- a/anisespool/codec/http1/__init__.py
+++ b/anisespool/codec/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 parsing and encoding for clients, endpoints, discovery and the control socket. No sockets here."""
+"""HTTP/1.1 parsing and encoding for clients, endpoints, discovery and the control socket, without I/O."""
 
 from anisespool.codec.http1.encoding import encode_request, encode_response
 from anisespool.codec.http1.limits import MAX_BODY_BYTES, MAX_REQUEST_BODY_BYTES
--- a/anisespool/codec/http1/encoding.py
+++ b/anisespool/codec/http1/encoding.py
@@ -1,4 +1,4 @@
-"""From requests and responses to bytes."""
+"""Encoding of requests and responses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def encode_request(request: Request, host: bytes, headers: dict[bytes, bytes]) -> bytes:
-    """Encode a request with these headers in place of its own, in one piece to leave in one packet."""
+    """Encode a request with `headers` instead of its own, in one piece so that it can fit one packet."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1", b"Host: " + host]
     lines += [name + b": " + value for name, value in headers.items()]
     if request.body or request.method != b"GET":
@@ -19,7 +19,7 @@
 
 
 def encode_response(status: int, body: bytes = b"", retry_after_s: float = 0.0, close: bool = False) -> bytes:
-    """Encode a response; without a Retry-After header if `retry_after_s` is 0."""
+    """Encode a response; it has no Retry-After header if `retry_after_s` is 0."""
     head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASON_PHRASES[status], len(body))
     if retry_after_s > 0:
         head += b"Retry-After: %.3f\r\n" % retry_after_s
--- a/anisespool/codec/http1/message.py
+++ b/anisespool/codec/http1/message.py
@@ -1,4 +1,4 @@
-"""A complete HTTP/1.1 request or response."""
+"""Complete HTTP/1.1 requests and responses."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     target: bytes
     """Path and query, as received."""
     headers: dict[bytes, bytes]
-    """Names in lower case; of repeated headers the first."""
+    """Values by lower-case name; the first value of a repeated header."""
     body: bytes
     keep_alive: bool
-    """Whether the client lets the connection carry another request."""
+    """Whether the client allows another request on the connection."""
 
 
 class Response(NamedTuple):
@@ -23,7 +23,7 @@
 
     status: int
     headers: dict[bytes, bytes]
-    """Names in lower case; of repeated headers the first."""
+    """Values by lower-case name; the first value of a repeated header."""
     body: bytes
     keep_alive: bool
     """Whether the connection can carry another request."""
--- a/anisespool/codec/http1/message_buffer.py
+++ b/anisespool/codec/http1/message_buffer.py
@@ -1,4 +1,4 @@
-"""A message while it is received: headers, parts of the body, and the checks on its framing."""
+"""A message while it is being received: headers, parts of the body and the checks on its framing."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from anisespool.codec.http1.limits import CHUNKED_OVERHEAD_FACTOR, MAX_HEAD_BYTES
 
-# A message with two of these could mean one thing here and another at the next hop: request smuggling
-# (RFC 9112, 11.2).
+# A message that repeats one of these headers could be interpreted differently at the next hop, which allows
+# request smuggling (RFC 9112, 11.2).
 SINGLE_VALUE_HEADERS = frozenset(
     (b"content-length", b"transfer-encoding", b"host", b"x-trace-id", b"idempotency-key", b"x-expires-in-ms")
 )
@@ -15,16 +15,16 @@
 
 @dataclass(slots=True, eq=False)
 class MessageBuffer:
-    """Headers and body of one message while it is received, within limits.
+    """Headers and body of one message while it is being received, with limits on their size.
 
-    httptools buffers a header's name and value before it calls back. So the limits are checked on the bytes
-    that were fed in as well as on those that came out.
+    httptools buffers a header's name and value before it calls back. The limits therefore apply both to the
+    bytes fed to it and to those that it returns.
 
     Attributes:
-        max_body_bytes: Limit on the body.
-        raw_bytes: Bytes fed to the parser for this message.
-        in_head: Whether the head is not complete.
-        ambiguous: Whether another HTTP implementation could read the message differently.
+        max_body_bytes: Limit on the size of the body.
+        raw_bytes: Number of bytes fed to the parser for this message.
+        in_head: Whether the head is incomplete.
+        ambiguous: Whether another HTTP implementation could interpret the message differently.
     """
 
     max_body_bytes: int
@@ -50,7 +50,7 @@
 
     @property
     def content_length(self) -> int:
-        """Declared length of the body, 0 without one; httptools accepts only a number."""
+        """Declared length of the body, 0 without one. httptools accepts only a number."""
         declared = self.headers.get(b"content-length")
         return int(declared) if declared else 0
 
@@ -61,12 +61,12 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether its sender has announced that the connection closes after it."""
+        """Whether the sender has announced that the connection closes after this message."""
         options = self.headers.get(b"connection", b"").lower().split(b",")
         return b"close" in (option.strip() for option in options)
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; trailers only count towards the limit."""
+        """Add a header. Trailers count towards the limit but are not stored."""
         name = name.lower()
         value = value or b""
         self.head_bytes += len(name) + len(value)
@@ -77,13 +77,13 @@
                 self.ambiguous = True
 
     def add_body(self, data: bytes) -> None:
-        """Add a part of the body; beyond the limit it is only counted."""
+        """Add a part of the body. Beyond the limit it is counted but not stored."""
         self.body_bytes += len(data)
         if self.body_bytes <= self.max_body_bytes:
             self.body.append(data)
 
     def end_head(self) -> None:
-        """Check the framing headers, once all are there."""
+        """Check the framing headers once the head is complete."""
         self.in_head = False
         encoding = self.headers.get(b"transfer-encoding")
         if encoding is not None and (encoding.lower() != b"chunked" or b"content-length" in self.headers):
--- a/anisespool/codec/http1/request_parser.py
+++ b/anisespool/codec/http1/request_parser.py
@@ -1,4 +1,4 @@
-"""From received bytes to the requests of one connection."""
+"""Parser for the requests of one connection."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class RequestParser:
-    """Turns received bytes into complete requests.
+    """Parses received bytes into complete requests.
 
     Attributes:
-        error_status: Status of the response to invalid input, after which nothing more is parsed; 0: none.
+        error_status: Status of the response to invalid input, after which parsing stops; 0 without one.
         expects_continue: Whether the client waits for `100 Continue` before it sends the body.
     """
 
@@ -36,19 +36,19 @@
         return self._message_begun or self._message.raw_bytes > 0
 
     def close(self) -> None:
-        """Release the httptools parser, which holds a reference cycle with this object."""
+        """Release the httptools parser, which forms a reference cycle with this object."""
         self._parser = None
 
     def feed(self, data: bytes) -> list[Request]:
-        """Parse received bytes; returns the requests that they complete, also those before an error."""
+        """Parse received bytes and return the requests they complete, including those before an error."""
         if not self.error_status and self._parser:
             message_before = self._message
             try:
                 self._parser.feed_data(data)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # no upgrade is supported
                 self.error_status = self.error_status or HTTPStatus.BAD_REQUEST
-                # The declared length may not fit what follows: the last message received together with the
-                # invalid bytes has no certain end, and may hide another request.
+                # The declared length may not fit what follows. The end of the last message received with the
+                # invalid bytes is therefore uncertain, and the message may contain another request.
                 if self._completed:
                     self._completed.pop()
             if message_before is self._message:
@@ -59,19 +59,19 @@
         self._completed = []
         return completed
 
-    # Called by httptools --------------------------------------------------------------------------
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
         """Note that a request has begun."""
         self._message_begun = True
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the target."""
+        """Add a part of the target."""
         self._target += url
         self._message.head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header or trailer."""
+        """Add a header or trailer."""
         self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
@@ -86,11 +86,11 @@
             self.expects_continue = True
 
     def on_body(self, data: bytes) -> None:
-        """Collect a part of the body."""
+        """Add a part of the body."""
         self._message.add_body(data)
 
     def on_message_complete(self) -> None:
-        """Complete the request, and begin the next one."""
+        """Complete the request and prepare for the next one."""
         message = self._message
         parser = self._parser
         if message.too_large:
--- a/anisespool/codec/http1/response_parser.py
+++ b/anisespool/codec/http1/response_parser.py
@@ -1,4 +1,4 @@
-"""From received bytes to one response."""
+"""Parser for one response."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ResponseParser:
-    """Turns received bytes into one response.
+    """Parses received bytes into one response.
 
     Attributes:
-        response: The complete response; None: not complete yet.
-        status: From the status line; 0: the head is not complete.
+        response: The response, or None until it is complete.
+        status: Status code of the response, or 0 until the head is complete.
         failed: Whether the input is invalid or too large, so that there will be no response.
     """
 
@@ -25,8 +25,8 @@
         """Create a parser for one response.
 
         Args:
-            on_body: Receives the body in parts and without a limit, for a stream that has no end; the
-                response's own body stays empty.
+            on_body: Called with each part of the body, without a limit on its size, for an endless stream.
+                The body of the response is then empty.
         """
         self.response: Response | None = None
         self.status = 0
@@ -36,17 +36,17 @@
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
     def close(self) -> None:
-        """Release the httptools parser, which holds a reference cycle with this object."""
+        """Release the httptools parser, which forms a reference cycle with this object."""
         self._parser = None
 
     def feed(self, data: bytes) -> Response | None:
-        """Parse received bytes; returns the response once it is complete."""
+        """Parse received bytes and return the response once it is complete."""
         if self._parser and not self.failed:
             try:
                 self._parser.feed_data(data)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):
                 self._invalid_input()
-            # Interim responses (1xx) and the final head share one limit: both can be endless.
+            # Interim responses (1xx) and the final head share one limit, because both can be endless.
             self._message.raw_bytes += len(data)
             streaming = self._on_body and self.status
             if self.response is None and self._message.too_large and not streaming:
@@ -54,9 +54,9 @@
         return None if self.failed else self.response
 
     def feed_eof(self) -> Response | None:
-        """The connection was closed in order, which ends a body without framing (RFC 9112, 8).
+        """Handle the orderly close of the connection, which ends a body without framing (RFC 9112, 8).
 
-        A reset does not end a body, and must not be reported here.
+        This method must not be called after a reset, which does not end a body.
         """
         message = self._message
         complete = self.status >= HTTPStatus.OK and not message.has_framing
@@ -65,21 +65,21 @@
         return self.response
 
     def _invalid_input(self) -> None:
-        """Fail; after a complete response only the connection can't be used any more."""
+        """Mark the response as failed or, if it is complete, mark only the connection as unusable."""
         if self.response is None:
             self.failed = True
         else:
             self.response = self.response._replace(keep_alive=False)
 
-    # Called by httptools --------------------------------------------------------------------------
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """A second message behind the response is invalid."""
+        """Treat a second message after the response as invalid."""
         if self.response is not None:
             self._invalid_input()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header or trailer."""
+        """Add a header or trailer."""
         if self.response is None:
             self._message.add_header(name, value)
 
@@ -91,7 +91,7 @@
         self.status = self._parser.get_status_code()
         message.end_head()
         if self._on_body is None and self.status >= HTTPStatus.OK:
-            # Without a length, and without notice that the connection closes after it, a body may never end.
+            # A body may never end if it has no length and the sender has not announced a close after it.
             unframed = self.status == HTTPStatus.OK and not message.has_framing
             endless = unframed and not message.closes_connection
             self.failed = (
@@ -99,14 +99,14 @@
             )
 
     def on_body(self, data: bytes) -> None:
-        """Pass a part of the body on, or collect it."""
+        """Pass on a part of the body, or store it."""
         if self._on_body:
             self._on_body(data)
         elif self.response is None:
             self._message.add_body(data)
 
     def on_message_complete(self) -> None:
-        """Complete the response, or begin anew after an interim one (1xx)."""
+        """Complete the response, or start over after an interim one (1xx)."""
         if self.response is not None or self._parser is None:
             return
         if self.status == HTTPStatus.SWITCHING_PROTOCOLS:
@@ -118,7 +118,7 @@
             self._message.raw_bytes = raw_bytes
         elif not self.failed:
             message = self._message
-            # Bytes beyond the limit were not kept: the rest must not pass for the whole body.
+            # Bytes beyond the limit were not stored, so the stored part must not be used as the whole body.
             self.failed = message.too_large
             if not self.failed:
                 body = b"".join(message.body)
--- a/anisespool/codec/json_stream.py
+++ b/anisespool/codec/json_stream.py
@@ -1,4 +1,4 @@
-"""A stream of JSON documents (RFC 8259) in any layout, received in any pieces. No sockets here."""
+"""Parser for a stream of JSON documents (RFC 8259) in any layout, received in pieces of any size."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 from typing import Any, NamedTuple
 
 WHITESPACE = re.compile(rb"[ \t\r\n]*")
-STRUCTURAL = re.compile(rb'[{}\[\]"]')  # begins or ends an object, array or string, outside of strings
-STRING_SPECIAL = re.compile(rb'["\\\n]')  # may end a string, or must not be in one
-MAX_QUOTED_BYTES = 40  # of invalid input in an error's text
+STRUCTURAL = re.compile(rb'[{}\[\]"]')  # outside strings: begins or ends an object, array or string
+STRING_SPECIAL = re.compile(rb'["\\\n]')  # end of a string, escape, or line end, which is invalid in a string
+MAX_QUOTED_BYTES = 40  # limit on the invalid input that an error message quotes
 
 
 class JsonStreamError(ValueError):
-    """The input is not valid JSON, or too long: where the next document begins is unknown."""
+    """The input is invalid or too long, so that the beginning of the next document is unknown."""
 
 
-class Received(NamedTuple):
-    """What some bytes completed."""
+class FeedResult(NamedTuple):
+    """What a piece of input completed."""
 
     documents: list[Any]
     line_ends: int
-    """Line ends between documents: a peer may send them alone, to show that it is alive."""
+    """Number of line ends between documents. A peer may send them on their own as a keep-alive."""
 
 
 class JsonStreamParser:
-    """Parses objects and arrays as they are completed.
+    """Parses objects and arrays as soon as they are complete.
 
-    Each byte is scanned once, in whatever pieces it arrives. A document that ends in its first line, as most
-    do, is passed to the JSON parser without a scan.
+    Each byte is scanned once, whatever the size of the pieces. Documents that end in their first line, as
+    most do, are passed to the JSON parser without a scan.
     """
 
     def __init__(self, max_document_bytes: int) -> None:
         """Create a parser that rejects documents longer than `max_document_bytes`."""
         self._max_document_bytes = max_document_bytes
-        self._buffer = bytearray()  # begins with the document that is being received
+        self._buffer = bytearray()  # begins with the document being received
         self._begin_document()
 
     def _begin_document(self) -> None:
-        self._scanned_bytes = 0  # of the buffer
-        self._depth = 0  # of objects and arrays, where the scan ended
-        self._in_string = False  # where the scan ended
+        self._scanned_bytes = 0  # length of the scanned part of the buffer
+        self._depth = 0  # nesting depth of objects and arrays where the scan ended
+        self._in_string = False  # whether the scan ended in a string
         self._first_line_parsed = False
 
-    def feed(self, data: bytes) -> Received:
-        """Add received bytes, and return what they complete.
+    def feed(self, data: bytes) -> FeedResult:
+        """Add received bytes and return what they complete.
 
         Raises:
             JsonStreamError: The stream is invalid. No document of these bytes is returned, and the parser
@@ -61,19 +61,19 @@
                 break
             documents.append(document)
         if len(self._buffer) > self._max_document_bytes:
-            raise JsonStreamError(f"more than {self._max_document_bytes} bytes in one text")
-        return Received(documents, line_ends)
+            raise JsonStreamError(f"a document is longer than {self._max_document_bytes} bytes")
+        return FeedResult(documents, line_ends)
 
     def _remove_whitespace(self) -> int:
-        """Remove whitespace from the beginning of the buffer; returns the number of line ends in it."""
+        """Remove whitespace from the beginning of the buffer, and return the number of line ends in it."""
         whitespace = WHITESPACE.match(self._buffer)
-        assert whitespace  # the pattern matches no bytes, too
+        assert whitespace  # the pattern matches any input, as it also matches no bytes
         line_ends = self._buffer.count(b"\n", 0, whitespace.end())
         del self._buffer[: whitespace.end()]
         return line_ends
 
     def _next_document(self) -> Any:
-        """Take the document that begins the buffer; None: it is not complete."""
+        """Remove and return the first document in the buffer, or return None if it is incomplete."""
         if self._buffer[0] not in b"{[":
             start = bytes(self._buffer[:MAX_QUOTED_BYTES])
             raise JsonStreamError(f"neither an object nor an array: {start!r}")
@@ -92,20 +92,20 @@
         return document
 
     def _find_end(self) -> int:
-        """Scan new bytes for the end of the document; -1: it is not there yet."""
+        """Scan new bytes, and return the end of the document, or -1 if it has not been received."""
         while found := (STRING_SPECIAL if self._in_string else STRUCTURAL).search(
             self._buffer, self._scanned_bytes
         ):
-            mark = found[0]
+            found_byte = found[0]
             self._scanned_bytes = found.end()
-            if mark == b'"':
+            if found_byte == b'"':
                 self._in_string = not self._in_string
-            elif mark == b"\\":
-                self._scanned_bytes += 1  # the escaped byte, which may not have been received yet
-            elif mark == b"\n":
+            elif found_byte == b"\\":
+                self._scanned_bytes += 1  # skips the escaped byte, which may not have been received yet
+            elif found_byte == b"\n":
                 raise JsonStreamError("a line ends within a string")
             else:
-                self._depth += 1 if mark in b"{[" else -1
+                self._depth += 1 if found_byte in b"{[" else -1
                 if not self._depth:
                     return self._scanned_bytes
         self._scanned_bytes = max(self._scanned_bytes, len(self._buffer))
@@ -113,10 +113,10 @@
 
 
 def _parse_first_line(line: bytes) -> Any:
-    """Parse a document that may end with its first line; None: it continues.
+    """Parse a document that may end with its first line; return None if it continues.
 
-    A document with an error may have no end, and would include those behind it. No JSON token continues after
-    a line's end, so what is invalid before it can be rejected at once.
+    An invalid document may have no end and would then include the following documents. No JSON token
+    continues after a line end, so invalid input before it can be rejected at once.
 
     Raises:
         JsonStreamError: The line can't be the beginning of a document.
@@ -136,7 +136,7 @@
     """Parse a complete document.
 
     Raises:
-        JsonStreamError: It is invalid.
+        JsonStreamError: The document is invalid.
     """
     try:
         return json.loads(text)
--- a/anisespool/codec/load_report.py
+++ b/anisespool/codec/load_report.py
@@ -1,4 +1,4 @@
-"""Load reports that endpoints send in a header of their responses."""
+"""Parser for the load reports that endpoints send in a header of their responses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Parse an endpoint's load report, `TEXT inflight=7, queue=2`.
 
     Returns:
-        The values in the order of `columns`; empty if the report is invalid or lacks one of them.
+        The values in the order of `columns`; empty if the report is invalid or lacks a column.
     """
     format_name, _, pairs = (value or b"").strip().partition(b" ")
     if format_name.upper() != TEXT_FORMAT:
