--- a/tests/codec/test_http1.py
+++ b/tests/codec/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 framing does not depend on how the input is split, and no input raises."""
+"""HTTP/1.1 framing does not depend on how the input is split, and no input raises an exception."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def split(data: bytes, positions: list[int]) -> list[bytes]:
-    """The data in pieces; a position beyond its end counts from its beginning again."""
+    """Split the data at these positions, taken modulo its length."""
     bounds = [0, *sorted(position % len(data) for position in positions), len(data)]
     return [data[start:end] for start, end in pairwise(bounds)]
 
@@ -47,7 +47,7 @@
 
 @deterministic
 @given(strategies.lists(strategies.binary(max_size=200), max_size=5))
-def test_no_input_raises(parts: list[bytes]) -> None:
+def test_no_input_raises_an_exception(parts: list[bytes]) -> None:
     request_parser = RequestParser()
     response_parser = ResponseParser()
     for part in parts:
--- a/tests/codec/test_json_stream.py
+++ b/tests/codec/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON documents one after another, from bytes split anywhere."""
+"""Consecutive JSON documents are parsed from bytes that are split anywhere."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("invalid", INVALID_JSON, ids=lambda invalid: repr(invalid[:12]))
 @pytest.mark.parametrize("piece_size", [1, IN_ONE_PIECE])
 def test_invalid_json_is_reported_by_the_end_of_its_line(invalid: bytes, piece_size: int) -> None:
-    """It neither hides the next document nor is taken for the beginning of it."""
+    """Otherwise it could hide the next document, or be taken for its beginning."""
     stream = JsonStreamParser(10**6)
     with pytest.raises(JsonStreamError):
         for piece in pieces(invalid + b"\n", piece_size):
--- a/tests/proxy/harness.py
+++ b/tests/proxy/harness.py
@@ -1,4 +1,4 @@
-"""A proxy with a scripted balancer, and what its clients received."""
+"""Harness for a proxy with a scripted balancer, which collects the responses to its clients."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class ScriptedBalancer:
-    """Takes the balancer's place: records events and returns the actions that the test decides."""
+    """Replaces the balancer: records its events and returns the actions that the test specifies."""
 
     def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
         self.decide = decide
         self.events: list[api.Event] = []
-        self.next_actions: list[api.Action] = []  # returned at the next event in place of `decide`'s
+        self.next_actions: list[api.Action] = []  # returned for the next event instead of those of `decide`
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         self.events.append(event)
@@ -61,12 +61,12 @@
         self.balancer = balancer
         self.responses: list[FinalResponse] = []
 
-    def start_request(self, request_class: int = 2, left_ns: int = SECOND) -> int:
-        call = Call(GET, request_class, 0, left_ns, None, 0, False)
+    def start_request(self, request_class: int = 2, timeout_ns: int = SECOND) -> int:
+        call = Call(GET, request_class, 0, timeout_ns, None, 0, False)
         return self.proxy.start_request(call, self.responses.append)
 
-    def decide(self, action: api.Action) -> None:
-        """Let the balancer decide on this action now, at an endpoint list without a change."""
+    def apply_action(self, action: api.Action) -> None:
+        """Make the balancer return this action now, in response to an endpoint list without a change."""
         self.balancer.next_actions.append(action)
         self.proxy.update_endpoints(EndpointList(1, False, ()))
 
@@ -79,7 +79,7 @@
     cluster = Cluster(("queue",), 100 * MS, SECOND, 16)
     proxy = Proxy(config, cluster)
     balancer = ScriptedBalancer(decide)
-    # A proxy builds its own balancer: only tests put another in its place.
+    # A proxy creates its own balancer, and only tests replace it.
     proxy._driver.balancer = balancer  # type: ignore[assignment]
     proxy.update_endpoints(config.initial_endpoints, EndpointListKind.CACHED)
     yield ProxyHarness(proxy, cluster, balancer)
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The instants at the end of a request have the order that proxy/deadlines.py gives."""
+"""The points in time at the end of a request have the order given in proxy/deadlines.py."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 @pytest.mark.parametrize("client_gives_up_at", [0, 5 * MS, 3 * SECOND])
-def test_attempts_end_before_the_backstop_and_that_comes_before_the_client_gives_up(
+def test_attempts_end_before_the_backstop_which_is_before_the_client_gives_up(
     client_gives_up_at: int,
 ) -> None:
-    instants = [attempts_end_at(client_gives_up_at), backstop_at(client_gives_up_at), client_gives_up_at]
-    assert instants == [client_gives_up_at - 10 * MS, client_gives_up_at - 4 * MS, client_gives_up_at]
+    times = [attempts_end_at(client_gives_up_at), backstop_at(client_gives_up_at), client_gives_up_at]
+    assert times == [client_gives_up_at - 10 * MS, client_gives_up_at - 4 * MS, client_gives_up_at]
 
 
-def test_the_reserves_of_the_shutdown_leave_the_longest_request_its_time() -> None:
+def test_the_shutdown_reserves_leave_time_for_the_longest_deadline() -> None:
     assert 0 < FLUSH_RESERVE_S < SIGKILL_MARGIN_S - EXIT_RESERVE_S
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""A complete sidecar on sockets: exactly one final response to each request, whatever its peers do."""
+"""A complete sidecar on sockets gives each request exactly one final response, whatever its peers do."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 async def test_request_and_response_bodies_are_forwarded_unchanged(tmp_path: Path) -> None:
-    body = bytes(range(256)) * 1300  # more than the protocol allows, and seen in service
+    body = bytes(range(256)) * 1300  # more than the protocol allows, as seen in production
     reply = b"HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     async with Endpoint(reply).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        call = request_bytes("once", body=body[: 2 * 65536])  # likewise
+        call = request_bytes("once", body=body[: 2 * 65536])  # also more than the protocol allows
         response = await send_request(sidecar.address, call)
         assert (response.status, response.body) == (200, body)
         assert endpoint.requests[0].body == body[: 2 * 65536]
@@ -48,18 +48,10 @@
 @pytest.mark.parametrize(
     ("request_class", "reply", "attempts", "status"),
     [
-        (
-            "once",
-            NEVER_RAN,
-            3,
-            503,
-        ),  # not executed: retried elsewhere, and in the end a client's retry is harmless
-        (
-            "once",
-            http_response("500 Oops"),
-            1,
-            502,
-        ),  # may have executed: no retry, and no promise to the client
+        # Not executed: the request is retried elsewhere, and the client may retry it after the last attempt.
+        ("once", NEVER_RAN, 3, 503),
+        # Possibly executed: the request is not retried, and the client gets no permission to retry it.
+        ("once", http_response("500 Oops"), 1, 502),
         ("once", http_response("503 Busy"), 1, 502),
         ("once", close_immediately, 1, 502),
         ("look", http_response("500 Oops"), 3, 503),
@@ -78,10 +70,10 @@
 
 async def test_an_unsafe_request_without_response_fails_by_its_deadline(tmp_path: Path) -> None:
     async with Endpoint(never_respond).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        began = monotonic()
+        started_s = monotonic()
         response = await send_request(sidecar.address, request_bytes("once", left_ms=150))
         assert response.status == 502
-        assert 0.1 < monotonic() - began < 0.15 + DEADLINE_TOLERANCE_S
+        assert 0.1 < monotonic() - started_s < 0.15 + DEADLINE_TOLERANCE_S
         await wait_until(lambda: endpoint.closed_by_peer == 1)
 
 
@@ -93,18 +85,18 @@
 
 async def test_a_disconnected_clients_attempt_is_cancelled(tmp_path: Path) -> None:
     async with Endpoint(never_respond).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        for leave in (lambda w: w.close(), reset):
+        for disconnect in (lambda w: w.close(), reset):
             before = len(endpoint.requests)
             _, writer = await asyncio.open_connection(*sidecar.address)
             writer.write(request_bytes("once"))
             await wait_until(lambda n=before: len(endpoint.requests) == n + 1)  # type: ignore[misc]
             disconnected_s = monotonic()
-            leave(writer)
+            disconnect(writer)
             await wait_until(lambda n=before: endpoint.closed_by_peer == n + 1)  # type: ignore[misc]
-            assert monotonic() - disconnected_s < 0.4  # well before the attempt's own time is up
+            assert monotonic() - disconnected_s < 0.4  # well before the attempt's deadline
 
 
-async def test_requests_arrive_in_fragments_and_pipelined(tmp_path: Path) -> None:
+async def test_fragmented_and_pipelined_requests_are_forwarded_in_order(tmp_path: Path) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         for byte in request_bytes("once", body=b"abc"):
@@ -129,7 +121,7 @@
         assert len(endpoint.requests) == 1
 
 
-BIG = "X-Filler: " + "x" * 20000 + "\r\n"
+OVERSIZED_HEADER = "X-Filler: " + "x" * 20000 + "\r\n"
 
 
 @pytest.mark.parametrize(
@@ -150,12 +142,12 @@
             request_bytes("once").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"20001\r\n",
             413,
         ),
-        (request_bytes(headers=BIG), 413),
+        (request_bytes(headers=OVERSIZED_HEADER), 413),
         (request_bytes().replace(b"GET", b"DELETE"), 405),
         (request_bytes().replace(b"/look/", b"/look/" + b"x" * 20000), 413),
     ],
 )
-async def test_an_invalid_request_is_rejected_and_nothing_is_sent(
+async def test_an_invalid_request_is_rejected_and_not_forwarded(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], data: bytes, status: int
 ) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
@@ -211,80 +203,80 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-async def test_without_file_descriptors_connections_wait_and_the_loop_does_not_spin(
+async def test_without_file_descriptors_connections_wait_and_the_event_loop_does_not_spin(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         assert (await send_request(sidecar.address, request_bytes())).status == 200
-        await asyncio.sleep(REUSE_DELAY_S)  # until the connection to the endpoint may be used again
+        await asyncio.sleep(REUSE_DELAY_S)  # the connection to the endpoint is reusable after this
         reader, writer = await asyncio.open_connection(*sidecar.address)
         client = socket.socket()
         client.setblocking(False)
         with no_file_descriptors_above(client.fileno()):
             log = ""
-            began = monotonic()
+            started_s = monotonic()
             await asyncio.get_running_loop().sock_connect(client, sidecar.address)
-            writer.write(request_bytes())  # what is connected is served all the while
+            writer.write(request_bytes())  # open connections are still served
             assert (await read_response(reader)).status == 200
             while log.count("Too many open files") < 3:
                 await asyncio.sleep(0.002)
                 log += capfd.readouterr().err
-            assert monotonic() - began > 0.05  # it paused between the attempts to accept
+            assert monotonic() - started_s > 0.05  # the listener paused between its attempts to accept
         reader, writer = await asyncio.open_connection(sock=client)
         writer.write(request_bytes())
         assert (await read_response(reader)).status == 200
         writer.close()
 
 
-async def test_a_pipelined_request_has_no_more_time_than_it_was_given(tmp_path: Path) -> None:
+async def test_the_wait_in_the_pipeline_counts_towards_a_requests_timeout(tmp_path: Path) -> None:
     async with (
         Endpoint(respond_after(0.15)).serve() as endpoint,
         running_sidecar(tmp_path, endpoint) as sidecar,
     ):
         reader, writer = await asyncio.open_connection(*sidecar.address)
-        began = monotonic()
+        started_s = monotonic()
         writer.write(request_bytes("once", "t1") + request_bytes("once", "t2", left_ms=250))
         replies = b""
         while replies.count(b"HTTP/1.1 ") < 2:
             replies += await reader.read(65536)
         assert replies.startswith(b"HTTP/1.1 200")
         assert replies.count(b"HTTP/1.1 50") == 1
-        assert monotonic() - began < 0.25 + DEADLINE_TOLERANCE_S
+        assert monotonic() - started_s < 0.25 + DEADLINE_TOLERANCE_S
         writer.close()
 
 
-def corrupted(draw: random.Random, data: bytes) -> bytes:
+def corrupted(rng: random.Random, data: bytes) -> bytes:
     """`data` with some bytes changed, or random bytes."""
     changed = bytearray(data)
-    for _ in range(draw.randrange(1, 5)):
-        changed[draw.randrange(len(changed))] = draw.randrange(256)
-    return bytes(changed) if draw.random() < 0.8 else draw.randbytes(200)
+    for _ in range(rng.randrange(1, 5)):
+        changed[rng.randrange(len(changed))] = rng.randrange(256)
+    return bytes(changed) if rng.random() < 0.8 else rng.randbytes(200)
 
 
 @pytest.mark.parametrize("seed", range(5))
-async def test_invalid_bytes_from_every_peer_lose_no_request(
+async def test_invalid_bytes_from_any_peer_do_not_lose_requests(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], seed: int
 ) -> None:
-    """Random bytes, and requests, responses and lists with bytes changed; afterwards all works as before."""
-    draw = random.Random(seed)
+    """Peers send random bytes or corrupted messages; afterwards, valid requests are served as before."""
+    rng = random.Random(seed)
 
     async def send_corrupted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(corrupted(draw, OK))
+        writer.write(corrupted(rng, OK))
         writer.close()
 
     async with Endpoint(send_corrupted).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         await wait_until(lambda: bool(sidecar.discovery.connections))
         for revision in range(20):
             update = member_list(revision, [member("s-x", endpoint.address)], complete=False)
-            sidecar.discovery.send(corrupted(draw, json.dumps(update).encode()).replace(b"\n", b" "))
+            sidecar.discovery.send(corrupted(rng, json.dumps(update).encode()).replace(b"\n", b" "))
             status = (await send_request(sidecar.address, request_bytes("once", left_ms=300))).status
             assert status in (200, 502, 503)
             _, writer = await asyncio.open_connection(*sidecar.address)
-            writer.write(corrupted(draw, request_bytes("once", "t2", body=b"abc")))
+            writer.write(corrupted(rng, request_bytes("once", "t2", body=b"abc")))
             writer.close()
         endpoint.response = OK
-        good = member_list(99, [member("s-new", endpoint.address)])
-        sidecar.discovery.send(good)
+        valid = member_list(99, [member("s-new", endpoint.address)])
+        sidecar.discovery.send(valid)
         while (await send_request(sidecar.address, request_bytes("look"))).status != 200:
             pass
     assert "Traceback" not in capfd.readouterr().err
--- a/tests/proxy/test_request_lifecycle.py
+++ b/tests/proxy/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Exactly one final response, whatever the balancer does."""
+"""Each request gets exactly one final response, whatever the balancer does."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 from tests.upstream.harness import never_respond
 
 
-async def test_the_proxy_responds_in_time_where_the_balancer_does_not(tmp_path: Path) -> None:
+async def test_the_proxy_responds_in_time_if_the_balancer_does_not(tmp_path: Path) -> None:
     async with (
         Endpoint(never_respond).serve() as endpoint,
         proxy_harness(tmp_path, endpoint, send_once) as harness,
     ):
-        began = monotonic()
-        harness.start_request(left_ns=100 * MS)
+        started_s = monotonic()
+        harness.start_request(timeout_ns=100 * MS)
         await wait_until(lambda: bool(harness.responses))
         assert harness.responses[0].status == 504
-        assert monotonic() - began < 0.1 + DEADLINE_TOLERANCE_S
+        assert monotonic() - started_s < 0.1 + DEADLINE_TOLERANCE_S
         assert any(isinstance(e, api.ClientDisconnected) for e in harness.balancer.events)
         await wait_until(lambda: endpoint.closed_by_peer == len(endpoint.connections))
         assert not harness.proxy.open_request_count
 
 
-async def test_an_exception_in_the_balancer_costs_one_request(
+async def test_an_exception_in_the_balancer_fails_only_one_request(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     def decide(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived | api.AttemptOutcome) and event.request == 1:
-            raise RuntimeError("no idea")
+            raise RuntimeError("simulated failure")
         return send_once(event)
 
     async with Endpoint().serve() as endpoint, proxy_harness(tmp_path, endpoint, decide) as harness:
@@ -51,7 +51,7 @@
         await wait_until(lambda: len(harness.responses) == 2)
         assert harness.responses[1].status == 200
         assert not harness.proxy.open_request_count
-    assert "no idea" in capfd.readouterr().err
+    assert "simulated failure" in capfd.readouterr().err
 
 
 async def test_actions_after_the_final_response_have_no_effect(tmp_path: Path) -> None:
@@ -105,7 +105,9 @@
         assert not harness.responses
 
 
-async def test_the_balancer_is_notified_of_a_drain_before_the_attempts_that_it_ends(tmp_path: Path) -> None:
+async def test_the_balancer_receives_a_drain_before_the_outcomes_of_attempts_that_it_ends(
+    tmp_path: Path,
+) -> None:
     async with Endpoint().serve() as endpoint, proxy_harness(tmp_path, endpoint, send_once) as harness:
         harness.start_request()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
--- a/tests/proxy/test_single_response.py
+++ b/tests/proxy/test_single_response.py
@@ -1,4 +1,4 @@
-"""One response for each request and one status for each attempt, in any order of events."""
+"""Each request gets one response and each attempt one status, in any order of events."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def backstop_expired(harness: ProxyHarness, request: int) -> None:
-    """Called as the timer would: a timer of its own could not be placed between two other events."""
+    """Call the timer's callback: a real timer could not be made to expire between two other events."""
     harness.proxy._backstop_expired(request)
 
 
@@ -36,10 +36,10 @@
 
 
 def balancer_rejected(harness: ProxyHarness, request: int) -> None:
-    harness.decide(api.Reject(request))
+    harness.apply_action(api.Reject(request))
 
 
-ENDS: list[Callable[[ProxyHarness, int], None]] = [
+END_EVENTS: list[Callable[[ProxyHarness, int], None]] = [
     client_disconnected,
     backstop_expired,
     endpoint_drained,
@@ -49,7 +49,7 @@
 
 
 def send_twice_and_retry(event: api.Event) -> list[api.Action]:
-    """Two attempts at once, the second with a short timeout, and then retries."""
+    """Send two attempts at once, the second with a short timeout, and then retry."""
     if isinstance(event, api.RequestArrived):
         return [api.Send(event.request, 1), api.Send(event.request, 1, 5 * MS)]
     if isinstance(event, api.AttemptOutcome) and event.attempt < 4:
@@ -58,7 +58,7 @@
 
 
 def all_connections_idle(cluster: Cluster) -> bool:
-    """Whether none is being opened, and each open one is in its pool."""
+    """Whether no connection is being opened and each open one is idle in its pool."""
     idle = {connection for pool in cluster.pools for connection in pool.idle}
     return not cluster.connecting_count and cluster.connections == idle
 
@@ -69,24 +69,24 @@
     order: tuple[Callable[[ProxyHarness, int], None], ...],
     is_sent: bool,
 ) -> None:
-    """Start a request, and end it in these ways one after the other."""
+    """Start a request and cause the events of `order`, one after the other."""
     before = len(endpoint.requests)
-    request = harness.start_request(left_ns=SECOND)
+    request = harness.start_request(timeout_ns=SECOND)
     if is_sent:
         await wait_until(lambda: len(endpoint.requests) >= before + 1)
-    for end in order:
-        end(harness, request)
+    for cause_event in order:
+        cause_event(harness, request)
     await wait_until(lambda: not harness.proxy.open_request_count)
 
 
-@pytest.mark.parametrize("at", ["waiting", "sent"])
+@pytest.mark.parametrize("state", ["waiting", "sent"])
 async def test_events_that_end_a_request_in_any_order_give_one_response_and_one_status_per_attempt(
-    tmp_path: Path, at: str
+    tmp_path: Path, state: str
 ) -> None:
     async with Endpoint(never_respond).serve() as endpoint:
-        for order in permutations(ENDS, 3):
+        for order in permutations(END_EVENTS, 3):
             async with proxy_harness(tmp_path, endpoint, send_twice_and_retry) as harness:
-                await end_request(harness, endpoint, order, at == "sent")
+                await end_request(harness, endpoint, order, state == "sent")
                 outcomes = [(o.request, o.attempt) for o in harness.balancer.outcomes()]
                 assert len(outcomes) == len(set(outcomes)) >= 2, order
                 responses = len(harness.responses)
@@ -100,7 +100,7 @@
     ("request_class", "is_sent", "status"),
     [(0, True, 503), (1, True, 504), (2, True, 504), (0, False, 503), (1, False, 503), (2, False, 503)],
 )
-async def test_the_proxy_itself_rejects_only_requests_that_were_not_executed(
+async def test_the_backstop_rejects_only_requests_whose_retry_is_harmless(
     tmp_path: Path, request_class: int, is_sent: bool, status: int
 ) -> None:
     def decide(event: api.Event) -> list[api.Action]:
@@ -114,6 +114,6 @@
     ):
         harness.start_request(request_class)
         await wait_until(lambda: len(endpoint.requests) == is_sent)
-        harness.proxy.set_shutdown_deadline(0)  # the backstop is due at once
+        harness.proxy.set_shutdown_deadline(0)  # the backstop expires at once
         await wait_until(lambda: bool(harness.responses))
         assert [response.status for response in harness.responses] == [status]
--- a/tests/upstream/harness.py
+++ b/tests/upstream/harness.py
@@ -1,4 +1,4 @@
-"""A cluster with one endpoint, and endpoints that misbehave."""
+"""Harness for a cluster with one endpoint, and handlers of endpoints that misbehave."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
         self.finished: list[Attempt] = []
 
     def send(self, request: Request = GET, timeout_ns: int = 2 * SECOND, endpoint: int = 1) -> Attempt:
-        deadline = monotonic_ns() + timeout_ns
-        attempt = Attempt(1, 0, endpoint, request, deadline, self.finished.append)
+        deadline_ns = monotonic_ns() + timeout_ns
+        attempt = Attempt(1, 0, endpoint, request, deadline_ns, self.finished.append)
         self.cluster.send(attempt)
         return attempt
 
-    async def result(self, request: Request = GET, timeout_ns: int = 2 * SECOND) -> Attempt:
+    async def send_and_wait(self, request: Request = GET, timeout_ns: int = 2 * SECOND) -> Attempt:
         attempt = self.send(request, timeout_ns)
         await wait_until(lambda: attempt.status is not None)
         return attempt
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""Each way in which an attempt ends, on sockets, and what its status must never claim."""
+"""Each way in which an attempt ends, on sockets, and whether its status may rule out execution."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     [
         (OK, AttemptStatus.OK),
         (http_response("500 Oops"), AttemptStatus.ERROR),
-        (http_response("503 Busy"), AttemptStatus.ERROR),  # without proof it may have run
+        (http_response("503 Busy"), AttemptStatus.ERROR),  # no proof that it was not executed
         (http_response("504 Late"), AttemptStatus.ERROR),
         (http_response("503 Busy", "X-Never-Ran: 1\r\n"), AttemptStatus.FULL),
         (http_response("504 Late", "x-never-ran: 1\r\n"), AttemptStatus.FULL),
@@ -41,7 +41,7 @@
         (b"HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" * 2000, AttemptStatus.RESET),
         (b"HTTP/1.1 101 Switch\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", AttemptStatus.RESET),
         (b"HTTP/1.1 101 Switch\r\n\r\n" + OK, AttemptStatus.RESET),
-        # Without a sign of its end, at once: the rest may be 3 GB, or never come.
+        # Rejected without waiting for the end of the body, which may be 3 GB long or never arrive.
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n", AttemptStatus.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx", AttemptStatus.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!", AttemptStatus.RESET),
@@ -62,10 +62,10 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", AttemptStatus.OK),
     ],
 )
-async def test_a_response_becomes_one_status(reply: bytes, status: AttemptStatus) -> None:
+async def test_each_response_gives_one_status(reply: bytes, status: AttemptStatus) -> None:
     async with Endpoint(reply).serve() as endpoint:
         harness = ClusterHarness(endpoint.address)
-        attempt = await harness.result()
+        attempt = await harness.send_and_wait()
         assert attempt.status is status
         assert harness.finished == [attempt]
         if status is AttemptStatus.OK:
@@ -76,31 +76,31 @@
 async def test_request_line_body_and_listed_headers_are_forwarded_with_the_attempts_own_timeout() -> None:
     async with Endpoint().serve() as endpoint:
         headers = {b"x-trace-id": b"t1", b"idempotency-key": b"k1", b"x-expires-in-ms": b"9999"}
-        await ClusterHarness(endpoint.address).result(
+        await ClusterHarness(endpoint.address).send_and_wait(
             Request(b"POST", b"/once/a%20b?x=1", headers, b"\x00\xff", True), 500 * MS
         )
         (seen,) = endpoint.requests
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/once/a%20b?x=1", b"\x00\xff")
         assert (seen.headers[b"x-trace-id"], seen.headers[b"idempotency-key"]) == (b"t1", b"k1")
-        assert 400 <= int(seen.headers[b"x-expires-in-ms"]) <= 500  # the attempt's own time, not the client's
+        assert 400 <= int(seen.headers[b"x-expires-in-ms"]) <= 500  # the attempt's timeout, not the client's
 
 
-async def test_a_load_report_is_read_with_any_status() -> None:
+async def test_a_load_report_is_parsed_with_any_status() -> None:
     report = "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\n"
     async with Endpoint(http_response("500 Oops", report)).serve() as endpoint:
-        assert (await ClusterHarness(endpoint.address).result()).load == (2.0, 7.0)
+        assert (await ClusterHarness(endpoint.address).send_and_wait()).load == (2.0, 7.0)
         endpoint.response = http_response("500 Oops", "Endpoint-Load-Metrics: TEXT queue=many\r\n")
-        assert (await ClusterHarness(endpoint.address).result()).load == ()
+        assert (await ClusterHarness(endpoint.address).send_and_wait()).load == ()
 
 
-async def test_a_connect_without_listener_is_not_executed() -> None:
+async def test_an_attempt_without_a_listening_endpoint_is_not_executed() -> None:
     with socket.socket() as unused:
-        unused.bind(("127.0.0.1", 0))  # bound, not listening: refuses
-        attempt = await ClusterHarness(Address(*unused.getsockname())).result()
+        unused.bind(("127.0.0.1", 0))  # refuses connects: bound, but not listening
+        attempt = await ClusterHarness(Address(*unused.getsockname())).send_and_wait()
     assert attempt.status is AttemptStatus.CONNECT_FAILED
 
 
-async def test_a_connect_that_times_out_is_not_executed() -> None:
+async def test_an_attempt_whose_connect_times_out_is_not_executed() -> None:
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -109,8 +109,8 @@
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
         harness = ClusterHarness(Address(*full.getsockname()))
-        attempt = await harness.result()  # the time for connecting ends first
-        short = await harness.result(timeout_ns=50 * MS)  # the attempt's own does
+        attempt = await harness.send_and_wait()  # the connect timeout expires first
+        short = await harness.send_and_wait(timeout_ns=50 * MS)  # the attempt's deadline passes first
         for filler in fillers:
             filler.close()
     assert (attempt.status, short.status) == (AttemptStatus.CONNECT_FAILED, AttemptStatus.CONNECT_FAILED)
@@ -144,19 +144,15 @@
         (UNTIL_CLOSED, b"ok", "never", AttemptStatus.TIMEOUT),
         (UNTIL_CLOSED, b"x" * 2_000_000, "never", AttemptStatus.RESET),
         (UNTIL_CLOSED[:-2], b"", "close", AttemptStatus.RESET),
-        (
-            b"HTTP/1.1 200 OK\r\n\r\n",
-            b"ok",
-            "never",
-            AttemptStatus.RESET,
-        ),  # neither a length nor a close announced
+        # Neither a length nor a close is announced.
+        (b"HTTP/1.1 200 OK\r\n\r\n", b"ok", "never", AttemptStatus.RESET),
         (UNTIL_CLOSED.replace(b"200 OK", b"500 Oops"), b"", "close", AttemptStatus.ERROR),
     ],
 )
 async def test_a_response_without_length_is_complete_if_its_connection_closes_in_order(
     head: bytes, more: bytes, end: str, status: AttemptStatus
 ) -> None:
-    """The end comes only after all of it was read."""
+    """The connection ends only after all of the response has been read."""
     may_end = asyncio.Event()
 
     async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -169,7 +165,7 @@
         harness = ClusterHarness(endpoint.address)
         attempt = harness.send(timeout_ns=500 * MS if status is AttemptStatus.TIMEOUT else 2 * SECOND)
         await wait_until(lambda: attempt.status is not None or has_parsed(harness.cluster, len(head + more)))
-        assert attempt.status in (None, AttemptStatus.RESET)  # not complete before the end
+        assert attempt.status in (None, AttemptStatus.RESET)  # incomplete until the connection ends
         if end != "never":
             may_end.set()
         await wait_until(lambda: attempt.status is not None)
@@ -179,36 +175,36 @@
             assert attempt.response
             assert attempt.response.body == more
         may_end.set()
-        harness.send()  # the next gets a connection of its own
+        harness.send()  # the next attempt needs a new connection
         await wait_until(lambda: len(endpoint.connections) == 2)
 
 
 @pytest.mark.parametrize("respond", [close_immediately, truncate_and_reset, truncate])
-async def test_a_connection_lost_after_the_request_may_have_executed(
+async def test_an_attempt_whose_connection_is_lost_after_the_request_may_have_executed(
     respond: Callable[..., object],
 ) -> None:
     async with Endpoint(respond).serve() as endpoint:  # type: ignore[arg-type]
-        assert (await ClusterHarness(endpoint.address).result()).status is AttemptStatus.RESET
+        assert (await ClusterHarness(endpoint.address).send_and_wait()).status is AttemptStatus.RESET
         assert len(endpoint.requests) == 1
 
 
-async def test_a_connection_lost_before_the_last_byte_was_sent_is_not_executed() -> None:
+async def test_an_attempt_whose_connection_is_lost_before_the_last_byte_is_not_executed() -> None:
     async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
         reset(writer)
 
-    # The peer reads next to nothing, so most of the request is still unsent when it resets.
+    # The peer reads very little, so most of the request is unsent when it resets the connection.
     server = await asyncio.start_server(connected, "127.0.0.1", 0, limit=16)
     async with server:
         big = Request(b"POST", b"/once/1", {}, b"x" * 30_000_000, True)
-        attempt = await ClusterHarness(Address(*server.sockets[0].getsockname())).result(big)
+        attempt = await ClusterHarness(Address(*server.sockets[0].getsockname())).send_and_wait(big)
     assert attempt.status is AttemptStatus.CONNECT_FAILED
 
 
 async def test_a_missing_response_times_out_and_its_connection_is_closed() -> None:
     async with Endpoint(never_respond).serve() as endpoint:
         harness = ClusterHarness(endpoint.address)
-        assert (await harness.result(timeout_ns=50 * MS)).status is AttemptStatus.TIMEOUT
+        assert (await harness.send_and_wait(timeout_ns=50 * MS)).status is AttemptStatus.TIMEOUT
         await wait_until(lambda: endpoint.closed_by_peer == 1)
         assert not harness.cluster.connections
 
@@ -224,37 +220,39 @@
         assert [a.status for a in harness.finished] == [AttemptStatus.CANCELLED]
 
 
-async def test_a_connection_lost_as_it_comes_up_is_not_executed(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_attempt_whose_connection_is_lost_while_it_is_established_is_not_executed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
     loop = asyncio.get_running_loop()
     connect = loop.create_connection
 
-    async def lost_meanwhile(*args: Any, **names: Any) -> Any:
-        transport, protocol = await connect(*args, **names)
+    async def connect_and_wait_for_loss(*args: Any, **kwargs: Any) -> Any:
+        transport, protocol = await connect(*args, **kwargs)
         await wait_until(transport.is_closing)
         return transport, protocol
 
     server = await asyncio.start_server(close, "127.0.0.1", 0)
     async with server:
-        monkeypatch.setattr(loop, "create_connection", lost_meanwhile)
-        began = monotonic_ns()
-        attempt = await ClusterHarness(Address(*server.sockets[0].getsockname())).result()
+        monkeypatch.setattr(loop, "create_connection", connect_and_wait_for_loss)
+        started_ns = monotonic_ns()
+        attempt = await ClusterHarness(Address(*server.sockets[0].getsockname())).send_and_wait()
     assert attempt.status is AttemptStatus.CONNECT_FAILED
-    assert monotonic_ns() - began < SECOND  # at once, not at the attempt's deadline
+    assert monotonic_ns() - started_ns < SECOND  # the attempt ended before its deadline
 
 
 async def test_unsent_bytes_of_a_cancelled_request_are_dropped() -> None:
-    """Its last byte would be an attempt that nobody counts."""
+    """If its last byte were sent, the endpoint could execute it after the attempt has ended."""
     size = 30_000_000
     received = 0
     ended = asyncio.Event()
-    read_on = asyncio.Event()
+    may_read = asyncio.Event()
 
     async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal received
-        await read_on.wait()
+        await may_read.wait()
         with suppress(OSError):
             while data := await reader.read(1 << 20):
                 received += len(data)
@@ -266,6 +264,6 @@
         attempt = harness.send(Request(b"POST", b"/once/1", {}, b"x" * size, True))
         await wait_until(lambda: attempt.connection is not None)
         attempt.abort(AttemptStatus.CANCELLED)
-        read_on.set()
+        may_read.set()
         await ended.wait()
     assert received < size
--- a/tests/upstream/test_attempt_outcome.py
+++ b/tests/upstream/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""What the status of an attempt proves: the table of upstream/attempt_outcome.py."""
+"""The table of upstream/attempt_outcome.py: what the status of an attempt proves."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (500, NEVER_RAN, AttemptStatus.ERROR),
     ],
 )
-def test_only_503_and_504_with_the_mark_prove_that_nothing_was_executed(
+def test_only_503_and_504_with_x_never_ran_prove_that_nothing_was_executed(
     http_status: int, headers: dict[bytes, bytes], status: AttemptStatus
 ) -> None:
     assert status_of_response(http_status, headers) is status
--- a/tests/upstream/test_connection_timing.py
+++ b/tests/upstream/test_connection_timing.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints at the edges of their timeouts, and drains of requests not sent yet."""
+"""Connections to endpoints just before and after their timeouts, and drains of unsent requests."""
 
 from __future__ import annotations
 
@@ -17,34 +17,36 @@
 
 
 @pytest.mark.parametrize("keepalive_s", [0.4, 1.0, 3.0])
-async def test_an_idle_connection_is_not_reused_past_its_timeout_before_a_sweep(keepalive_s: float) -> None:
+async def test_an_idle_connection_is_not_reused_after_its_timeout_even_without_a_sweep(
+    keepalive_s: float,
+) -> None:
     async with Endpoint().serve() as endpoint:
         harness = ClusterHarness(endpoint.address, keepalive_ns=int(keepalive_s * SECOND))
         pair = [harness.send(), harness.send()]
         await wait_until(lambda: all(a.status is AttemptStatus.OK for a in pair))
         for connection in harness.cluster.connections:
             connection.idle_since_s -= 0.8 * keepalive_s
-        assert (await harness.result()).status is AttemptStatus.OK
-        assert len(endpoint.connections) == 3  # and the endpoint has seen the old ones end
+        assert (await harness.send_and_wait()).status is AttemptStatus.OK
+        assert len(endpoint.connections) == 3  # a new one, and the two old ones are closed
         await wait_until(lambda: endpoint.closed_by_peer == 2)
 
 
 async def test_a_connection_established_just_before_the_timeout_is_used_and_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timeout ends between the handshake and the event loop's notification of it."""
+    """The timeout expires between the handshake and the event loop's notification of it."""
     loop = asyncio.get_running_loop()
     create = loop.create_connection
 
-    async def notify_late(*args: Any, **names: Any) -> Any:
-        made = await create(*args, **names)
+    async def notify_late(*args: Any, **kwargs: Any) -> Any:
+        connection = await create(*args, **kwargs)
         await asyncio.sleep(0.3)  # the cluster's connect timeout is 0.2 s
-        return made
+        return connection
 
     async with Endpoint().serve() as endpoint:
         harness = ClusterHarness(endpoint.address)
         monkeypatch.setattr(loop, "create_connection", notify_late)
-        assert (await harness.result()).status is AttemptStatus.OK
+        assert (await harness.send_and_wait()).status is AttemptStatus.OK
         (pool,) = harness.cluster.pools
         assert harness.cluster.connections == set(pool.idle)
         assert len(pool.idle) == 1
@@ -54,15 +56,15 @@
 
 
 def fill_send_buffer(sock: socket.socket) -> None:
-    """Send until the kernel takes no more. Empty lines mean nothing (RFC 9112, section 2.2)."""
+    """Send until the kernel accepts no more. Servers ignore the empty lines (RFC 9112, section 2.2)."""
     while True:
         sock.send(b"\r\n" * 100_000)
 
 
-async def test_a_drain_withdraws_a_request_of_which_nothing_was_sent() -> None:
+async def test_a_drain_ends_an_attempt_of_which_nothing_was_sent() -> None:
     async with Endpoint().serve() as endpoint:
         harness = ClusterHarness(endpoint.address)
-        await harness.result()
+        await harness.send_and_wait()
         (connection,) = harness.cluster.connections
         sock = transport_of(connection).get_extra_info("socket")
         # A stream reader has no public way to stop reading.
