--- a/anisespool/listener/connection_table.py
+++ b/anisespool/listener/connection_table.py
@@ -85,7 +85,7 @@
         self.active.discard(connection)
 
     def may_keep_alive(self, history: ReuseHistory) -> bool:
-        """Whether an active connection stays open after its response; may close an idle one instead."""
+        """Whether an active connection stays open after its response; may close an idle one to make room."""
         other_active = len(self.active) - 1
         new = len(self._new) + self.accepting
         decision = self.keep_alive_policy.decide(
--- a/tests/listener/conftest.py
+++ b/tests/listener/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the listener's tests."""
+"""Fixtures for the tests of the listener."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 def servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """The listener of each sidecar that the test starts, for state that no peer can see."""
-    made: list[Server] = []
+    """The listener of each sidecar that the test starts, to inspect state that peers can't see."""
+    created: list[Server] = []
 
     class RecordedServer(Server):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
-            made.append(self)
+            created.append(self)
 
     monkeypatch.setattr(composition, "Server", RecordedServer)
-    return made
+    return created
--- a/tests/listener/harness.py
+++ b/tests/listener/harness.py
@@ -18,8 +18,10 @@
 LARGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 1_000_000
 
 
-async def unreading_client(sidecar: RunningSidecar, endpoint: Endpoint, server: Server) -> socket.socket:
-    """A client that reads nothing, after requests whose responses fill its receive buffer."""
+async def client_that_reads_nothing(
+    sidecar: RunningSidecar, endpoint: Endpoint, server: Server
+) -> socket.socket:
+    """Return a client that reads nothing, after requests whose responses fill its receive buffer."""
     loop = asyncio.get_running_loop()
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -35,18 +37,18 @@
 class BlockedEndpoint(Endpoint):
     """An endpoint that responds only once `may_respond` is set."""
 
-    def __init__(self, answer: bytes = OK) -> None:
+    def __init__(self, response: bytes = OK) -> None:
         super().__init__(self._respond_when_allowed)
         self.may_respond = asyncio.Event()
-        self._reply = answer
+        self._reply = response
 
     async def _respond_when_allowed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await self.may_respond.wait()
         writer.write(self._reply)
 
 
-def open_work(server: Server) -> list[Any]:
-    """Everything that is still open, wherever the sidecar tracks it."""
+def unfinished_work(server: Server) -> list[Any]:
+    """Return all unfinished work, wherever the sidecar tracks it."""
     cluster = server.proxy.cluster
     pools = cluster.pools
     waiting: list[Any] = [item for pool in pools for item in (*pool.connecting, *pool.active)]
@@ -62,13 +64,13 @@
 
 
 async def read_responses(reader: asyncio.StreamReader, count: int) -> list[tuple[int, bool]]:
-    """Status of each response, and whether the connection stays open."""
-    answers: list[Response] = [await read_response(reader) for _ in range(count)]
-    return [(answer.status, answer.keep_alive) for answer in answers]
+    """Return the status of each response, and whether the connection stays open."""
+    responses: list[Response] = [await read_response(reader) for _ in range(count)]
+    return [(response.status, response.keep_alive) for response in responses]
 
 
 async def idle_connection(sidecar: RunningSidecar) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A client's connection that is idle after a response."""
+    """Open a client connection that is idle after a response."""
     reader, writer = await asyncio.open_connection(*sidecar.address)
     writer.write(request_bytes("once", "t1"))
     assert await read_responses(reader, 1) == [(200, True)]
@@ -76,13 +78,13 @@
 
 
 def pause_reading(server: Server) -> TrackedConnection:
-    """Stop reading: what the one client writes from now on stays in the kernel."""
+    """Stop reading from the only client, so that its further input stays in the kernel."""
     (connection,) = server.connections
     transport_of(connection).pause_reading()
     return connection
 
 
-async def unread_input(connection: TrackedConnection) -> None:
+async def wait_for_unread_input(connection: TrackedConnection) -> None:
     await wait_until(lambda: connection.has_unread_input)
 
 
--- a/tests/listener/test_bad_clients.py
+++ b/tests/listener/test_bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send invalid input, or nothing: they are rejected or time out, and nothing is forwarded."""
+"""Clients that send invalid input or nothing are rejected or time out, and nothing is forwarded."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 async def read_to_close(address: tuple[str, int], data: bytes) -> bytes:
-    """All that is received until the sidecar closes the connection."""
+    """Return all input until the sidecar closes the connection."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     try:
@@ -38,14 +38,14 @@
         writer.close()
 
 
-SMUGGLED = request_bytes("once", "inner")
+SMUGGLED_REQUEST = request_bytes("once", "inner")
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        HEAD + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
-        HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED,
+        HEAD + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
+        HEAD + b"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST,
         HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
         HEAD + b"Transfer-Encoding: identity\r\n\r\n",
         HEAD + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
@@ -69,7 +69,7 @@
     tmp_path: Path, capfd: pytest.CaptureFixture[str], data: bytes
 ) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        reply = await read_to_close(sidecar.address, data)  # and the connection is ended
+        reply = await read_to_close(sidecar.address, data)  # the sidecar also closes the connection
         assert re.findall(rb"HTTP/1.1 (\d)", reply) == [b"4"]
         assert not endpoint.requests
     assert "Traceback" not in capfd.readouterr().err
@@ -84,10 +84,10 @@
         await wait_until(lambda: len(endpoint.requests) == 1)
         assert (await send_request(sidecar.address, request_bytes("once", "t1"))).status == 409
         assert (await first).status == 200
-        assert (await send_request(sidecar.address, request_bytes("once", "t1"))).status == 200  # free again
+        assert (await send_request(sidecar.address, request_bytes("once", "t1"))).status == 200  # id released
         cancelled = asyncio.create_task(send_request(sidecar.address, request_bytes("once", "t1")))
         await wait_until(lambda: len(endpoint.requests) == 3)
-        cancelled.cancel()  # the disconnect releases it
+        cancelled.cancel()  # the disconnect releases the id
         while (await send_request(sidecar.address, request_bytes("once", "t1"))).status == 409:
             pass
         assert len(endpoint.requests) == 4
@@ -101,16 +101,16 @@
 @pytest.mark.usefixtures("short_timeouts")
 async def test_silent_connections_and_partial_requests_time_out(tmp_path: Path, data: bytes) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        began = monotonic()
+        started_s = monotonic()
         reply = await read_to_close(sidecar.address, data)
         assert reply.startswith(b"HTTP/1.1 408") if data else reply == b""
-        assert monotonic() - began < 1.0
+        assert monotonic() - started_s < 1.0
         assert not endpoint.requests
 
 
 @pytest.mark.usefixtures("short_timeouts")
 async def test_timeouts_for_silence_do_not_apply_while_a_request_is_open(tmp_path: Path) -> None:
-    """Nor does the timeout for a partial request behind it, until the response is sent."""
+    """The timeout for a partial request behind it starts only after the response has been sent."""
     async with (
         Endpoint(respond_after(0.4)).serve() as endpoint,
         running_sidecar(tmp_path, endpoint) as sidecar,
@@ -128,12 +128,12 @@
         reader, writer = await asyncio.open_connection(*sidecar.address)
         writer.write(start)
         sent = 0
-        answer = asyncio.create_task(read_response(reader))
-        while not answer.done():
+        response = asyncio.create_task(read_response(reader))
+        while not response.done():
             writer.write(b"x" * 1000)
             sent += 1000
             await asyncio.sleep(0)
-        assert (await answer).status == 413
+        assert (await response).status == 413
         assert not endpoint.requests
         writer.close()
 
@@ -158,7 +158,7 @@
 async def test_silent_connections_do_not_displace_those_with_requests(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """The configuration has 256 descriptors. A request that is open stays whatever comes."""
+    """The process may have 256 descriptors. A connection with an open request is never evicted."""
     async with (
         Endpoint(respond_after(0.3)).serve() as endpoint,
         running_sidecar(tmp_path, endpoint) as sidecar,
@@ -174,7 +174,7 @@
     assert "Errno" not in capfd.readouterr().err
 
 
-async def test_a_disconnect_behind_many_pipelined_requests_is_noticed(tmp_path: Path) -> None:
+async def test_a_disconnect_behind_many_pipelined_requests_is_detected(tmp_path: Path) -> None:
     async with Endpoint(never_respond).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
         for number in range(8):
--- a/tests/listener/test_client_disconnect.py
+++ b/tests/listener/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""A client that disconnects: its requests are cancelled, also those pipelined or not forwarded yet."""
+"""The requests of a disconnected client are cancelled, even if they are pipelined or not forwarded yet."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from tests.listener.harness import (
     LARGE_RESPONSE,
     BlockedEndpoint,
+    client_that_reads_nothing,
     idle_connection,
-    open_work,
-    unreading_client,
+    unfinished_work,
 )
 from tests.support import SECOND
 
@@ -31,7 +31,7 @@
 async def test_tcp_nodelay_is_set_towards_clients_and_endpoints(
     tmp_path: Path, servers: list[Server]
 ) -> None:
-    """Otherwise the kernel delays small writes until others are acknowledged, and a reset drops them."""
+    """Otherwise the kernel delays small writes until others are acknowledged, and a reset discards them."""
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         _, writer = await idle_connection(sidecar)
         (client,) = servers[0].connections
@@ -47,27 +47,27 @@
 
 
 def half_close(writer: asyncio.StreamWriter) -> None:
-    """Ending the output cancels as well: the protocol has no other way for a client to do so."""
+    """End the output, which is the only way in which the protocol lets a client cancel."""
     writer.write_eof()
 
 
-@pytest.mark.parametrize("leave", [close, reset, half_close])
+@pytest.mark.parametrize("disconnect", [close, reset, half_close])
 @pytest.mark.parametrize("ahead", [0, 1, 20, 150], ids=lambda n: f"{n} ahead")
 async def test_pipelined_requests_of_a_disconnected_client_are_not_forwarded(
-    tmp_path: Path, servers: list[Server], ahead: int, leave: Callable[..., None]
+    tmp_path: Path, servers: list[Server], ahead: int, disconnect: Callable[..., None]
 ) -> None:
-    """More requests may be pipelined than are read, with the end of the input behind them."""
+    """The client may pipeline more requests than are read before the end of its input."""
     endpoint = BlockedEndpoint()
     async with endpoint.serve(), running_sidecar(tmp_path, endpoint) as sidecar:
         before = len(os.listdir("/proc/self/fd"))
         _, writer = await asyncio.open_connection(*sidecar.address)
         writer.write(b"".join(request_bytes("once", f"t{n}", body=b"x" * 500) for n in range(1 + ahead)))
         await wait_until(lambda: len(endpoint.requests) == 1 and not writer.transport.get_write_buffer_size())
-        leave(writer)
-        await wait_until(lambda: not open_work(servers[0]))  # while the endpoint has not responded
+        disconnect(writer)
+        await wait_until(lambda: not unfinished_work(servers[0]))  # before the endpoint has responded
         endpoint.may_respond.set()
         writer.transport.abort()
-        # The endpoint's own end of the connection counts too.
+        # The descriptor of the endpoint's end of the connection is counted, too.
         await wait_until(lambda: len(os.listdir("/proc/self/fd")) == before)
         assert (await send_request(sidecar.address, request_bytes("look"))).status == 200
         assert [r.headers[b"x-trace-id"] for r in endpoint.requests] == [b"t0", b"t1"]
@@ -82,14 +82,14 @@
     async with endpoint.serve(), running_sidecar(tmp_path, endpoint) as sidecar:
         respond_when_allowed = endpoint.response
         endpoint.response = LARGE_RESPONSE
-        sock = await unreading_client(sidecar, endpoint, servers[0])
+        sock = await client_that_reads_nothing(sidecar, endpoint, servers[0])
         endpoint.response = respond_when_allowed
         count = len(endpoint.requests)
         long_deadline = [request_bytes("once", trace_id, 30_000) for trace_id in ("u0", "u1")]
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(long_deadline))
         await wait_until(lambda: len(endpoint.requests) > count)
         sock.shutdown(socket.SHUT_WR)
-        await wait_until(lambda: not open_work(servers[0]))
+        await wait_until(lambda: not unfinished_work(servers[0]))
         endpoint.may_respond.set()
         assert (await send_request(sidecar.address, request_bytes("look", "last"))).status == 200
         assert [r.headers[b"x-trace-id"] for r in endpoint.requests[count:]] == [b"u0", b"last"]
@@ -117,6 +117,6 @@
         writer.close()
         await wait_until(lambda: not servers[0].proxy.open_request_count)
         may_complete.set()
-        await wait_until(lambda: not open_work(servers[0]))
+        await wait_until(lambda: not unfinished_work(servers[0]))
         assert (await send_request(sidecar.address, request_bytes("look", "t1"))).status == 200
         assert [r.headers[b"x-trace-id"] for r in endpoint.requests] == [b"t1"]
--- a/tests/listener/test_keepalive.py
+++ b/tests/listener/test_keepalive.py
@@ -1,4 +1,4 @@
-"""Keep-alive policy: the pure rule, and clients whose descriptors are used up by idle connections."""
+"""The keep-alive policy on its own, and with clients whose descriptors are used up by idle connections."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 from tests.harness.running_sidecar import running_sidecar
 from tests.harness.waiting import wait_until
 
-DESCRIPTORS = 384  # a third of them, 128, is what the client may hold
+DESCRIPTORS = 384  # a third of them, 128, is what a client is assumed to have
 CLIENT_CAPACITY = DESCRIPTORS // 3
 
 
 def reused_connection(policy: KeepAlivePolicy, gap_s: float, times: int = 6) -> ReuseHistory:
-    reuse = ReuseHistory()
+    history = ReuseHistory()
     for _ in range(times):
-        policy.request_received(reuse, gap_s)
-    return reuse
+        policy.request_received(history, gap_s)
+    return history
 
 
 def single_use_connection(policy: KeepAlivePolicy) -> ReuseHistory:
     return reused_connection(policy, 0.0, 1)
 
 
-def steady_responses(policy: KeepAlivePolicy, answers: int, over_s: float, start: float = 100.0) -> float:
-    """Responses at a steady rate on connections that are reused; returns the time after them."""
-    for number in range(answers):
-        policy.decide(start + over_s * number / answers, reused_connection(policy, 0.05), 0, 5, 0)
+def steady_responses(policy: KeepAlivePolicy, count: int, over_s: float, start: float = 100.0) -> float:
+    """Decide on responses at a steady rate on reused connections, and return the time afterwards."""
+    for number in range(count):
+        policy.decide(start + over_s * number / count, reused_connection(policy, 0.05), 0, 5, 0)
     return start + over_s
 
 
@@ -60,12 +60,12 @@
     idle = int(policy.max_idle_limit * 0.7)
     assert policy.decide(now, single_use_connection(policy), idle, 5, 0) is KeepAliveDecision.CLOSE
     assert policy.decide(now, reused_connection(policy, 0.05), idle, 5, 0) is KeepAliveDecision.KEEP
-    # Reused as well, but too late.
+    # Reused, but after too long a gap.
     assert policy.decide(now, reused_connection(policy, 5.0), idle, 5, 0) is KeepAliveDecision.CLOSE
 
 
-def test_new_connections_stay_open_where_most_are_reused() -> None:
-    """Closed, each would cost a handshake when its client returns."""
+def test_new_connections_stay_open_if_the_reuse_ratio_is_high() -> None:
+    """If they were closed, each returning client would need another handshake."""
     policy = KeepAlivePolicy(DESCRIPTORS)
     now = steady_responses(policy, 500, 5.0)
     assert policy.reuse_ratio > 0.9
@@ -85,11 +85,11 @@
     assert policy.max_idle_limit < CLIENT_CAPACITY / 2
 
 
-@pytest.mark.parametrize(("working", "silent"), [(CLIENT_CAPACITY, 0), (0, 1000), (CLIENT_CAPACITY, 1000)])
-def test_a_few_idle_connections_are_allowed_whatever_else_is_open(working: int, silent: int) -> None:
+@pytest.mark.parametrize(("active", "silent"), [(CLIENT_CAPACITY, 0), (0, 1000), (CLIENT_CAPACITY, 1000)])
+def test_a_few_idle_connections_are_allowed_regardless_of_other_connections(active: int, silent: int) -> None:
     policy = KeepAlivePolicy(DESCRIPTORS)
-    assert policy.max_idle(working, silent) == MIN_IDLE_CONNECTIONS
-    assert policy.decide(1.0, reused_connection(policy, 0.05), 0, working, silent) is KeepAliveDecision.KEEP
+    assert policy.max_idle(active, silent) == MIN_IDLE_CONNECTIONS
+    assert policy.decide(1.0, reused_connection(policy, 0.05), 0, active, silent) is KeepAliveDecision.KEEP
 
 
 def test_many_new_connections_lower_the_idle_limit() -> None:
@@ -103,7 +103,7 @@
 
 
 class ClientProcess:
-    """A client with `CLIENT_CAPACITY` descriptors: a new connection waits until another has ended."""
+    """A client with `CLIENT_CAPACITY` descriptors; a new connection waits until a descriptor is free."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -112,7 +112,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def single_use(self, trace_id: str) -> None:
-        """One request on a connection that stays open until the sidecar closes it."""
+        """Send one request on a connection that stays open until the sidecar closes it."""
         async with self.descriptors:
             reader, writer = await asyncio.open_connection(*self.address)
             self.opened += 1
@@ -120,7 +120,7 @@
             response = await read_response(reader)
             self.served += response.status == 200
             self.rejected += response.status != 200
-            await reader.read()  # until the sidecar closes it
+            await reader.read()  # returns once the sidecar closes the connection
             writer.close()
 
     async def connect_silently(self) -> None:
@@ -130,7 +130,7 @@
             writer.close()
 
     async def reuse(self, name: str, times: int) -> None:
-        """Requests one after another; a new connection only after `Connection: close`."""
+        """Send consecutive requests, with a new connection only after `Connection: close`."""
         streams = None
         for number in range(times):
             if streams is None:
@@ -148,13 +148,13 @@
         if streams:
             streams[1].close()
 
-    def start(self, *work: object) -> None:
-        self.tasks += [asyncio.ensure_future(w) for w in work]  # type: ignore[call-overload]
+    def start(self, *coroutines: object) -> None:
+        self.tasks += [asyncio.ensure_future(w) for w in coroutines]  # type: ignore[call-overload]
 
 
 async def test_single_use_connections_do_not_use_up_the_client_descriptors(tmp_path: Path) -> None:
-    """Three times as many connections as the client has descriptors: without the policy the last would wait
-    for the first to time out, ten seconds later."""
+    """The client opens three times as many connections as it has descriptors. Without the policy, the last
+    would wait ten seconds for the first to time out."""
     async with (
         Endpoint().serve() as endpoint,
         running_sidecar(tmp_path, endpoint, sockets=DESCRIPTORS) as sidecar,
@@ -168,7 +168,7 @@
             task.cancel()
 
 
-async def test_reused_connections_stay_open_beside_silent_and_single_use_ones(tmp_path: Path) -> None:
+async def test_reused_connections_stay_open_despite_silent_and_single_use_ones(tmp_path: Path) -> None:
     async with (
         Endpoint().serve() as endpoint,
         running_sidecar(tmp_path, endpoint, sockets=DESCRIPTORS) as sidecar,
@@ -191,14 +191,14 @@
 async def test_silent_connections_do_not_use_up_the_client_descriptors(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With all descriptors used by silent connections no new one arrives that would evict one."""
+    """If silent connections used all descriptors, no new connection could arrive and evict one of them."""
     monkeypatch.setattr(timeouts, "FIRST_REQUEST_TIMEOUT_S", 60.0)
     async with (
         Endpoint().serve() as endpoint,
         running_sidecar(tmp_path, endpoint, sockets=DESCRIPTORS) as sidecar,
     ):
         client = ClientProcess(sidecar.address)
-        # As they close, others take their descriptors.
+        # As these close, others use their descriptors.
         client.start(*[client.connect_silently() for _ in range(3 * CLIENT_CAPACITY)])
         client.start(*[client.single_use(f"o{n}") for n in range(16)])
         await wait_until(lambda: client.served == 16)
--- a/tests/listener/test_request_validation.py
+++ b/tests/listener/test_request_validation.py
@@ -19,14 +19,14 @@
 from tests.harness.platform_config import platform_settings
 
 KEY = "Idempotency-Key: k\r\n"
-FITTING = [("GET", ""), ("POST", KEY), ("POST", "")]  # method and headers, for the classes in their order
+FITTING_REQUESTS = [("GET", ""), ("POST", KEY), ("POST", "")]  # method and headers for each class, in order
 
 
 async def assert_only_fitting_requests_are_served(address: Address, classes: tuple[str, ...]) -> None:
-    for name, fits in zip(classes, FITTING, strict=True):
-        percent = quote(name, safe="")
-        for text in (percent, percent.lower()):
-            for method, key in FITTING:
+    for name, fits in zip(classes, FITTING_REQUESTS, strict=True):
+        percent_encoded = quote(name, safe="")
+        for text in (percent_encoded, percent_encoded.lower()):
+            for method, key in FITTING_REQUESTS:
                 data = f"{method} /{text}/7 HTTP/1.1\r\nX-Trace-Id: t\r\n{key}\r\n"
                 status = (await send_request(address, data.encode())).status
                 case = f"{classes}, {name}: {method} {text} {key} {status}"
@@ -40,18 +40,18 @@
 
 
 async def test_two_configurations_in_one_process_are_isolated(tmp_path: Path) -> None:
-    """The same names with other idempotency, and names beyond ASCII; each by its own settings alone."""
+    """The same class names, some beyond ASCII, have different idempotency in the two configurations."""
     class_names = [("look", "envío urgente", "a/b"), ("a/b", "look", "envío urgente")]
     async with (
         Endpoint().serve() as endpoint,
-        DiscoveryService([member("s-0", endpoint.address)]).serve() as roster,
+        DiscoveryService([member("s-0", endpoint.address)]).serve() as discovery,
     ):
         for number, classes in enumerate(class_names):
             raw = platform_settings()
             for row, name in zip(raw["request-classes"], classes, strict=True):
                 row["name"] = name
             raw["tenants"] = [{"name": f"café {number}", "share": 1.0, "quota-per-s": 1.0}]
-            config = load_platform_config(platform.write_config(tmp_path, roster.address, [], raw))
+            config = load_platform_config(platform.write_config(tmp_path, discovery.address, [], raw))
             listening = asyncio.get_running_loop().create_future()
             task = asyncio.create_task(run(config, Signals(), listening.set_result))
             await assert_only_fitting_requests_are_served(await listening, classes)
--- a/tests/listener/test_shutdown.py
+++ b/tests/listener/test_shutdown.py
@@ -18,13 +18,13 @@
 from tests.listener.harness import (
     LARGE_RESPONSE,
     BlockedEndpoint,
+    client_that_reads_nothing,
     idle_connection,
-    open_work,
     pause_reading,
     read_responses,
     resume_reading,
-    unread_input,
-    unreading_client,
+    unfinished_work,
+    wait_for_unread_input,
 )
 from tests.support import SECOND, raw_settings
 from tests.upstream.harness import never_respond
@@ -36,26 +36,26 @@
 ) -> None:
     endpoint = BlockedEndpoint()
     second = request_bytes("once", "t2", body=b"abc")
-    cut = {"read ahead": len(second), "half read": 40, "in the kernel": 0}[how]
+    split_at = {"read ahead": len(second), "half read": 40, "in the kernel": 0}[how]
     async with endpoint.serve(), running_sidecar(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
-        writer.write(request_bytes("once", "t1") + second[:cut])
+        writer.write(request_bytes("once", "t1") + second[:split_at])
         await wait_until(lambda: len(endpoint.requests) == 1)
         sidecar.signals.stop.set()
         await wait_until(lambda: servers[0].stopping)
         connection = pause_reading(servers[0])
         if how == "in the kernel":
             writer.write(second)
-            await unread_input(connection)
+            await wait_for_unread_input(connection)
         endpoint.may_respond.set()
-        assert await read_responses(reader, 1) == [(200, True)]  # closed here, the second would be lost
-        writer.write(second[cut:] if cut else b"")
+        assert await read_responses(reader, 1) == [(200, True)]  # closing would lose the second request
+        writer.write(second[split_at:] if split_at else b"")
         resume_reading(connection)
         assert await read_responses(reader, 1) == [(200, False)]
         assert await reader.read() == b""
         await sidecar.task
         assert len(endpoint.requests) == 2
-        assert not open_work(servers[0])
+        assert not unfinished_work(servers[0])
         writer.close()
 
 
@@ -67,7 +67,7 @@
         reader, writer = await idle_connection(sidecar)
         connection = pause_reading(servers[0])
         writer.write(request_bytes("once", "t2"))
-        await unread_input(connection)
+        await wait_for_unread_input(connection)
         if closer == "shutdown":
             sidecar.signals.stop.set()
             await wait_until(lambda: servers[0].stopping)
@@ -82,7 +82,7 @@
 
 @pytest.fixture
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """SIGKILL comes half a second after SIGTERM."""
+    """Shorten the graceful shutdown, so that it ends half a second after SIGTERM at the latest."""
     for name, value in (
         ("ACCEPT_AFTER_SIGTERM_S", 0.1),
         ("SIGKILL_MARGIN_S", 0.3),
@@ -107,7 +107,10 @@
     tmp_path: Path, servers: list[Server]
 ) -> None:
     """Clients would wait for a minute. Requests that may have been executed fail; others are rejected."""
-    async with Endpoint(never_respond).serve() as hangs, running_sidecar(tmp_path, hangs) as sidecar:
+    async with (
+        Endpoint(never_respond).serve() as hanging_endpoint,
+        running_sidecar(tmp_path, hanging_endpoint) as sidecar,
+    ):
         calls = [("look", ""), ("keyed", "Idempotency-Key: k\r\n"), ("once", "")]
         streams = []
         for request_class, headers in calls:
@@ -116,12 +119,12 @@
                 trace_id = f"{request_class}-{number}"
                 writer.write(request_bytes(request_class, trace_id, 60_000, headers=headers))
             streams.append((reader, writer))
-        await wait_until(lambda: len(hangs.requests) >= len(calls))
+        await wait_until(lambda: len(hanging_endpoint.requests) >= len(calls))
         sidecar.signals.stop.set()
-        answers = [await read_responses(reader, 3) for reader, _ in streams]
-        assert answers == [[(first, True), (503, True), (503, False)] for first in (503, 504, 504)]
+        responses = [await read_responses(reader, 3) for reader, _ in streams]
+        assert responses == [[(first, True), (503, True), (503, False)] for first in (503, 504, 504)]
         await sidecar.task
-        assert not open_work(servers[0])
+        assert not unfinished_work(servers[0])
         for _, writer in streams:
             writer.close()
 
@@ -132,7 +135,7 @@
 ) -> None:
     monkeypatch.setattr(timeouts, "WRITE_TIMEOUT_S", 1000.0)
     async with Endpoint(LARGE_RESPONSE).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
-        client = await unreading_client(sidecar, endpoint, servers[0])
+        client = await client_that_reads_nothing(sidecar, endpoint, servers[0])
         sidecar.signals.stop.set()
         await sidecar.task
         client.close()
--- a/tests/listener/test_timeouts.py
+++ b/tests/listener/test_timeouts.py
@@ -1,4 +1,4 @@
-"""The pure rule on what a client has to do in time."""
+"""The rules of client timeouts."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         (False, 7.0, TimeoutAction.CLOSE_IF_IDLE),
     ],
 )
-def test_half_a_request_is_rejected_and_an_unused_connection_closed(
+def test_a_partial_request_is_rejected_and_an_idle_connection_is_closed(
     is_partial: bool, timeout_s: float, action: TimeoutAction
 ) -> None:
     assert read_action(timeout_s, is_partial, idle_timeout_s=7.0) is None
