--- a/anisespool/records/__init__.py
+++ b/anisespool/records/__init__.py
@@ -1,4 +1,4 @@
-"""Request records as RFC 5424 syslog messages: sampling, encoding, queueing, sending, and reading them again.
+"""Request records: samples, encodes, queues and sends them as RFC 5424 syslog messages, and reads them back.
 
-Nothing in here is imported unless the operator's file has a section `records`, or by `anisespool trace`.
+The package is imported only if the operator's file has a section `records`, or by `anisespool trace`.
 """
--- a/anisespool/records/accounting.py
+++ b/anisespool/records/accounting.py
@@ -1,4 +1,4 @@
-"""What became of the records: counts since the start, and records whose delivery is uncertain. Pure."""
+"""Counts of requests and records since the start, and records whose delivery is uncertain. Pure."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from anisespool.records.outcome import Outcome
 
 
-def _no_records() -> list[int]:
+def _zero_counts() -> list[int]:
     return [0] * len(Outcome)
 
 
 @dataclass(slots=True)
 class RecordCounts:
-    """Requests and their records by outcome, since the start. Drops are counted by the queue."""
+    """Counts of requests and their records by outcome, since the start. The queue counts drops."""
 
-    answered: list[int] = field(default_factory=_no_records)
+    answered: list[int] = field(default_factory=_zero_counts)
     """Requests that have ended."""
-    sampled_out: list[int] = field(default_factory=_no_records)
-    """Requests that the sampler did not choose."""
-    sent: list[int] = field(default_factory=_no_records)
-    """Records that have been handed to the kernel completely."""
+    sampled_out: list[int] = field(default_factory=_zero_counts)
+    """Requests that the sampler did not select."""
+    sent: list[int] = field(default_factory=_zero_counts)
+    """Records that were completely handed to the kernel."""
     unconfirmed: int = 0
-    """Of the sent records: those that were on a connection shortly before it was lost."""
+    """Sent records whose connection was lost shortly afterwards."""
 
 
 class UnconfirmedRange(NamedTuple):
-    """Records that were sent on a connection shortly before it was lost, by their numbers."""
+    """Records sent shortly before their connection was lost: how many, and the lowest and highest number."""
 
     total: int
     first: int
@@ -37,22 +37,22 @@
 
 
 class UnconfirmedRecords:
-    """The records sent last on a connection.
+    """The last records sent on the current connection.
 
-    When the connection is lost it is unknown whether they arrived: what the receiver has not read is lost
-    with the connection, although its kernel acknowledged it.
+    If the connection is lost, it is unknown whether they arrived: data that the receiver has not read is lost
+    with the connection, even if the receiver's kernel has acknowledged it.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Create an empty set that keeps the records sent last, of up to `max_bytes` in all."""
+        """Create an empty set that keeps the last records sent, up to `max_bytes` in total."""
         self._max_bytes = max_bytes
         self._size_bytes = 0
-        # By record; two queues of numbers, as one object for each record would cost more.
+        # Two queues of integers cost less than one object for each record.
         self._numbers: deque[int] = deque()
         self._sizes_bytes: deque[int] = deque()
 
     def add(self, record: QueuedRecord) -> None:
-        """Add a record that was sent. The last one is kept whatever its size."""
+        """Add a record that was sent. The most recent record is kept whatever its size."""
         self._numbers.append(record.number)
         self._sizes_bytes.append(record.size_bytes)
         self._size_bytes += record.size_bytes
@@ -61,7 +61,7 @@
             self._size_bytes -= self._sizes_bytes.popleft()
 
     def drain(self) -> UnconfirmedRange:
-        """Return the range of the records and remove them: the connection is lost."""
+        """Remove all records and return their range, after the connection was lost."""
         numbers = self._numbers
         unconfirmed = UnconfirmedRange(len(numbers), min(numbers, default=0), max(numbers, default=0))
         self._numbers.clear()
--- a/anisespool/records/analysis.py
+++ b/anisespool/records/analysis.py
@@ -1,7 +1,7 @@
-"""Answers questions about requests from their records: one request, the slowest, groups, what is missing.
+"""Analyses request records: finds one request, the slowest requests, groups of requests, and missing records.
 
-Every question takes one pass over the lines (a request takes two, as its client's other attempts may precede
-it) and an amount of memory that does not grow with them.
+Each analysis takes one pass over the lines, and memory that does not grow with their number. `find_request`
+takes two passes, as the client's other attempts at the operation may precede the request.
 """
 
 from __future__ import annotations
@@ -17,24 +17,28 @@
 from anisespool.records.reader import LineCounts, ParsedRecord, RecordFilter, read_records
 from anisespool.records.rfc5424 import escape_value
 
-MAX_RETRY_GAP_S = 60.0  # between two client attempts at one operation
-MAX_GROUPS = 10_000  # what exceeds it is one group
+# Longest time from the end of a client's attempt to its next attempt at the same operation.
+MAX_RETRY_GAP_S = 60.0
+# Limits the memory of an analysis; all further groups are counted as one, OTHER_GROUPS.
+MAX_GROUPS = 10_000
 MAX_TRACE_ID_BYTES = 65_000
 MAX_RELATED_RECORDS = 1_000
 OTHER_GROUPS = "(others)"
+# Selects the records that `find_missing` reads.
 GAP_FILTER = RecordFilter((message_ids.GAP.encode(), message_ids.COUNTS.encode()))
-ENDPOINT_KEY = "endpoint"  # groups attempts; the other keys group requests by a parameter of that name
+# This key groups attempts; the other keys group requests by the parameter of the same name.
+ENDPOINT_KEY = "endpoint"
 GROUP_KEYS = ("member", "class", "node", "outcome", ENDPOINT_KEY)
 
 
 class TimeRange(NamedTuple):
-    """From `start_s` until before `end_s`, in Unix seconds. A request counts by when it was answered."""
+    """A range in Unix seconds that excludes `end_s`. It selects requests by the time of their answer."""
 
     start_s: float = float("-inf")
     end_s: float = float("inf")
 
     def contains(self, record: ParsedRecord) -> bool:
-        """Whether the record is in the range."""
+        """Return whether the record's timestamp is in the range."""
         return self == ALL_TIME or self.start_s <= record.finished_s < self.end_s
 
 
@@ -43,7 +47,7 @@
 
 @dataclass(slots=True)
 class GroupStats:
-    """Requests that have something in common; of an endpoint: attempts there."""
+    """Statistics of a group of requests, or of the attempts at one endpoint."""
 
     count: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -61,7 +65,7 @@
 
 
 class _GapKey(NamedTuple):
-    """What is equal in two reports of one gap."""
+    """Identifies a gap: two reports of the same gap have equal keys."""
 
     process: str
     first: str
@@ -71,20 +75,20 @@
 
 @dataclass(slots=True)
 class MissingRecords:
-    """What the records themselves report as missing."""
+    """Missing records that gap records report, and the last counts of each process."""
 
     dropped: int = 0
     unconfirmed: int = 0
     by_outcome: Counter[str] = field(default_factory=Counter)
-    """Dropped records."""
+    """Number of dropped records by outcome."""
     gaps: list[ParsedRecord] = field(default_factory=list)
-    """The gap records, each once."""
+    """Gap records without repetitions, at most MAX_GROUPS."""
     accounts: dict[str, ParsedRecord] = field(default_factory=dict)
-    """The last account record of each process."""
-    _counted: set[_GapKey] = field(default_factory=set)
+    """The last account record of each process, at most MAX_GROUPS."""
+    _counted_gaps: set[_GapKey] = field(default_factory=set)
 
     def add(self, record: ParsedRecord) -> None:
-        """Add a gap or account record. A gap that was reported again after a lost connection counts once."""
+        """Add a gap or account record. A gap reported again after a lost connection counts once."""
         params = record.params
         if record.msgid == message_ids.COUNTS:
             if record.process in self.accounts or len(self.accounts) < MAX_GROUPS:
@@ -93,10 +97,10 @@
         key = _GapKey(
             record.process, params.get("first", ""), params.get("last", ""), params.get("reason", "")
         )
-        if key in self._counted:
+        if key in self._counted_gaps:
             return
-        if len(self._counted) < MAX_GROUPS:
-            self._counted.add(key)
+        if len(self._counted_gaps) < MAX_GROUPS:
+            self._counted_gaps.add(key)
             self.gaps.append(record)
         self.dropped += _parse_int(params.get("dropped"))
         self.unconfirmed += _parse_int(params.get("unsure"))
@@ -108,20 +112,21 @@
     return int(text) if text and text.isdigit() else 0
 
 
-def find_request(names: list[str], trace_id: str, counts: LineCounts) -> list[ParsedRecord]:
-    """The records of the request with that trace id, and of its client's other attempts at the operation.
+def find_request(file_names: list[str], trace_id: str, counts: LineCounts) -> list[ParsedRecord]:
+    """Return the records of a request and of its client's other attempts at the same operation.
 
-    Those have the same fingerprint, class and tenant, and each ended at most MAX_RETRY_GAP_S before the next.
+    They have the same fingerprint, class and tenant, and each ended at most MAX_RETRY_GAP_S before the next
+    one arrived.
 
     Returns:
-        The records by time; empty if there is no such request.
+        The records in order of time; empty if no request has this trace id.
     """
     escaped = escape_value(trace_id, MAX_TRACE_ID_BYTES).encode()
-    candidates = read_records(names, counts, RecordFilter(substring=escaped))
+    candidates = read_records(file_names, counts, RecordFilter(substring=escaped))
     matches = [record for record in candidates if record.trace_id == trace_id]
     if not matches:
         return []
-    related = _related_records(names, matches[0])
+    related = _related_records(file_names, matches[0])
     index = next((i for i, record in enumerate(related) if record.trace_id == trace_id), 0)
     first = index
     while first and _is_retry_of(related[first - 1], related[first]):
@@ -132,17 +137,17 @@
     return related[first : last + 1]
 
 
-def _related_records(names: list[str], request: ParsedRecord) -> list[ParsedRecord]:
-    """Records of the same fingerprint, class and tenant, by time: at most the first MAX_RELATED_RECORDS."""
+def _related_records(file_names: list[str], request: ParsedRecord) -> list[ParsedRecord]:
+    """Return the first MAX_RELATED_RECORDS records of the same fingerprint, class and tenant, by time."""
     fingerprint = f'alike="{request.fingerprint or ""}"'.encode()
-    candidates = read_records(names, LineCounts(), RecordFilter(substring=fingerprint))
+    candidates = read_records(file_names, LineCounts(), RecordFilter(substring=fingerprint))
     key = _OperationKey.of(request)
     related = [record for record in candidates if _OperationKey.of(record) == key]
     return sorted(related[:MAX_RELATED_RECORDS], key=lambda record: (record.started_s, record.finished_s))
 
 
 class _OperationKey(NamedTuple):
-    """What is equal, beside the fingerprint, in all of a client's attempts at one operation."""
+    """The values besides the fingerprint that are equal in all attempts at one operation."""
 
     request_class: str | None
     tenant: str | None
@@ -160,9 +165,9 @@
 def slowest_requests(
     records: Iterable[ParsedRecord], count: int, time_range: TimeRange = ALL_TIME, outcome: str = ""
 ) -> list[ParsedRecord]:
-    """The `count` longest requests, the longest first, equal ones in the order of the records.
+    """Return the `count` longest requests, longest first; equally long ones keep the order of the records.
 
-    With `outcome` only those that ended so.
+    If `outcome` is given, only requests with this outcome are considered.
     """
     candidates = (
         record
@@ -177,7 +182,7 @@
 def group_requests(
     records: Iterable[ParsedRecord], key: str, time_range: TimeRange = ALL_TIME
 ) -> dict[str, GroupStats]:
-    """Groups by one of GROUP_KEYS, the largest first; at most MAX_GROUPS, and OTHER_GROUPS for the rest."""
+    """Group by one of GROUP_KEYS, largest group first; OTHER_GROUPS has what exceeds MAX_GROUPS groups."""
     groups: dict[str, GroupStats] = {}
     for record in records:
         if not time_range.contains(record):
@@ -192,7 +197,7 @@
 
 
 class _GroupItem(NamedTuple):
-    """What a record adds to one group: a request, or an attempt at an endpoint."""
+    """A record's contribution to one group: a request, or an attempt at an endpoint."""
 
     group: str
     outcome: str
@@ -211,7 +216,7 @@
 
 
 def find_missing(records: Iterable[ParsedRecord], time_range: TimeRange = ALL_TIME) -> MissingRecords:
-    """What gap and account records report."""
+    """Return what gap and account records report."""
     missing = MissingRecords()
     for record in records:
         if time_range.contains(record):
--- a/anisespool/records/buffer.py
+++ b/anisespool/records/buffer.py
@@ -1,6 +1,6 @@
-"""The bounded queue of records that wait for the receiver, and the gaps that it leaves when it overflows.
+"""The bounded queue of records to be sent, and the gaps that dropped records leave.
 
-Pure: times are passed in. At any moment answered = sent + dropped + sampled out + queued + being written.
+Pure: times are passed in. At any moment, answered = sent + dropped + sampled out + queued + being written.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class DropPolicy(Enum):
-    """Which record is dropped when the queue is full. The values are those of the operator's file."""
+    """The record to drop when the queue is full. The values appear in the operator's file."""
 
     NEWEST = "newest"
     OLDEST = "oldest"
     OLDEST_SERVED = "served"
-    """The oldest record of a served request; the oldest of the others only if there is none."""
+    """The oldest record of a served request, or the oldest other record if there is none."""
 
 
 class DropReason(StrEnum):
-    """Why a record was dropped. The values are those of the parameter `reason` in records."""
+    """Why a record was dropped. The values appear in the parameter `reason` of gap records."""
 
     QUEUE_FULL = "full"
     TOO_LONG = "size"
@@ -31,39 +31,39 @@
     ENCODING_FAILED = "fault"
 
 
-# Bound once: Python 3.11 looks an enum's members up through a property, and these are used for each record.
+# Bound once, as they are used for each record and Python 3.11 looks up enum members through a property.
 _SERVED = Outcome.SERVED
 _QUEUE_FULL = DropReason.QUEUE_FULL
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRecord:
-    """A request's record on its way to the receiver.
+    """A request's record that waits to be sent.
 
-    It is encoded only when it is about to be sent: encoding many in a row costs less CPU, and records that
-    are dropped are never encoded.
+    It is encoded only just before it is sent: encoding many records in a row costs less CPU, and dropped
+    records are never encoded.
     """
 
     number: int
-    """Position among this process's records, from 1."""
+    """Number of the record within this process, counted from 1."""
     outcome: Outcome
     timestamp_ns: int
-    """Wall clock, Unix ns."""
+    """Wall-clock time, in Unix ns."""
     size_bytes: int
-    """Expected size of the message."""
+    """Expected size of the encoded message."""
     request: RequestRecord
     message: bytes = b""
-    """Empty until it is encoded."""
+    """The encoded message; empty until the record is encoded."""
 
 
 @dataclass(slots=True)
 class Gap:
-    """Consecutive drops. Times are Unix ns; `first` and `last` are record numbers."""
+    """Consecutive drops. Times are in Unix ns; `first` and `last` are record numbers."""
 
     counts: list[int] = field(default_factory=lambda: [0] * len(Outcome))
     """Dropped records by outcome."""
     reasons: list[DropReason] = field(default_factory=list)
-    """Each reason once, in the order of its first drop."""
+    """Reasons for the drops, each once, in order of first occurrence."""
     from_ns: int = 0
     to_ns: int = 0
     first: int = 0
@@ -83,11 +83,11 @@
         self.merge(Gap(counts, [reason], timestamp_ns, timestamp_ns, number, number))
 
     def merge(self, other: Gap) -> None:
-        """Extend this gap by another. The wall clock may have been set back between them."""
+        """Extend this gap by another one, whose times may be earlier if the wall clock was set back."""
         if not self.total:
             self.from_ns = other.from_ns
             self.first = other.first
-        self.counts = [mine + theirs for mine, theirs in zip(self.counts, other.counts, strict=True)]
+        self.counts = [own + added for own, added in zip(self.counts, other.counts, strict=True)]
         self.reasons = list(dict.fromkeys([*self.reasons, *other.reasons]))
         self.from_ns = min(self.from_ns, other.from_ns)
         self.to_ns = max(self.to_ns, other.to_ns)
@@ -96,10 +96,10 @@
 
 
 class RecordQueue:
-    """A queue of records that is bounded in bytes and in number.
+    """A queue of records with limits on their total size and their number.
 
     Attributes:
-        size_bytes: Expected size of all queued messages.
+        size_bytes: Expected total size of the queued messages.
         dropped: Dropped records by outcome, since the start.
         gap: Drops that have not been reported yet.
     """
@@ -113,15 +113,16 @@
         self._max_records = max_records
         self._drops_newest = drop_policy is DropPolicy.NEWEST
         self._separates_served = drop_policy is DropPolicy.OLDEST_SERVED
-        self._served: deque[QueuedRecord] = deque()  # used only where served requests are dropped first
+        # Empty unless the policy drops served requests first.
+        self._served: deque[QueuedRecord] = deque()
         self._others: deque[QueuedRecord] = deque()
 
     def __len__(self) -> int:
-        """Number of queued records."""
+        """Return the number of queued records."""
         return len(self._served) + len(self._others)
 
     def put(self, record: QueuedRecord) -> None:
-        """Add a record; while it does not fit, records are dropped by the policy."""
+        """Add a record; while it does not fit, drop records according to the policy."""
         size = record.size_bytes
         while len(self) and (self.size_bytes + size > self._max_bytes or len(self) >= self._max_records):
             if self._drops_newest:
@@ -135,22 +136,22 @@
         self.size_bytes += size
 
     def pop(self) -> QueuedRecord | None:
-        """Remove the oldest record and return it; None: the queue is empty."""
+        """Remove and return the oldest record, or return None if the queue is empty."""
         queue = self._queue_with_oldest()
         if not queue:
             return None
         return self._pop_from(queue)
 
     def requeue(self, record: QueuedRecord) -> None:
-        """Put back a record that was popped and could not be sent: it is the oldest again.
+        """Put back a popped record that could not be sent; it becomes the oldest again.
 
-        The bounds may be exceeded by as much as was popped at a time.
+        This may exceed the queue's limits by as much as was popped at a time.
         """
         self._queue_for(record).appendleft(record)
         self.size_bytes += record.size_bytes
 
     def drop(self, record: QueuedRecord, reason: DropReason) -> None:
-        """Count a record, which is not in the queue, as dropped."""
+        """Count as dropped a record that is not in the queue."""
         self.dropped[record.outcome] += 1
         self.gap.add(record, reason)
 
@@ -160,7 +161,7 @@
             self.drop(record, reason)
 
     def close_gap(self) -> Gap:
-        """Return the current gap, to be reported, and begin another."""
+        """Return the current gap for reporting, and begin a new one."""
         gap = self.gap
         self.gap = Gap()
         return gap
@@ -176,7 +177,7 @@
         return self._served or self._others
 
     def _pop_next_dropped(self) -> QueuedRecord:
-        """Remove the record that the policy drops next. `_served` is empty unless it is dropped first."""
+        """Remove and return the record that the policy drops next."""
         return self._pop_from(self._served or self._others)
 
     def _pop_from(self, queue: deque[QueuedRecord]) -> QueuedRecord:
--- a/anisespool/records/encoder.py
+++ b/anisespool/records/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes records as RFC 5424 messages: requests, gaps and counts. The parameters: docs/records.md."""
+"""Encodes requests, gaps and counts as RFC 5424 messages; docs/records.md describes their parameters."""
 
 from __future__ import annotations
 
@@ -33,22 +33,23 @@
     Outcome.REJECTED: Severity.NOTICE,
 }
 STATUS_NAMES: dict[int, str] = {status: status.name.lower().replace("_", "-") for status in AttemptStatus}
-MAX_SEQUENCE_ID = 2_147_483_647  # then it begins with 1 again (RFC 5424, 7.3.1)
+# After this value, `sequenceId` starts again at 1 (RFC 5424, 7.3.1).
+MAX_SEQUENCE_ID = 2_147_483_647
 MAX_CACHED_ENDPOINT_NAMES = 4096
 
 
 def local_offset_s(unix_s: int) -> int:
-    """Offset of the machine's time zone from UTC, in seconds to the east, at a Unix second."""
+    """Return the local time zone's offset from UTC at a Unix second, in seconds east."""
     return time.localtime(unix_s).tm_gmtoff
 
 
 def sequence_id(number: int) -> int:
-    """`sequenceId` (RFC 5424, 7.3.1) of a record's number, which counts from 1."""
+    """Return the `sequenceId` (RFC 5424, 7.3.1) for a record number, which counts from 1."""
     return (number - 1) % MAX_SEQUENCE_ID + 1
 
 
 class LengthLimits(NamedTuple):
-    """Longest messages and values; what is longer is truncated."""
+    """Maximum lengths of messages and parameter values; longer ones are truncated."""
 
     max_record_bytes: int
     max_value_bytes: int
@@ -56,15 +57,15 @@
 
 @dataclass(frozen=True)
 class RecordEncoder:
-    """Encodes the records of one sidecar. Without slots, as cached properties need a dictionary.
+    """Encodes the records of one sidecar. It has no slots, as cached properties need a `__dict__`.
 
     Attributes:
-        origin: The header's constant parts.
-        enterprise_number: The operator's private enterprise number, in SD-IDs.
+        origin: Header fields that are the same for all messages.
+        enterprise_number: The operator's private enterprise number, used in SD-IDs.
         node: The sidecar's name, escaped.
-        class_names: The classes' names by index, escaped.
-        max_record_bytes: Longest message.
-        max_value_bytes: Longest parameter value.
+        class_names: Names of the request classes by index, escaped.
+        max_record_bytes: Maximum length of a message.
+        max_value_bytes: Maximum length of a parameter value.
         format_timestamp: Formats a time in Unix ns.
     """
 
@@ -86,10 +87,10 @@
         limits: LengthLimits,
         offset_s: Callable[[int], int] = local_offset_s,
     ) -> RecordEncoder:
-        """Create an encoder from names that are not escaped.
+        """Create an encoder from unescaped names.
 
         Raises:
-            OriginError: A header can't carry a part of `origin`.
+            OriginError: A part of `origin` is not valid in a header.
         """
         origin.check()
         return cls(
@@ -104,17 +105,17 @@
 
     @cached_property
     def _header_starts(self) -> list[str]:
-        """By outcome, what precedes a request's timestamp."""
+        """The text before a request's timestamp, by outcome."""
         return [f"<{self.origin.facility * 8 + SEVERITIES[outcome]}>1 " for outcome in Outcome]
 
     @cached_property
     def _header_end(self) -> str:
-        """What follows a request's timestamp, up to its sequenceId."""
+        """The text between a request's timestamp and its sequenceId."""
         origin = self.origin
         return f' {origin.host} {origin.app} {origin.procid} {message_ids.REQUEST} [meta sequenceId="'
 
     def encode_request(self, number: int, request: RequestRecord, unix_ns: int) -> bytes:
-        """Encode one request's record, as one text where it fits: `encode_request_elements` is slower."""
+        """Encode a request's record, as a single string if it fits: `encode_request_elements` is slower."""
         class_index = request.request_class
         arrived_ns = request.arrived_ns
         limit = self.max_value_bytes
@@ -143,7 +144,7 @@
         return data if fits else self.encode_request_elements(number, request, unix_ns)
 
     def encode_request_elements(self, number: int, request: RequestRecord, unix_ns: int) -> bytes:
-        """Encode one request's record from its elements, truncated where it is too long."""
+        """Encode a request's record from its elements, truncated if it is too long."""
         meta = Element("meta", [Param("sequenceId", str(sequence_id(number)))])
         elements = [meta, self._request_element(request), *self._attempt_elements(request)]
         return self._encode(message_ids.REQUEST, SEVERITIES[request.outcome], elements, unix_ns)
@@ -182,7 +183,7 @@
         ]
 
     def encode_gap(self, gap: Gap, is_repeated: bool, unix_ns: int) -> bytes:
-        """Encode a report of drops. `is_repeated`: the receiver may have it already."""
+        """Encode a report of drops. `is_repeated` marks a report that the receiver may already have."""
         params: list[Param] = [
             Param("node", self.node),
             Param("dropped", str(gap.total)),
@@ -198,7 +199,7 @@
         return self._encode_status(message_ids.GAP, Severity.WARNING, params, unix_ns)
 
     def encode_unconfirmed(self, unconfirmed: UnconfirmedRange, unix_ns: int) -> bytes:
-        """Encode a report of records that a lost connection left unconfirmed."""
+        """Encode a report of records left unconfirmed by a lost connection."""
         params = [
             Param("node", self.node),
             Param("unsure", str(unconfirmed.total)),
@@ -209,7 +210,7 @@
         return self._encode_status(message_ids.GAP, Severity.NOTICE, params, unix_ns)
 
     def encode_counts(self, counts: RecordCounts, dropped: list[int], is_last: bool, unix_ns: int) -> bytes:
-        """Encode the counts since the start. `is_last`: the process ends."""
+        """Encode the counts since the start. `is_last` marks the last report of this process."""
         params = [
             Param("node", self.node),
             Param("last", "1" if is_last else "0"),
@@ -232,7 +233,7 @@
         return f"{name}@{self.enterprise_number}"
 
     def _encode_status(self, msgid: str, severity: Severity, params: list[Param], unix_ns: int) -> bytes:
-        """Encode a message about the records: its one element has the name of its MSGID."""
+        """Encode a message about the records themselves; its only element is named after its MSGID."""
         return self._encode(msgid, severity, [Element(self._sd_id(msgid), params)], unix_ns)
 
     def _encode(self, msgid: str, severity: Severity, elements: list[Element], unix_ns: int) -> bytes:
--- a/anisespool/records/factory.py
+++ b/anisespool/records/factory.py
@@ -1,4 +1,4 @@
-"""Creates a sidecar's recorder, and the function that connects it, from the operator's file."""
+"""Creates a sidecar's recorder and its channel opener from the operator's file."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def create_recorder(options: RecordOptions, sampling: SamplingOptions, config: PlatformConfig) -> Recorder:
-    """Return the recorder that the sections `records` and `sampling` describe.
+    """Return the recorder configured by the sections `records` and `sampling`.
 
     Raises:
-        ConfigError: The machine's host name can't be one of a record's header.
+        ConfigError: The machine's host name is not valid in a record's header.
     """
     class_names = tuple(config.names.classes)
     hostname = options.hostname or socket.gethostname()
@@ -42,7 +42,7 @@
     """Return a function that opens a channel to the receiver.
 
     Raises:
-        ConfigError: A certificate or key is invalid.
+        ConfigError: A certificate or key file is missing or invalid.
     """
     destination = options.parsed_destination
     if isinstance(destination, UnixDestination):
@@ -62,7 +62,7 @@
 
 
 def _tls_opener(options: RecordOptions, address: Address) -> ChannelOpener:
-    assert options.ca_file  # as validation has checked
+    assert options.ca_file  # Guaranteed by the validation of the options.
     server_name = options.server_name or address.host
     try:
         settings = load_tls_settings(options.ca_file, server_name, options.certificate_file, options.key_file)
--- a/anisespool/records/message_ids.py
+++ b/anisespool/records/message_ids.py
@@ -1,10 +1,10 @@
-"""MSGIDs of the messages, by which receivers and `anisespool trace` distinguish them (docs/records.md)."""
+"""MSGIDs, by which receivers and `anisespool trace` distinguish messages (docs/records.md)."""
 
 from __future__ import annotations
 
 REQUEST = "path"
-"""One request that has ended."""
+"""A request that has ended."""
 GAP = "gap"
-"""Records that are missing: dropped, or unconfirmed after a lost connection."""
+"""Missing records: dropped, or unconfirmed after a lost connection."""
 COUNTS = "account"
-"""Counts since the start of the process."""
+"""Counts of requests and records since the start of the process."""
--- a/anisespool/records/outcome.py
+++ b/anisespool/records/outcome.py
@@ -1,4 +1,4 @@
-"""How a recorded request ended. Pure."""
+"""Outcomes of recorded requests. Pure."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Outcome(IntEnum):
-    """How a recorded request ended; also the index into per-outcome counts.
+    """How a recorded request ended; a value is also an index into per-outcome counts.
 
-    Python 3.11 looks members up through a property, so code that runs for each record binds them once.
+    Python 3.11 looks up members through a property, so code that runs for each record binds them once.
     """
 
     SERVED = 0
     SHED = 1
-    """Answered 503 to shed load; a retry is harmless."""
+    """Answered with 503 to shed load; a retry is harmless."""
     FAILED = 2
     CLIENT_DISCONNECTED = 3
     REJECTED = 4
@@ -21,4 +21,4 @@
 
 
 OUTCOME_NAMES = ("served", "refused", "failed", "gone", "rejected")
-"""The outcomes' names in records, by value: receivers' searches use them."""
+"""Names of the outcomes in records, by value. Searches of the receivers' logs use them."""
--- a/anisespool/records/reader.py
+++ b/anisespool/records/reader.py
@@ -1,7 +1,7 @@
-"""Reads records from log files, also gzip, or standard input; other programs' lines are skipped.
+"""Reads records from log files, plain or gzip, or standard input, and skips other programs' lines.
 
-A line may be a message as `RecordEncoder` writes it, bare or after an octet count. No more than one line is
-in memory, and a line's parameters are parsed only where a RecordFilter wants it, as logs have millions.
+A record's line holds a message from `RecordEncoder`, optionally after an octet count. Only one line is in
+memory at a time. As logs have millions of lines, parameters are parsed only if a RecordFilter selects them.
 """
 
 from __future__ import annotations
@@ -22,8 +22,10 @@
 MAX_LINE_BYTES = 2**17
 GZIP_MAGIC = b"\x1f\x8b"
 REQUEST_MSGID = message_ids.REQUEST.encode()
-REQUEST_ELEMENT = b"req"  # the main element of a request; of other messages it has the name of the MSGID
-ATTEMPT_ELEMENT = b"try"  # followed by the attempt's number
+# Main element of a request; the main element of other messages is named after their MSGID.
+REQUEST_ELEMENT = b"req"
+# Prefix of an attempt's element, followed by the attempt's number.
+ATTEMPT_ELEMENT = b"try"
 MSGIDS = "|".join((message_ids.REQUEST, message_ids.GAP, message_ids.COUNTS)).encode()
 HEADER = re.compile(rb"(?:\d+ )?<\d{1,3}>1 (\S+) (\S+) (\S+) (\S+) (%b) " % MSGIDS)
 ELEMENT = re.compile(rb'\[([a-z0-9]+)(?:@[\d.]+)?((?: [^\s="\]]+="(?:[^"\\\]]|\\.)*")*)\]', re.IGNORECASE)
@@ -32,68 +34,68 @@
 
 
 class ParsedAttempt(NamedTuple):
-    """An attempt. The fields' names are keys of the output of `anisespool trace --json`."""
+    """An attempt at an endpoint. The field names are keys of the output of `anisespool trace --json`."""
 
     endpoint: str
     status: str
     at_ms: float
-    """When it started, after the request's arrival."""
+    """Time from the request's arrival to the start of the attempt."""
     ms: float
-    """How long it took."""
+    """Duration of the attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRecord:
-    """One record."""
+    """A record read from a log. Properties of a request apply only to records of requests."""
 
     msgid: str
-    """One of `message_ids`."""
+    """One of the constants in `message_ids`."""
     timestamp: str
-    """As it was written."""
+    """The timestamp's text in the log."""
     process: str
-    """Host, application and process id of the writer."""
+    """Host, application and process id of the process that wrote the record."""
     params: dict[str, str]
-    """Of its main element, under the names that they have in the log (docs/records.md)."""
+    """Parameters of the main element by their names in the log (docs/records.md)."""
     attempts: tuple[ParsedAttempt, ...] = ()
 
     @property
     def trace_id(self) -> str | None:
-        """Of a request: its client's id for it."""
+        """The client's id for the request."""
         return self.params.get("trace")
 
     @property
     def request_class(self) -> str | None:
-        """Of a request: its class's name."""
+        """Name of the request's class."""
         return self.params.get("class")
 
     @property
     def tenant(self) -> str | None:
-        """Of a request: the customer as the client sent it."""
+        """The customer, as sent by the client."""
         return self.params.get("member")
 
     @property
     def node(self) -> str | None:
-        """The name of the sidecar that wrote the record."""
+        """Name of the sidecar that wrote the record."""
         return self.params.get("node")
 
     @property
     def outcome(self) -> str | None:
-        """Of a request: one of OUTCOME_NAMES."""
+        """The request's outcome, one of OUTCOME_NAMES."""
         return self.params.get("outcome")
 
     @property
     def fingerprint(self) -> str | None:
-        """Of a request: equal for all of its client's attempts at one operation."""
+        """A checksum that is equal for all of the client's attempts at one operation."""
         return self.params.get("alike")
 
     @property
     def retry_after_s(self) -> str | None:
-        """Of a request: the Retry-After that the client was sent, in seconds."""
+        """The Retry-After that was sent to the client, in seconds."""
         return self.params.get("back")
 
     @property
     def finished_s(self) -> float:
-        """Unix time of its timestamp; of a request: when it was answered. 0: it has no timestamp."""
+        """Unix time of the timestamp, which is when a request was answered; 0 without a valid timestamp."""
         try:
             return datetime.fromisoformat(self.timestamp).timestamp()
         except ValueError:
@@ -101,34 +103,34 @@
 
     @property
     def duration_ms(self) -> float:
-        """Of a request: from its arrival to its answer."""
+        """Time from the request's arrival to its answer."""
         return _parse_float(self.params.get("ms"))
 
     @property
     def started_s(self) -> float:
-        """Of a request: Unix time of its arrival."""
+        """Unix time of the request's arrival."""
         return self.finished_s - self.duration_ms / 1e3
 
 
 @dataclass(slots=True)
 class LineCounts:
-    """Lines read so far."""
+    """Numbers of lines read so far."""
 
     records: int = 0
     other_lines: int = 0
 
 
 class RecordFilter(NamedTuple):
-    """Which lines are parsed, and how far."""
+    """Selects the lines to parse, and whether to parse their attempts."""
 
     msgids: tuple[bytes, ...] = (REQUEST_MSGID,)
     substring: bytes = b""
-    """Only lines that contain it."""
+    """Lines that do not contain this are skipped."""
     parse_attempts: bool = True
 
 
 def parse_line(line: bytes, parse_attempts: bool = True) -> ParsedRecord | None:
-    """Parse a line; None: it is not a record."""
+    """Parse a line; return None if it is not a record."""
     header = HEADER.match(line)
     return _parse(line, header, parse_attempts) if header else None
 
@@ -160,7 +162,7 @@
 
 
 def _parse_value(value: bytes) -> str:
-    """A parameter's value as text; `...` marks one that was truncated."""
+    """Return a parameter's value as text, with `...` appended if it was truncated."""
     if b"\\" in value:
         value = ESCAPE.sub(rb"\1", value)
     text = value.decode("utf-8", "replace")
@@ -187,26 +189,26 @@
 
 
 @contextmanager
-def open_log(name: str) -> Iterator[IO[bytes]]:
-    """A file, decompressed if it is gzip by its first bytes; standard input for `-`.
+def open_log(file_name: str) -> Iterator[IO[bytes]]:
+    """Open a file, or standard input for `-`. A file that begins with the gzip magic is decompressed.
 
     Raises:
-        OSError: It can't be read.
+        OSError: The file can't be read.
     """
-    if name == "-":
+    if file_name == "-":
         yield sys.stdin.buffer
         return
-    path = Path(name)
+    path = Path(file_name)
     with path.open("rb") as file:
         is_gzip = file.read(len(GZIP_MAGIC)) == GZIP_MAGIC
     with gzip.open(path, "rb") if is_gzip else path.open("rb") as file:
         yield file  # type: ignore[misc]
 
 
-def read_lines(names: Iterable[str], counts: LineCounts) -> Iterator[bytes]:
-    """Every line of the files, one file after another; longer ones than MAX_LINE_BYTES are skipped."""
-    for name in names:
-        with open_log(name) as file:
+def read_lines(file_names: Iterable[str], counts: LineCounts) -> Iterator[bytes]:
+    """Yield the lines of each file in turn; lines longer than MAX_LINE_BYTES are skipped and counted."""
+    for file_name in file_names:
+        with open_log(file_name) as file:
             while line := file.readline(MAX_LINE_BYTES):
                 if not line.endswith(b"\n") and len(line) >= MAX_LINE_BYTES:
                     _skip_line(file)
@@ -220,16 +222,18 @@
         pass
 
 
-def read_records(names: Iterable[str], counts: LineCounts, wanted: RecordFilter) -> Iterator[ParsedRecord]:
-    """The records that pass the filter. All lines are counted."""
-    for line in read_lines(names, counts):
+def read_records(
+    file_names: Iterable[str], counts: LineCounts, record_filter: RecordFilter
+) -> Iterator[ParsedRecord]:
+    """Yield the records that pass the filter. `counts` also includes the lines that do not pass."""
+    for line in read_lines(file_names, counts):
         header = HEADER.match(line)
         if header is None:
             counts.other_lines += 1
             continue
         counts.records += 1
-        if header[5] in wanted.msgids and wanted.substring in line:
-            record = _parse(line, header, wanted.parse_attempts)
+        if header[5] in record_filter.msgids and record_filter.substring in line:
+            record = _parse(line, header, record_filter.parse_attempts)
             if record:
                 yield record
             else:
--- a/anisespool/records/recorded_proxy.py
+++ b/anisespool/records/recorded_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy that records each request."""
+"""A proxy that records each request."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 from anisespool.upstream.cluster import Cluster
 
 OUTCOMES_BY_STATUS = {200: Outcome.SERVED, 503: Outcome.SHED, 0: Outcome.CLIENT_DISCONNECTED}
-MAX_REMOVED_ENDPOINTS = 1024  # whose ids are kept, as attempts there may still be open
+# The ids of this many removed endpoints are kept, as attempts there may still be in flight.
+MAX_REMOVED_ENDPOINTS = 1024
 
-# Bound once: Python 3.11 looks an enum's members up through a property, and it is used for each request.
+# Bound once, as it is used for each request and Python 3.11 looks up enum members through a property.
 _FAILED = Outcome.FAILED
 
 
@@ -57,7 +58,7 @@
         if exchange and request_id not in self._exchanges:
             try:
                 record = self._request_record(exchange)
-            except Exception as error:  # costs this record and no request, as in the recorder
+            except Exception as error:  # An error loses this record but no request, as in the recorder.
                 self._recorder.log_failure(error)
                 return
             self._recorder.record(record)
@@ -69,10 +70,15 @@
         headers = call.request.headers
         tenant = headers.get(b"x-customer", b"")
         attempts = tuple(
-            AttemptRecord(self._endpoint_id(a.endpoint), a.status or 0, a.started_ns, a.finished_ns)
-            for a in exchange.attempts
+            AttemptRecord(
+                self._endpoint_id(attempt.endpoint),
+                attempt.status or 0,
+                attempt.started_ns,
+                attempt.finished_ns,
+            )
+            for attempt in exchange.attempts
         )
-        # Positional, as keywords cost more and this runs for each request.
+        # Positional arguments, as keywords are slower and this runs for each request.
         return RequestRecord(
             call.request_class,
             OUTCOMES_BY_STATUS.get(status, _FAILED),
--- a/anisespool/records/recorder.py
+++ b/anisespool/records/recorder.py
@@ -1,4 +1,4 @@
-"""One sidecar's request records: which requests are recorded, and the queue from which they are sent."""
+"""Records a sidecar's requests: samples them and queues their records for sending."""
 
 from __future__ import annotations
 
@@ -26,20 +26,21 @@
 
 INITIAL_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 30.0
-EXPECTED_RECORD_BYTES = 290  # without names
+# Expected size of a record without its trace id, tenant and attempts.
+EXPECTED_RECORD_BYTES = 290
 EXPECTED_ATTEMPT_BYTES = 80
 MIN_TRACEBACK_INTERVAL_S = 1.0
 FRAMINGS = {Framing.OCTET_COUNTING: frame_octet_counted, Framing.NEWLINE: frame_newline}
 
 
 class Recorder:
-    """Records how requests ended. Never waits, and never uses more memory than its bounds allow.
+    """Records how requests ended, without ever waiting and within its configured memory limits.
 
     Attributes:
-        counts: What became of the requests' records.
+        counts: Counts of requests and their records.
         queue: Records that have not been sent.
         encoder: Encodes the records.
-        sampler: Chooses the requests to record.
+        sampler: Selects the requests to record.
         sender: Sends the records; None before `start`.
     """
 
@@ -51,14 +52,14 @@
         class_names: tuple[str, ...] = (),
         clock: Callable[[], int] = wall_ns,
     ) -> None:
-        """Create a recorder that queues records until `start`.
+        """Create a recorder that only queues records until `start` is called.
 
         Args:
             encoder: Encodes the records.
             options: The section `records` of the operator's file.
-            sampler: Chooses the requests to record.
-            class_names: All classes, in the order of their indexes.
-            clock: Returns the wall clock's time in Unix ns.
+            sampler: Selects the requests to record.
+            class_names: Names of all request classes, in the order of their indexes.
+            clock: Returns the wall-clock time in Unix ns.
         """
         self.counts = RecordCounts()
         self.queue = RecordQueue(
@@ -75,11 +76,11 @@
         self._wake: Callable[[], None] = lambda: None
 
     def start(self, open_channel: ChannelOpener, backoff: Backoff | None = None) -> None:
-        """Start to send.
+        """Start sending.
 
         Args:
             open_channel: Opens a channel to the receiver.
-            backoff: Delays between connection attempts; None: the default ones.
+            backoff: Delays between connection attempts; None for the default delays.
         """
         options = self._options
         self.sender = Sender(
@@ -97,18 +98,18 @@
         self._wake = self.sender.wake
 
     def set_sampling(self, options: SamplingOptions) -> None:
-        """Change the sampling rates, from the next request on."""
+        """Change the sampling rates, starting with the next request."""
         self.sampler = create_sampler(options, self._class_names)
 
     def record(self, request: RequestRecord) -> None:
-        """Record a request that is over. An error costs this record only."""
+        """Record a request that has ended. An error loses only this record."""
         try:
             self._record(request)
         except Exception as error:
             self.log_failure(error)
 
     def log_failure(self, error: Exception) -> None:
-        """Log the exception being handled, with its traceback, unless another was logged just before."""
+        """Log the exception being handled with its traceback, at most once in MIN_TRACEBACK_INTERVAL_S."""
         if time.monotonic() >= self._last_traceback_s + MIN_TRACEBACK_INTERVAL_S:
             self._last_traceback_s = time.monotonic()
             log_event("request_not_recorded", error=repr(error))
@@ -135,7 +136,7 @@
         self._wake()
 
     def record_rejection(self, response: FinalResponse, request: http1.Request | None) -> None:
-        """Record a request that the listener answered by itself. None: it could not be parsed."""
+        """Record a request that the listener rejected; `request` is None if it could not be parsed."""
         now_ns = time.monotonic_ns()
         headers = request.headers if request else {}
         tenant = headers.get(b"x-customer", b"")
@@ -155,27 +156,27 @@
         self.record(rejected)
 
     async def close(self) -> None:
-        """Send what can be sent within the operator's time, and end."""
+        """Send what can be sent within the configured `shutdown_flush_s`, then stop."""
         if self.sender:
             await self.sender.close(self._options.shutdown_flush_s)
 
 
 def request_fingerprint(request: http1.Request, tenant: bytes) -> int:
-    """A checksum that is equal for all of a client's attempts at one operation.
+    """Return a checksum that is equal for all of a client's attempts at one operation.
 
-    Clients give each attempt a trace id of its own; the tenant, the path and the idempotency key stay.
+    Each attempt has its own trace id, but the tenant, the path and the idempotency key stay the same.
     """
     return crc32(request.headers.get(b"idempotency-key", b""), crc32(request.target, crc32(tenant)))
 
 
 def create_sampler(options: SamplingOptions, class_names: tuple[str, ...]) -> Sampler:
-    """A sampler by the section `sampling` of the operator's file."""
+    """Create a sampler from the section `sampling` of the operator's file."""
     class_rates = {name: _rates(rates) for name, rates in options.classes.items()}
     return Sampler(_rates(options), class_rates, class_names)
 
 
 def _rates(options: SamplingOptions | ClassSampling) -> dict[Outcome, float]:
-    """Return the sampling rates that are given."""
+    """Return the configured sampling rates by outcome."""
     rates = {
         Outcome.SERVED: options.served,
         Outcome.CLIENT_DISCONNECTED: options.client_disconnected,
--- a/anisespool/records/reports.py
+++ b/anisespool/records/reports.py
@@ -1,7 +1,7 @@
-"""Which reports about the records themselves are due: gaps, records left unconfirmed, and counts.
+"""Schedules the reports about the records themselves: gaps, unconfirmed records, and counts.
 
-A report that was sent on a connection which was then lost may not have arrived, so it is sent again, marked
-as repeated: received twice it does no harm. Times are monotonic seconds, and are passed in.
+A report sent on a connection that was then lost may not have arrived. It is sent again and marked as
+repeated, so that receiving it twice does no harm. Times are monotonic seconds, and are passed in.
 """
 
 from __future__ import annotations
@@ -14,28 +14,31 @@
 from anisespool.records.buffer import Gap, RecordQueue
 from anisespool.records.encoder import RecordEncoder
 
-GAP_REPORT_INTERVAL_S = 1.0  # while records are dropped all the time
+# Minimum time between two gap reports, which applies while records are dropped continuously.
+GAP_REPORT_INTERVAL_S = 1.0
 COUNTS_REPORT_INTERVAL_S = 60.0
-NEVER_S = -1000.0  # of what has not happened yet: longer ago than any interval
-MAX_REPEATED_REPORTS = 64  # of one connection, after it was lost
+# The time of an event that has not happened yet: longer ago than any interval.
+NEVER_S = -1000.0
+# Maximum number of reports that are sent again after their connection was lost.
+MAX_REPEATED_REPORTS = 64
 
 Report = Gap | UnconfirmedRange
 
 
 @dataclass(slots=True, eq=False)
 class StatusRecord:
-    """A message about the records themselves."""
+    """An encoded message about the records themselves."""
 
     message: bytes
     report: Report | None = None
-    """What it reports, to be repeated if it is lost; None: the counts, which the next report has again."""
+    """The report, to be repeated if it is lost; None for counts, which the next counts replace."""
 
 
 class StatusReports:
-    """The reports of one sender.
+    """Keeps track of one sender's reports: those that are due, and those sent on the current connection.
 
     Attributes:
-        final_counts_sent: Whether the counts were reported as the last ones of this process.
+        final_counts_sent: Whether the last counts of this process have been reported.
     """
 
     def __init__(
@@ -46,39 +49,40 @@
         clock: Callable[[], int],
         now_s: float,
     ) -> None:
-        """Create reports of which none is due.
+        """Create the object without any report due.
 
         Args:
-            queue: Whose gaps are reported.
-            counts: Reported once in COUNTS_REPORT_INTERVAL_S.
+            queue: The queue whose gaps are reported.
+            counts: Counts to report once in COUNTS_REPORT_INTERVAL_S.
             encoder: Encodes the reports.
-            clock: Returns the wall clock's time in Unix ns.
-            now_s: The time.
+            clock: Returns the wall-clock time in Unix ns.
+            now_s: The current time.
         """
         self.final_counts_sent = False
         self._queue = queue
         self._counts = counts
         self._encoder = encoder
         self._clock = clock
-        self._sent: deque[Report] = deque(maxlen=MAX_REPEATED_REPORTS)  # on this connection
-        self._pending: list[Report] = []  # some of them sent before, on a connection that was lost
+        self._sent_on_connection: deque[Report] = deque(maxlen=MAX_REPEATED_REPORTS)
+        # May include reports that were sent on a connection that was then lost.
+        self._pending: list[Report] = []
         self._gap_reported_s = NEVER_S
         self._counts_reported_s = now_s
 
     @property
-    def pending(self) -> bool:
-        """Whether a report waits that does not depend on the time."""
+    def has_pending(self) -> bool:
+        """Whether there are reports to send regardless of the time."""
         return bool(self._pending)
 
     def seconds_until_due(self, now_s: float) -> float:
-        """Seconds until the next report of counts, or of the current gap."""
+        """Return the seconds until the next report of the counts or of the current gap is due."""
         due_s = self._counts_reported_s + COUNTS_REPORT_INTERVAL_S
         if self._queue.gap.total:
             due_s = min(due_s, self._gap_reported_s + GAP_REPORT_INTERVAL_S)
         return max(0.0, due_s - now_s)
 
     def take_due(self, now_s: float, closing: bool) -> list[StatusRecord]:
-        """Return the reports but for the counts that are due, which are no longer pending then."""
+        """Return all due reports except the counts; they are then no longer pending."""
         reports = [StatusRecord(self._encode(report, True), report) for report in self._pending]
         self._pending = []
         is_gap_due = closing or now_s >= self._gap_reported_s + GAP_REPORT_INTERVAL_S
@@ -89,7 +93,7 @@
         return reports
 
     def take_counts_if_due(self, now_s: float, closing: bool) -> StatusRecord | None:
-        """Return the report of the counts if it is due; at shutdown that is once."""
+        """Return the report of the counts if it is due; at shutdown it is due once."""
         is_final_due = closing and not self.final_counts_sent
         if not is_final_due and now_s < self._counts_reported_s + COUNTS_REPORT_INTERVAL_S:
             return None
@@ -100,21 +104,21 @@
         )
 
     def on_sent(self, record: StatusRecord) -> None:
-        """Note that a report was handed to the kernel completely."""
+        """Remember a report that was completely handed to the kernel."""
         if record.report:
-            self._sent.append(record.report)
+            self._sent_on_connection.append(record.report)
 
     def on_not_sent(self, record: StatusRecord) -> None:
-        """Make a report pending again that could not be sent."""
+        """Make a report that could not be sent pending again."""
         if record.report:
             self._pending.insert(0, record.report)
         else:
             self.final_counts_sent = False
 
     def on_connection_lost(self, unconfirmed: UnconfirmedRange) -> None:
-        """Repeat what was reported on the connection, and report the records that it left unconfirmed."""
-        self._pending = [*self._sent, *self._pending]
-        self._sent.clear()
+        """Repeat the reports sent on the connection, and report the records left unconfirmed."""
+        self._pending = [*self._sent_on_connection, *self._pending]
+        self._sent_on_connection.clear()
         if unconfirmed.total:
             self._pending.append(unconfirmed)
         self._pending = self._pending[-MAX_REPEATED_REPORTS:]
--- a/anisespool/records/request_record.py
+++ b/anisespool/records/request_record.py
@@ -1,4 +1,4 @@
-"""What is recorded of a request. Pure."""
+"""The data recorded about a request. Pure."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class AttemptRecord(NamedTuple):
-    """One attempt. Times are monotonic ns."""
+    """An attempt at an endpoint. Times are in monotonic ns."""
 
     endpoint: str
     status: int
-    """An `AttemptStatus`."""
+    """The `AttemptStatus` with which the attempt ended."""
     started_ns: int
     finished_ns: int
 
 
 class RequestRecord(NamedTuple):
-    """One request, from its arrival to the end of its last attempt. Times are monotonic ns."""
+    """A request, from its arrival to the end of its last attempt. Times are in monotonic ns."""
 
     request_class: int
-    """The class's index, or UNKNOWN_CLASS."""
+    """Index of the request's class, or UNKNOWN_CLASS."""
     outcome: Outcome
     status: int
-    """Of the HTTP response; 0: the client disconnected first."""
+    """HTTP status of the response; 0 if the client disconnected before it."""
     trace_id: bytes
     tenant: bytes
-    """The customer as the client sent it."""
+    """The customer, as sent by the client."""
     fingerprint: int
-    """Equal for all of a client's attempts at one operation; each has a trace id of its own."""
+    """Equal for all of a client's attempts at one operation, although their trace ids differ."""
     is_retry: bool
-    """The client marked it as a retry."""
+    """Whether the client marked the request as a retry."""
     arrived_ns: int
     finished_ns: int
     retry_after_s: float
-    """The Retry-After that the client was sent; 0: none."""
+    """The Retry-After that was sent to the client; 0 if none."""
     attempts: tuple[AttemptRecord, ...]
--- a/anisespool/records/sampling.py
+++ b/anisespool/records/sampling.py
@@ -1,4 +1,4 @@
-"""Which requests are recorded. Pure."""
+"""Selects the requests to record. Pure."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 
 from anisespool.records.outcome import Outcome
 
-ALWAYS_RECORDED = frozenset((Outcome.SHED, Outcome.FAILED))  # at any sampling rate
+# Requests with these outcomes are recorded at any sampling rate.
+ALWAYS_RECORDED = frozenset((Outcome.SHED, Outcome.FAILED))
 DIGEST_BYTES = 4
 DIGEST_RANGE = 1 << (8 * DIGEST_BYTES)
 
 
 class Sampler:
-    """Chooses requests by their trace id alone, so that all sidecars choose the same ones.
+    """Selects requests by their trace id alone, so that all sidecars select the same ones.
 
     Attributes:
-        records_all: No rate is below 1, so there is nothing to choose.
+        records_all: Whether no rate is below 1, so that every request is recorded.
     """
 
     def __init__(
@@ -28,9 +29,9 @@
         """Create a sampler.
 
         Args:
-            rates: Sampling rate (0 to 1) by outcome; 1 where one is absent.
-            class_rates: Rates that hold for a class in place of `rates`, by class name.
-            class_names: All classes, in the order of their indexes.
+            rates: Sampling rates (0 to 1) by outcome; a missing rate is 1.
+            class_rates: Sampling rates by class name and outcome, which override `rates`.
+            class_names: Names of all request classes, in the order of their indexes.
         """
         all_rates = [*rates.values()]
         for rates_of_class in class_rates.values():
@@ -43,23 +44,23 @@
         }
 
     def should_record(self, request_class: int, outcome: Outcome, trace_id: bytes) -> bool:
-        """Whether a request is recorded.
+        """Return whether a request is recorded.
 
         Args:
-            request_class: The class's index; for any other number the default rates hold.
+            request_class: Index of the request's class; an unknown index has the default rates.
             outcome: How the request ended.
-            trace_id: As the client sent it.
+            trace_id: The trace id, as sent by the client.
         """
         rate = self._class_rates.get(request_class, self._default_rates)[outcome]
         if rate >= 1.0:
             return True
-        # A cryptographic digest: a checksum would not spread sequential ids evenly.
+        # A cryptographic digest, as a checksum would not spread sequential ids evenly.
         digest = int.from_bytes(blake2b(trace_id, digest_size=DIGEST_BYTES).digest(), "big")
         return digest < rate * DIGEST_RANGE
 
 
 def _rates_by_outcome(rates: dict[Outcome, float], defaults: list[float]) -> list[float]:
-    """Return the rate of each outcome, by the outcome's value."""
+    """Return the sampling rate of each outcome, indexed by the outcome's value."""
     return [
         1.0 if outcome in ALWAYS_RECORDED else rates.get(outcome, defaults[outcome]) for outcome in Outcome
     ]
--- a/anisespool/records/sender.py
+++ b/anisespool/records/sender.py
@@ -1,4 +1,4 @@
-"""Sends queued records to the receiver and counts what became of them, in one task that nothing waits for."""
+"""Sends queued records to the receiver and counts them, in a task that no request waits for."""
 
 from __future__ import annotations
 
@@ -18,38 +18,39 @@
 from anisespool.records.transports import Channel, ChannelOpener, DatagramTooLongError
 
 CONNECT_TIMEOUT_S = 5.0
-ACKNOWLEDGEMENT_POLL_S = 0.002  # between two reads of what the receiver's kernel has acknowledged
+# Interval between two reads of the number of bytes that the receiver's kernel has not acknowledged.
+ACKNOWLEDGEMENT_POLL_S = 0.002
 MAX_SHUTDOWN_RETRY_S = 0.05
 LOG_INTERVAL_S = 10.0
 MAX_BATCH_RECORDS = 64
-FRAME_OVERHEAD_BYTES = 8  # at most, of octet counting
+# Upper bound of what octet counting adds to a message.
+FRAME_OVERHEAD_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class SenderOptions:
-    """How records are sent."""
+    """Settings of a sender."""
 
     frame: Callable[[bytes], bytes]
-    """Adds the channel's framing to a message."""
+    """Function that adds the channel's framing to a message."""
     max_unconfirmed_bytes: int
-    """Of the records sent last, which are reported as unconfirmed after a lost connection."""
+    """Maximum size of the last sent records that are reported as unconfirmed after a lost connection."""
     flush_interval_s: float
-    """How long a record waits for others to be sent with."""
+    """Time for which a record waits for others to join its batch."""
 
 
 class Sender:
-    """Takes records from the queue and writes them to a channel, reconnecting with a backoff.
+    """Writes queued records to a channel, and reconnects with a backoff.
 
-    Each record that is taken from the queue is counted as sent or dropped, or is put back, also after an
-    error.
+    Each record taken from the queue is counted as sent or dropped, or is put back, even after an error.
 
     Args:
-        queue: Records to send.
-        counts: Updated as records are sent.
+        queue: The records to send.
+        counts: Counts that are updated as records are sent.
         encoder: Encodes records and reports.
         open_channel: Opens a new channel to the receiver. Raises OSError, ValueError.
         backoff: Delays between connection attempts.
-        options: How records are sent.
+        options: Settings of the sender.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         backoff: Backoff,
         options: SenderOptions,
     ) -> None:
-        """Start the task."""
+        """Start the sending task."""
         self._queue = queue
         self._counts = counts
         self._encoder = encoder
@@ -74,16 +75,17 @@
         self._logged_s = NEVER_S
 
         self._closing = asyncio.Event()
-        self._wakeup: asyncio.Future[None] | None = None  # only while the task has nothing to do
+        # Set only while the task has nothing to do.
+        self._wakeup: asyncio.Future[None] | None = None
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def wake(self) -> None:
-        """Wake the task: a record was queued, or something happened to the channel."""
+        """Wake the task after a record was queued or the channel was closed."""
         if self._wakeup and not self._wakeup.done():
             self._wakeup.set_result(None)
 
     async def close(self, timeout_s: float) -> None:
-        """Send what can be sent within `timeout_s`, the last counts behind it; drop and log the rest."""
+        """Send what can be sent within `timeout_s`, final counts last; drop and log the rest."""
         self._closing.set()
         self.wake()
         await asyncio.wait((self._task,), timeout=timeout_s)
@@ -96,39 +98,38 @@
             sent = sum(self._counts.sent)
             log_event("record_delivery_incomplete", sent=sent, unconfirmed=unconfirmed, dropped=dropped)
 
-    # The task: connections ------------------------------------------------------------------------
-
     async def _run(self) -> None:
         while not self._finished:
             await self._wait_for_work()
             channel = await self._connect()
             if channel:
-                await self._use(channel)
+                await self._write_until_lost(channel)
 
     async def _connect(self) -> Channel | None:
-        """An open channel; None after a failure and its backoff."""
+        """Return an open channel, or None after a failure and its backoff delay."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 return await self._open_channel()
-        except (OSError, ValueError, TimeoutError) as error:  # ValueError: see TlsChannel
+        except (OSError, ValueError, TimeoutError) as error:  # TlsChannel raises ValueError.
             delay_s = self._backoff.next_delay_s()
             if self._may_log():
                 text = str(error) or "no answer"
                 count = len(self._queue)
                 log_event("syslog_connect_failed", error=text, count=count, retry_s=f"{delay_s:.1f}")
-            await self._pause(delay_s)
+            await self._wait_before_reconnect(delay_s)
             return None
 
-    async def _use(self, channel: Channel) -> None:
-        """Write to the channel until it is lost, or everything is sent at shutdown."""
+    async def _write_until_lost(self, channel: Channel) -> None:
+        """Write to the channel until it is lost, or until everything is sent at shutdown."""
         connected_s = time.monotonic()
         error_text = "the receiver closed the connection"
         try:
-            await self._pump(channel)
+            await self._write_batches(channel)
         except OSError as error:
             error_text = str(error)
         finally:
-            # Also at shutdown: what a stalled receiver's kernel never acknowledged is lost with this process.
+            # Also at shutdown: data that a stalled receiver's kernel has not acknowledged is lost when this
+            # process ends.
             if channel.is_stream and not (self._finished and not channel.unacknowledged_bytes):
                 self._on_connection_lost()
             channel.close()
@@ -139,10 +140,10 @@
         if self._may_log():
             count = len(self._queue)
             log_event("syslog_connection_lost", error=error_text, count=count, retry_s=f"{delay_s:.1f}")
-        await self._pause(delay_s)
+        await self._wait_before_reconnect(delay_s)
 
-    async def _pause(self, delay_s: float) -> None:
-        """Wait before the next connection attempt; at shutdown only shortly."""
+    async def _wait_before_reconnect(self, delay_s: float) -> None:
+        """Wait for the delay; at shutdown wait at most MAX_SHUTDOWN_RETRY_S."""
         if self._closing.is_set():
             await asyncio.sleep(min(delay_s, MAX_SHUTDOWN_RETRY_S))
             return
@@ -151,31 +152,29 @@
                 await self._closing.wait()
 
     def _on_connection_lost(self) -> None:
-        """Report what was sent on the connection and may never have been read.
+        """Report the last records sent on the connection as unconfirmed, as they may never have been read.
 
-        Records are not sent again, as they may have arrived: they are reported as unconfirmed.
+        They are not sent again, because they may also have arrived.
         """
         unconfirmed = self._unconfirmed.drain()
         self._counts.unconfirmed += unconfirmed.total
         self._reports.on_connection_lost(unconfirmed)
 
-    # The task: waiting ----------------------------------------------------------------------------
-
     @property
     def _finished(self) -> bool:
-        """At shutdown: everything is sent, the last counts included."""
+        """Whether shutdown has begun and everything is sent, including the final counts."""
         if not self._closing.is_set() or not self._reports.final_counts_sent:
             return False
-        return not (self._reports.pending or self._queue.gap.total or len(self._queue))
+        return not (self._reports.has_pending or self._queue.gap.total or len(self._queue))
 
     async def _wait_for_work(self) -> None:
-        while not len(self._queue) and not self._reports.pending and not self._closing.is_set():
+        while not len(self._queue) and not self._reports.has_pending and not self._closing.is_set():
             await self._wait_for_wakeup()
 
     async def _wait_for_wakeup(self, timeout_s: float | None = None) -> None:
-        """Wait until `wake` or the timeout.
+        """Wait until `wake` is called or the timeout expires.
 
-        A future and a timer in place of an event and a timeout, as this happens several times a second.
+        Uses a future and a timer instead of an event and a timeout, as this happens several times a second.
         """
         loop = asyncio.get_running_loop()
         wakeup = loop.create_future()
@@ -188,29 +187,27 @@
             if timer:
                 timer.cancel()
 
-    # The task: writing ----------------------------------------------------------------------------
-
-    async def _pump(self, channel: Channel) -> None:
-        """Write batches until the channel is lost, or everything is sent at shutdown."""
+    async def _write_batches(self, channel: Channel) -> None:
+        """Write batches until the channel is lost, or until everything is sent at shutdown."""
         channel.closed().add_done_callback(lambda closed: self.wake())
         while not self._finished:
             batch = self._next_batch(channel.max_write_bytes)
             if batch:
                 await self._write(channel, batch)
-                # While the kernel takes everything at once, a long queue would delay every request.
+                # Without this, a long queue would delay every request while the kernel accepts all writes.
                 await asyncio.sleep(0)
                 continue
             if channel.closed().done():
                 return
             await self._wait_for_wakeup(self._reports.seconds_until_due(time.monotonic()))
             if not self._closing.is_set():
-                # A record costs less CPU in a larger batch.
+                # Larger batches cost less CPU per record.
                 await asyncio.sleep(self._options.flush_interval_s)
         while channel.unacknowledged_bytes and not channel.closed().done():
             await asyncio.sleep(ACKNOWLEDGEMENT_POLL_S)
 
     def _next_batch(self, max_bytes: int) -> list[QueuedRecord | StatusRecord]:
-        """Reports first, then records, of about `max_bytes` with their frames."""
+        """Return reports and then records, of about `max_bytes` including their framing."""
         now_s = time.monotonic()
         closing = self._closing.is_set()
         batch: list[QueuedRecord | StatusRecord] = [*self._reports.take_due(now_s, closing)]
@@ -227,9 +224,9 @@
         return batch
 
     def _encode(self, record: QueuedRecord) -> bool:
-        """Encode a record if that has not been done. Returns whether there is a message.
+        """Encode a record unless it is already encoded, and return whether it has a message.
 
-        An error must cost this record only, not all that follow it.
+        An error drops only this record, so that the following ones are still sent.
         """
         if record.message:
             return True
@@ -269,7 +266,7 @@
             self._reports.on_not_sent(record)
 
     def _may_log(self) -> bool:
-        """Whether a line about a failure may be written now: at most one in LOG_INTERVAL_S."""
+        """Return whether a failure may be logged now, which is at most once in LOG_INTERVAL_S."""
         if time.monotonic() < self._logged_s + LOG_INTERVAL_S:
             return False
         self._logged_s = time.monotonic()
--- a/anisespool/records/tls_channel.py
+++ b/anisespool/records/tls_channel.py
@@ -11,25 +11,26 @@
 from anisespool.config.platform import Address
 from anisespool.records.transports import TcpChannel, connect_tcp, wait_writable
 
-MAX_TLS_RECORD_BYTES = 16_384  # of plaintext (RFC 8446, 5.1)
+# Maximum plaintext of a TLS record (RFC 8446, 5.1).
+MAX_TLS_RECORD_BYTES = 16_384
 READ_BYTES = 65_536
 
 
 class TlsSettings(NamedTuple):
-    """How the receiver is verified."""
+    """Settings that verify the receiver."""
 
     context: ssl.SSLContext
     server_name: str
-    """The name that its certificate has to be for."""
+    """The name that the receiver's certificate has to have."""
 
 
 def load_tls_settings(
     ca_file: str, server_name: str, certificate_file: str | None, key_file: str | None
 ) -> TlsSettings:
-    """Settings that verify the receiver's certificate by `ca_file` (RFC 5425, 4.2.1).
+    """Return settings that verify the receiver's certificate with `ca_file` (RFC 5425, 4.2.1).
 
     Raises:
-        OSError: A file is missing or invalid (ssl.SSLError is one).
+        OSError: A file is missing or invalid (ssl.SSLError is a subclass).
     """
     context = ssl.create_default_context(cafile=ca_file)
     if certificate_file:
@@ -38,10 +39,10 @@
 
 
 class TlsChannel(TcpChannel):
-    """TLS. See `Channel`.
+    """A TLS channel. See `Channel`.
 
-    A write is one TLS record, of which the receiver can read nothing before the last byte has arrived: while
-    any of its bytes has not been sent, none of its frames has.
+    Each write is one TLS record, which the receiver can read only once its last byte has arrived. Its frames
+    therefore count as sent only when all of its bytes are sent.
     """
 
     max_write_bytes = MAX_TLS_RECORD_BYTES
@@ -49,7 +50,7 @@
     def __init__(
         self, sock: socket.socket, tls: ssl.SSLObject, incoming: ssl.MemoryBIO, outgoing: ssl.MemoryBIO
     ) -> None:
-        """Create a channel from a connected socket whose handshake has ended."""
+        """Create a channel from a connected socket after its TLS handshake."""
         self._tls = tls
         self._incoming = incoming
         self._outgoing = outgoing
@@ -60,8 +61,8 @@
         """Open a connection and verify the receiver.
 
         Raises:
-            OSError: No connection, or its certificate is not valid (ssl.SSLError is one).
-            ValueError: TLS has no way to request that server name.
+            OSError: The connection failed, or the certificate is invalid (ssl.SSLError is a subclass).
+            ValueError: TLS can't request this server name.
         """
         sock = await connect_tcp(address)
         incoming = ssl.MemoryBIO()
@@ -94,13 +95,13 @@
             while data and self._tls.read(READ_BYTES):
                 pass
         except (BlockingIOError, ssl.SSLWantReadError):
-            return  # session tickets, for example
-        except OSError:  # the receiver's alert, among others
+            return  # Session tickets, for example, contain no data to read.
+        except OSError:  # An alert from the receiver, for example.
             pass
         self._set_closed()
 
     def close(self) -> None:
-        """See `Channel.close`. Sends close_notify if the kernel takes it."""
+        """See `Channel.close`. Sends close_notify if the kernel accepts it at once."""
         with suppress(OSError):
             self._tls.unwrap()
         with suppress(OSError):
@@ -119,7 +120,7 @@
             await loop.sock_sendall(sock, outgoing.read())
             data = await loop.sock_recv(sock, READ_BYTES)
             if not data:
-                raise ConnectionResetError("ended in its handshake") from None
+                raise ConnectionResetError("connection closed during the TLS handshake") from None
             incoming.write(data)
             continue
         await loop.sock_sendall(sock, outgoing.read())
--- a/anisespool/records/transports.py
+++ b/anisespool/records/transports.py
@@ -1,7 +1,7 @@
 """Channels to a syslog receiver: UDP (RFC 5426), TCP (RFC 6587) and Unix datagram sockets.
 
-Sockets are written directly: after every write, also after one that failed, it is known how many frames were
-handed to the kernel completely. Only the task that writes waits for a receiver. TLS: tls_channel.py.
+Sockets are written directly, so that after every write, even a failed one, the number of frames that were
+completely handed to the kernel is known. Only the sending task waits for a receiver. TLS: tls_channel.py.
 """
 
 from __future__ import annotations
@@ -19,27 +19,29 @@
 from anisespool.config.platform import Address
 
 MAX_WRITE_BYTES = 16_384
-NO_BUFFERS_RETRY_S = 0.01  # after ENOBUFS: no readiness event announces its end
-SEND_BUFFER_BYTES = 65_536  # bounds what a stalled receiver leaves in our kernel
+# Delay after ENOBUFS, as no readiness event announces that buffers are available again.
+NO_BUFFERS_RETRY_S = 0.01
+# Limits the data that a stalled receiver leaves in the sender's kernel.
+SEND_BUFFER_BYTES = 65_536
 READ_BYTES = 4096
 
 
 class DatagramTooLongError(Exception):
-    """The frame after the `frames_sent` ones is longer than a datagram can be."""
+    """The first frame that was not sent, at index `frames_sent`, is longer than a datagram can be."""
 
     def __init__(self, size_bytes: int) -> None:
         """Create the error for a frame of `size_bytes`."""
-        super().__init__(f"a frame of {size_bytes} bytes")
+        super().__init__(f"frame of {size_bytes} bytes is too long for a datagram")
         self.size_bytes = size_bytes
 
 
 class Channel(Protocol):
-    """An open way to the receiver.
+    """An open channel to the receiver.
 
     Attributes:
-        max_write_bytes: What one write should hold at most.
-        frames_sent: Frames of the last write that were handed to the kernel completely.
-        is_stream: What was sent shortly before the channel is lost may not have arrived.
+        max_write_bytes: Recommended maximum size of one write.
+        frames_sent: Number of frames of the last write that were completely handed to the kernel.
+        is_stream: Whether data sent shortly before the channel is lost may not have arrived.
     """
 
     max_write_bytes: int
@@ -47,30 +49,30 @@
     is_stream: bool
 
     async def write(self, frames: list[bytes]) -> None:
-        """Return when all frames are handed to the kernel; `frames_sent` is right after an error too.
+        """Hand all frames to the kernel, waiting as needed; `frames_sent` is correct even after an error.
 
         Raises:
             OSError: The channel is lost.
-            DatagramTooLongError: The next frame can't be sent at all.
+            DatagramTooLongError: The next frame is too long to be sent at all.
         """
 
     def closed(self) -> asyncio.Future[None]:
-        """A future that is done when the receiver has closed the channel."""
+        """Return a future that is done once the receiver has closed the channel."""
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Bytes handed to the kernel that the receiver's kernel has not acknowledged."""
+        """Number of bytes handed to the kernel that the receiver's kernel has not acknowledged."""
 
     def close(self) -> None:
         """Close the channel."""
 
 
 ChannelOpener = Callable[[], Awaitable[Channel]]
-"""Opens a new channel to the receiver. Raises OSError or ValueError where that is not possible."""
+"""Opens a new channel to the receiver. Raises OSError or ValueError on failure."""
 
 
 async def wait_writable(sock: socket.socket) -> None:
-    """Wait until a socket takes more bytes."""
+    """Wait until a socket accepts more bytes."""
     loop = asyncio.get_running_loop()
     ready = asyncio.Event()
     loop.add_writer(sock, ready.set)
@@ -81,7 +83,7 @@
 
 
 async def connect_tcp(address: Address) -> socket.socket:
-    """A connected, non-blocking TCP socket with a bounded send buffer. OSError: no connection."""
+    """Return a connected, non-blocking TCP socket with a bounded send buffer. Raises OSError on failure."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -95,7 +97,7 @@
 
 
 class DatagramChannel:
-    """UDP or a Unix datagram socket: each frame is a datagram. See `Channel`."""
+    """A channel over UDP or a Unix datagram socket, with one frame per datagram. See `Channel`."""
 
     max_write_bytes = MAX_WRITE_BYTES
     is_stream = False
@@ -108,7 +110,7 @@
 
     @classmethod
     def open(cls, destination: Address | Path) -> DatagramChannel:
-        """Open a channel to an address or a socket's path. OSError: there is no such socket."""
+        """Open a channel to an address or a socket's path. Raises OSError if there is no such socket."""
         family = socket.AF_UNIX if isinstance(destination, Path) else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
@@ -128,7 +130,7 @@
             self.frames_sent += 1
 
     async def _try_send(self, frame: bytes) -> bool:
-        """Return whether the frame was sent; if not, only when the next attempt can succeed."""
+        """Return whether the frame was sent. If not, wait first until another attempt can succeed."""
         try:
             self._sock.send(frame)
         except BlockingIOError:
@@ -145,11 +147,11 @@
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """0: datagrams are not acknowledged."""
+        """Always 0 because datagrams are not acknowledged."""
         return 0
 
     def closed(self) -> asyncio.Future[None]:
-        """A future that is never done: a receiver of datagrams can't close the channel."""
+        """Return a future that is never done, as a receiver of datagrams can't close the channel."""
         return self._closed
 
     def close(self) -> None:
@@ -158,10 +160,10 @@
 
 
 class TcpChannel:
-    """TCP. See `Channel`.
+    """A TCP channel. See `Channel`.
 
-    A frame that was sent in part has to be sent again from its start, on another connection; so what was sent
-    of a write is counted byte by byte.
+    A partially sent frame has to be sent again from its start on another connection, so each write counts the
+    bytes that were sent.
     """
 
     max_write_bytes = MAX_WRITE_BYTES
@@ -177,7 +179,7 @@
 
     @classmethod
     async def connect(cls, address: Address) -> TcpChannel:
-        """Open a connection. OSError: it is refused or unreachable."""
+        """Open a connection. Raises OSError if the receiver refuses it or is unreachable."""
         return cls(await connect_tcp(address))
 
     async def write(self, frames: list[bytes]) -> None:
@@ -185,7 +187,7 @@
         self.frames_sent = 0
         data = memoryview(b"".join(frames))
         sent_bytes = 0
-        complete_bytes = 0  # of the frames that were sent completely
+        complete_bytes = 0  # Total size of the completely sent frames.
         while sent_bytes < len(data):
             try:
                 sent_bytes += self._sock.send(data[sent_bytes:])
@@ -200,7 +202,7 @@
                 self.frames_sent += 1
 
     def _on_readable(self) -> None:
-        """Notice that the receiver closes. Receivers send nothing (RFC 6587, 3.1); bytes are discarded."""
+        """Detect that the receiver closed. Receivers send nothing (RFC 6587, 3.1); bytes are discarded."""
         try:
             data = self._sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -223,7 +225,7 @@
     def unacknowledged_bytes(self) -> int:
         """See `Channel.unacknowledged_bytes`."""
         result = array("i", [0])
-        fcntl.ioctl(self._sock, termios.TIOCOUTQ, result)  # SIOCOUTQ of a socket (tcp(7))
+        fcntl.ioctl(self._sock, termios.TIOCOUTQ, result)  # On a socket, TIOCOUTQ is SIOCOUTQ (tcp(7)).
         return result[0]
 
     def close(self) -> None:
--- a/tests/records/logs.py
+++ b/tests/records/logs.py
@@ -1,4 +1,4 @@
-"""Logs of two sidecars as `anisespool trace` reads them, and the requests that they hold."""
+"""Writes logs of two sidecars for `anisespool trace` to read, and returns the requests in them."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def write_logs(folder: Path, seed: int, count: int = 400) -> tuple[list[str], list[RequestRecord]]:
-    """Logs of two sidecars, with other programs' lines: one plain with octet counts, one compressed.
+    """Write logs of two sidecars with other programs' lines: one plain with octet counts, one compressed.
 
     Returns:
-        The files' names, and the requests in them.
+        The names of the files, and the requests in them.
     """
     print(f"seed {seed}")
     random = Random(seed)
--- a/tests/records/support.py
+++ b/tests/records/support.py
@@ -1,4 +1,4 @@
-"""Receivers of each transport, and recorders that send to them."""
+"""Receivers for each transport, and recorders that send to them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 async def run_receiver(
     transport: str, folder: Path, **options: Any
 ) -> AsyncIterator[tuple[Receiver, dict[str, Any]]]:
-    """A receiver, and the section `records` of an operator's file that names it."""
+    """Run a receiver, and yield it with a section `records` of an operator's file for sending to it."""
     receiver = Receiver(ReceiverOptions(is_octet_counted=transport != "tcp-newline", **options))
     if transport == "unix":
         async with receiver.datagrams(folder / "log"):
@@ -48,20 +48,20 @@
 
 
 def parse_options(section: dict[str, Any], **fields: Any) -> RecordOptions:
-    """A section `records` as checked options, with some fields replaced."""
+    """Parse a section `records` of an operator's file, and replace some of the options."""
     options = operator.parse_operator_config({"records": section}, "file").records
     assert options
     return msgspec.structs.replace(options, **fields)
 
 
 def start_recorder(options: RecordOptions) -> Recorder:
-    """A recorder that sends, and reconnects at once."""
-    made = create_recorder(1, options)
-    made.start(channel_opener(options), Backoff(0.001, 0.02, Random(1)))
-    return made
+    """Start a recorder that reconnects after a very short backoff."""
+    recorder = create_recorder(1, options)
+    recorder.start(channel_opener(options), Backoff(0.001, 0.02, Random(1)))
+    return recorder
 
 
 def received_numbers(receiver: Receiver) -> list[int]:
-    """The sequenceIds of the received requests' records."""
+    """Return the sequenceIds of the received request records."""
     requests = [message for message in receiver.messages if message.msgid == "path"]
     return [int(message.first("meta")["sequenceId"]) for message in requests]
--- a/tests/records/test_accounting.py
+++ b/tests/records/test_accounting.py
@@ -6,7 +6,7 @@
 from tests.records.test_buffer import queued_record
 
 
-def test_the_records_sent_last_are_unconfirmed_up_to_the_limit() -> None:
+def test_the_last_sent_records_are_unconfirmed_up_to_the_size_limit() -> None:
     unconfirmed = UnconfirmedRecords(100)
     for number in range(1, 51):
         unconfirmed.add(queued_record(number, size_bytes=30))
@@ -14,7 +14,7 @@
     assert unconfirmed.drain() == (0, 0, 0)
 
 
-def test_the_last_record_is_unconfirmed_whatever_its_size() -> None:
+def test_the_last_sent_record_is_unconfirmed_whatever_its_size() -> None:
     unconfirmed = UnconfirmedRecords(100)
     unconfirmed.add(queued_record(7, size_bytes=30))
     unconfirmed.drain()
--- a/tests/records/test_analysis.py
+++ b/tests/records/test_analysis.py
@@ -1,4 +1,4 @@
-"""Requests, the slowest, groups and gaps found again in logs, against what was written to them."""
+"""Requests, slowest requests, groups and gaps found in logs, compared with what was written to the logs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_groups_by_tenant_have_the_requests_and_outcomes_that_were_written(tmp_path: Path, seed: int) -> None:
+def test_groups_by_tenant_have_the_logged_requests_and_outcomes(tmp_path: Path, seed: int) -> None:
     names, requests = write_logs(tmp_path, seed)
     counts = LineCounts()
     groups = group_requests(read_records(names, counts, RecordFilter(parse_attempts=False)), "member")
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_groups_by_endpoint_have_the_attempts_that_were_written(tmp_path: Path, seed: int) -> None:
+def test_groups_by_endpoint_have_the_logged_attempts(tmp_path: Path, seed: int) -> None:
     names, requests = write_logs(tmp_path, seed)
     groups = group_requests(read_records(names, LineCounts(), RecordFilter()), "endpoint")
     attempts = Counter(attempt.endpoint for request in requests for attempt in request.attempts)
@@ -57,7 +57,7 @@
     )
 
 
-def test_requests_of_one_duration_are_in_the_order_of_the_log() -> None:
+def test_slowest_requests_of_equal_duration_keep_the_order_of_the_log() -> None:
     encoder = record_encoder()
     request = random_request(Random(1), 1)._replace(arrived_ns=0, finished_ns=MS)
     lines = [
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_time_range_selects_by_when_a_request_was_answered(tmp_path: Path, seed: int) -> None:
+def test_a_time_range_selects_requests_by_the_time_of_their_answer(tmp_path: Path, seed: int) -> None:
     names, requests = write_logs(tmp_path, seed)
     start_ns = START_NS + 200_000 * MS
     end_ns = START_NS + 600_000 * MS
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 def logs_with_retries(tmp_path: Path) -> list[str]:
-    """Logs with three attempts at one operation at two sidecars, written in reverse, and two of others."""
+    """Logs with three attempts at one operation at two sidecars, in reverse order, and two other requests."""
     names, _ = write_logs(tmp_path, 4)
     operation = random_request(Random(1), 9000)._replace(fingerprint=77, request_class=1, tenant=b"banco")
     encoders = [record_encoder(boot) for boot in (1, 2)]
@@ -91,7 +91,7 @@
         (b'a"%', Outcome.SHED, 0),
         (b"b", Outcome.SHED, 300 * MS),
         (b"c", Outcome.SERVED, 900 * MS),
-        (b"other", Outcome.SERVED, 120_000 * MS),  # too late to be one of them
+        (b"other", Outcome.SERVED, 120_000 * MS),  # Too late to be an attempt at the same operation.
     ]
     lines = []
     for index, (trace_id, outcome, arrived_ns) in enumerate(attempts):
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("trace_id", ['a"%', "b", "c"])
-def test_a_request_is_found_with_its_clients_other_attempts_at_any_sidecar(
+def test_a_request_is_found_with_its_clients_attempts_at_all_sidecars(
     logs_with_retries: list[str], trace_id: str
 ) -> None:
     records = find_request(logs_with_retries, trace_id, LineCounts())
@@ -120,18 +120,18 @@
     assert statuses == ["ok", "full", "full"][: len(statuses)]
 
 
-def test_a_request_much_later_is_another_operation(logs_with_retries: list[str]) -> None:
+def test_a_request_after_the_longest_retry_gap_is_another_operation(logs_with_retries: list[str]) -> None:
     assert trace_ids(find_request(logs_with_retries, "other", LineCounts())) == ["other"]
 
 
-def test_an_unknown_trace_id_finds_nothing(logs_with_retries: list[str]) -> None:
+def test_no_records_are_found_for_an_unknown_trace_id(logs_with_retries: list[str]) -> None:
     assert find_request(logs_with_retries, "nobody", LineCounts()) == []
 
 
-def test_a_gap_that_was_reported_twice_counts_once(tmp_path: Path) -> None:
-    made = create_recorder(1, RecordOptions(destination="udp://127.0.0.1:514"))
-    encoder = made.encoder
-    counts = made.counts
+def test_a_gap_reported_twice_counts_once(tmp_path: Path) -> None:
+    recorder = create_recorder(1, RecordOptions(destination="udp://127.0.0.1:514"))
+    encoder = recorder.encoder
+    counts = recorder.counts
     counts.answered[Outcome.SERVED] = 20
     gap = Gap()
     for number in (3, 4, 9):
--- a/tests/records/test_buffer.py
+++ b/tests/records/test_buffer.py
@@ -1,4 +1,4 @@
-"""The queue of records: which records it drops, the bounds that it keeps, and the gaps that it reports."""
+"""The queue of records: its drop policies, its limits, and the gaps that it reports."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Simulation:
-    """Random operations on a queue; the records in flight are sent or put back."""
+    """Random operations on a queue. Records in flight are either sent or put back."""
 
     def __init__(self, policy: DropPolicy, seed: int) -> None:
         self.queue = RecordQueue(MAX_BYTES, MAX_RECORDS, policy)
@@ -78,7 +78,7 @@
 
     def _put(self) -> None:
         self.put += 1
-        size_before = self.queue.size_bytes  # requeued records may exceed the bounds
+        size_before = self.queue.size_bytes  # Requeued records may exceed the limits.
         count_before = len(self.queue)
         outcome = self._random.choice(list(Outcome))
         self.queue.put(queued_record(self.put, outcome, self._random.choice(RECORD_SIZES)))
@@ -96,11 +96,11 @@
 
     def report_gap(self) -> None:
         counts = self.queue.close_gap().counts
-        self.reported = [a + b for a, b in zip(self.reported, counts, strict=True)]
+        self.reported = [total + count for total, count in zip(self.reported, counts, strict=True)]
 
 
 @pytest.mark.parametrize("policy", list(DropPolicy))
-def test_every_record_is_accounted_for_and_the_bounds_hold(policy: DropPolicy) -> None:
+def test_every_record_is_counted_once_and_the_limits_hold(policy: DropPolicy) -> None:
     for seed in range(40):
         print(f"seed {seed}")
         simulation = Simulation(policy, seed)
@@ -113,7 +113,7 @@
         assert simulation.put == accounted
 
 
-def test_a_gap_covers_a_wall_clock_that_was_set_back() -> None:
+def test_a_gap_covers_all_its_times_after_the_wall_clock_is_set_back() -> None:
     gap = Gap()
     for number, timestamp_ns in ((4, 100), (5, 40), (6, 70)):
         record = QueuedRecord(number, Outcome.CLIENT_DISCONNECTED, timestamp_ns, 0, REQUEST)
--- a/tests/records/test_encoder.py
+++ b/tests/records/test_encoder.py
@@ -1,4 +1,4 @@
-"""Records as messages."""
+"""Records encoded as messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from anisespool.fakes.record_soak import create_recorder, random_request
 
 
-def test_a_request_is_encoded_in_one_go_to_the_same_bytes_as_from_its_elements() -> None:
+def test_a_request_encoded_as_one_string_equals_its_encoding_from_elements() -> None:
     random = Random(7)
     encoder = create_recorder(1, RecordOptions(destination="udp://127.0.0.1:1")).encoder
     for number in range(1, 300):
@@ -19,5 +19,5 @@
             retry_after_s=0.25 * (number % 2),
         )
         unix_ns = number * 10**9
-        in_one_go = encoder.encode_request(number, request, unix_ns)
-        assert in_one_go == encoder.encode_request_elements(number, request, unix_ns)
+        encoded = encoder.encode_request(number, request, unix_ns)
+        assert encoded == encoder.encode_request_elements(number, request, unix_ns)
--- a/tests/records/test_options.py
+++ b/tests/records/test_options.py
@@ -23,7 +23,7 @@
         ({}, "records.to: found nothing"),
     ],
 )
-def test_an_invalid_section_is_reported_in_one_line_that_names_the_key(
+def test_the_error_for_an_invalid_section_is_one_line_with_the_key(
     section: dict[str, Any], message: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
--- a/tests/records/test_recorded_proxy.py
+++ b/tests/records/test_recorded_proxy.py
@@ -1,4 +1,4 @@
-"""The records of a real sidecar's requests."""
+"""Records of requests served by a complete sidecar."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def apply_sampling(socket_path: Path) -> None:
-    """Change the sampling rates of the running sidecar; an unknown class is an invalid change."""
+    """Check that a change with an unknown class is invalid, then change the sampling rates at runtime."""
     base = (await control_client.call(socket_path, "/v1/state"))[1]["digest"]
     unknown_class = {"sampling": {"classes": {"nothing": {"served": 0.5}}}}
     invalid = control_client.apply_request(1, base, unknown_class)
@@ -34,9 +34,9 @@
 
 
 async def serve_requests(tmp_path: Path) -> list[Message]:
-    """What the receiver got: requests of a sidecar before and after a change of its sampling rates.
+    """Return the messages received for requests before and after a change of the sampling rates.
 
-    The endpoint answers the first attempt of all with an error. The third request is not sampled.
+    The endpoint answers the very first attempt with an error. The third request is not sampled.
     """
     first_responses = iter([b"HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"])
 
--- a/tests/records/test_reports.py
+++ b/tests/records/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports about the records themselves: when they are due, and what is repeated after a lost connection."""
+"""Reports about the records themselves: when they are due, and which are repeated after a lost connection."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 @pytest.fixture
 def reports(queue: RecordQueue) -> StatusReports:
-    made = create_recorder(1, RecordOptions(destination="udp://127.0.0.1:514"))
-    return StatusReports(queue, made.counts, made.encoder, lambda: UNIX_NS, START_S)
+    recorder = create_recorder(1, RecordOptions(destination="udp://127.0.0.1:514"))
+    return StatusReports(queue, recorder.counts, recorder.encoder, lambda: UNIX_NS, START_S)
 
 
 def params(record: StatusRecord) -> dict[str, str]:
@@ -71,7 +71,7 @@
     assert params(take_one(reports, START_S, closing=True))["first"] == "2"
 
 
-def test_counts_are_reported_once_in_an_interval(reports: StatusReports) -> None:
+def test_counts_are_reported_once_per_interval(reports: StatusReports) -> None:
     assert reports.seconds_until_due(START_S) == COUNTS_REPORT_INTERVAL_S
     assert reports.take_counts_if_due(START_S + COUNTS_REPORT_INTERVAL_S - 0.1, closing=False) is None
     counts = reports.take_counts_if_due(START_S + COUNTS_REPORT_INTERVAL_S, closing=False)
@@ -92,12 +92,12 @@
     assert reports.take_counts_if_due(START_S, closing=True) is None
 
 
-def test_a_report_that_was_not_sent_is_pending_again(queue: RecordQueue, reports: StatusReports) -> None:
+def test_a_report_that_could_not_be_sent_is_pending_again(queue: RecordQueue, reports: StatusReports) -> None:
     drop(queue, 1)
     report = take_one(reports, START_S)
-    assert not reports.pending
+    assert not reports.has_pending
     reports.on_not_sent(report)
-    assert reports.pending
+    assert reports.has_pending
     assert take_one(reports, START_S).report is report.report
 
 
@@ -114,7 +114,7 @@
     assert (params(unconfirmed)["unsure"], params(unconfirmed)["first"]) == ("5", "10")
 
 
-def test_what_was_sent_on_an_earlier_connection_is_not_repeated(
+def test_a_report_sent_on_an_earlier_connection_is_not_repeated(
     queue: RecordQueue, reports: StatusReports
 ) -> None:
     drop(queue, 1)
@@ -122,7 +122,7 @@
     reports.on_connection_lost(NOTHING_UNCONFIRMED)
     reports.take_due(START_S, closing=False)
     reports.on_connection_lost(NOTHING_UNCONFIRMED)
-    assert not reports.pending
+    assert not reports.has_pending
 
 
 def test_the_number_of_repeated_reports_is_bounded(queue: RecordQueue, reports: StatusReports) -> None:
--- a/tests/records/test_rfc5424.py
+++ b/tests/records/test_rfc5424.py
@@ -1,4 +1,4 @@
-"""RFC 5424 messages: what is encoded is read back by a parser that was written from the RFC alone."""
+"""RFC 5424 messages, decoded by a parser that was written from the RFC alone."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 ORIGIN = Origin(16, "lima", "anisespool", "77")
 HEADER = Header(ORIGIN, Severity.INFO, "-", "path")
-NASTY = st.sampled_from([*'"\\]\n\r\0%=\u2028\u0085\ud800\U0001f514ñ界', "%4", "%%"])
-TEXTS = st.lists(st.one_of(NASTY, st.text(st.characters(), max_size=20)), max_size=14).map("".join)
-RAWS = st.one_of(TEXTS, st.binary(max_size=200))
+SPECIAL_TEXTS = st.sampled_from([*'"\\]\n\r\0%=\u2028\u0085\ud800\U0001f514ñ界', "%4", "%%"])
+TEXTS = st.lists(st.one_of(SPECIAL_TEXTS, st.text(st.characters(), max_size=20)), max_size=14).map("".join)
+RAW_VALUES = st.one_of(TEXTS, st.binary(max_size=200))
 
 
 def raw_bytes(raw: str | bytes) -> bytes:
@@ -38,8 +38,8 @@
 
 
 @settings(max_examples=400, deadline=None)
-@given(st.lists(RAWS, min_size=1, max_size=6), st.integers(16, 300))
-def test_any_value_is_decoded_again_or_truncated_between_two_characters(
+@given(st.lists(RAW_VALUES, min_size=1, max_size=6), st.integers(16, 300))
+def test_any_value_round_trips_or_is_truncated_between_two_characters(
     raws: list[str | bytes], max_bytes: int
 ) -> None:
     params = [Param(f"p{number}", escape_value(raw, max_bytes)) for number, raw in enumerate(raws)]
@@ -52,7 +52,7 @@
         assert decoded == raw_bytes(raw) if not is_truncated else raw_bytes(raw).startswith(decoded)
         if not is_truncated:
             continue
-        try:  # the missing rest began with a whole character
+        try:  # The truncated rest begins with a whole character.
             raw_bytes(raw).decode()
         except UnicodeDecodeError:
             continue
@@ -69,7 +69,7 @@
         (b"\xff\xc3\xa9", 99, "%FFé"),
         ("\ud800x", 99, "%ED%A0%80x"),
         ('12345"', 7, '12345\\"'),
-        ('12345"x', 7, "12345%"),  # the escape and the mark don't fit together
+        ('12345"x', 7, "12345%"),  # The escape and the truncation mark do not both fit.
         ("ñandú", 5, "ñan%"),
         ("", 16, ""),
     ],
@@ -79,16 +79,16 @@
 
 
 @pytest.mark.parametrize("text", ["a%zzx", "%4x", "%%x"])
-def test_a_percent_sign_without_two_digits_is_an_error(text: str) -> None:
+def test_a_percent_sign_without_two_hexadecimal_digits_is_an_error(text: str) -> None:
     with pytest.raises(ValueError, match="percent sign"):
         unescape_value(text)
 
 
-def test_a_message_that_is_too_long_loses_whole_parameters_and_says_how_many() -> None:
+def test_a_message_that_is_too_long_drops_whole_parameters_and_counts_them() -> None:
     params = [Param(f"p{number}", "v" * (9 * number + 3)) for number in range(4)]
     elements = [Element(f"e{number}@32473", params) for number in range(9)]
     complete = encode_message(HEADER, elements, max_bytes=10**6)
-    for max_bytes in range(rfc5424.MIN_MAX_BYTES, len(complete) + 2):
+    for max_bytes in range(rfc5424.REQUIRED_MAX_BYTES, len(complete) + 2):
         data = encode_message(HEADER, elements, max_bytes=max_bytes)
         received = [param for element in parse(data).data.values() for param in element]
         missing = dict(received).get("cut")
@@ -107,7 +107,9 @@
         ("", True, (None, False)),
     ],
 )
-def test_a_message_carries_text(text: str, bom: bool, expected: tuple[bytes | None, bool]) -> None:
+def test_a_message_has_its_text_with_or_without_a_byte_order_mark(
+    text: str, bom: bool, expected: tuple[bytes | None, bool]
+) -> None:
     message = parse(encode_message(Header(ORIGIN, Severity.ERROR, "-", "x"), [], text, bom))
     assert (message.text, message.is_utf8) == expected
     assert message.data == {}
@@ -117,7 +119,7 @@
     lima = TimestampFormatter(lambda second: -18_000)
     kathmandu = TimestampFormatter(lambda second: 20_700)
     assert lima(1_796_156_220_000_001_999) == "2026-12-01T15:17:00.000001-05:00"
-    assert lima(1_796_156_219_999_999_999) == "2026-12-01T15:16:59.999999-05:00"  # the clock was set back
+    assert lima(1_796_156_219_999_999_999) == "2026-12-01T15:16:59.999999-05:00"  # The clock was set back.
     assert kathmandu(0) == "1970-01-01T05:45:00.000000+05:45"
     assert TimestampFormatter(lambda second: 0)(951_782_400_000_000_000) == "2000-02-29T00:00:00.000000Z"
     assert lima(-1) == lima(10**21) == "-"
@@ -128,14 +130,14 @@
 @pytest.mark.parametrize(
     ("part", "text"), [("facility", 24), ("host", ""), ("host", "a b"), ("app", "x" * 49), ("procid", "ñ")]
 )
-def test_an_invalid_origin_is_reported_by_the_part_s_name(part: str, text: str | int) -> None:
+def test_the_error_for_an_invalid_origin_names_the_part(part: str, text: str | int) -> None:
     with pytest.raises(OriginError, match=part) as error:
         ORIGIN._replace(**{part: text}).check()  # type: ignore[arg-type]
     assert error.value.part == part
 
 
 @pytest.mark.parametrize(("is_octet_counted", "frame"), [(True, frame_octet_counted), (False, frame_newline)])
-def test_frames_are_split_again_however_they_are_fragmented(
+def test_frames_received_byte_by_byte_are_decoded(
     is_octet_counted: bool, frame: Callable[[bytes], bytes]
 ) -> None:
     messages = [b"<134>1 - - - - - -", b"<134>1 - - - - - - 9 x"]
--- a/tests/records/test_sending.py
+++ b/tests/records/test_sending.py
@@ -1,4 +1,4 @@
-"""Records over real sockets: each transport, and receivers that stall, reset connections or are not there."""
+"""Records sent over real sockets: each transport, and receivers that stall, reset or are absent."""
 
 from __future__ import annotations
 
@@ -41,21 +41,21 @@
         tenant, is_truncated = unescape_value(receiver.messages[1].first(f"req@{PEN}")["member"])
         assert tenant == names[1].encode()
         assert not is_truncated
-        # 200 times %00 is longer than a value may be.
+        # 200 times %00 exceeds the maximum length of a value.
         assert unescape_value(receiver.messages[2].first(f"req@{PEN}")["member"]).is_truncated
         counts = receiver.messages[-1].first(f"account@{PEN}")
         assert (counts["answered"], counts["sent"], counts["dropped"]) == ("300", "300", "0")
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_the_counts_hold_through_stalls_resets_and_restarts(seed: int) -> None:
+def test_counts_match_the_received_records_despite_stalls_resets_and_restarts(seed: int) -> None:
     result = asyncio.run(asyncio.wait_for(run_soak(seed, boots=2, steps=25), 60))
     assert not result.failures
     assert result.answered > 500
 
 
 @pytest.mark.parametrize("transport", ["unix", "tcp", "tls"])
-async def test_with_a_stalled_receiver_the_queue_is_bounded_and_failures_are_not_dropped(
+async def test_a_stalled_receiver_leaves_the_queue_bounded_and_failed_requests_are_not_dropped(
     transport: str, tmp_path: Path
 ) -> None:
     async with run_receiver(transport, tmp_path, receive_buffer_bytes=8192, is_reading=False) as (
@@ -85,7 +85,7 @@
         assert not receiver.errors
 
 
-async def test_a_record_sent_in_part_is_sent_whole_on_the_next_connection(tmp_path: Path) -> None:
+async def test_a_partially_sent_record_is_sent_completely_on_the_next_connection(tmp_path: Path) -> None:
     async with run_receiver(
         "tcp", tmp_path, reset_after_bytes=300, max_read_bytes=50, receive_buffer_bytes=4096
     ) as (receiver, section):
@@ -99,7 +99,7 @@
         assert receiver.truncated_streams
         assert not receiver.errors
         received = received_numbers(receiver)
-        assert len(set(received)) == len(received)  # no record twice
+        assert len(set(received)) == len(received)  # No record arrived twice.
         assert recorder.counts.unconfirmed >= sum(recorder.counts.sent) - len(received) >= 0
 
 
@@ -113,7 +113,7 @@
         while sum(recorder.counts.sent) < 4000 - sum(recorder.queue.dropped):
             await asyncio.sleep(0)
             iterations += 1
-        assert iterations >= 60  # at most 64 records at a time
+        assert iterations >= 60  # A batch has at most 64 records.
         assert recorder.queue.size_bytes == 0
         await wait_until(lambda: receiver.message_count >= sum(recorder.counts.sent))
         await recorder.close()
@@ -123,7 +123,7 @@
     async with run_receiver("udp", tmp_path) as (receiver, section):
         recorder = start_recorder(parse_options(section, max_record_bytes=65_000, max_value_bytes=65_000))
         assert recorder.sender
-        # Private, as no option allows a record that the kernel rejects: the sender gets another encoder.
+        # Replaces a private attribute, as no option allows a record that the kernel rejects.
         recorder.sender._encoder = dataclasses.replace(
             recorder.encoder, max_record_bytes=200_000, max_value_bytes=200_000
         )
@@ -132,19 +132,19 @@
                 random_request(Random(number), number, b"m" * (70_000 if number == 1 else 30_000))
             )
         await wait_until(lambda: receiver.message_count >= 3)
-        assert received_numbers(receiver) == [1, 3]  # larger than the MTU, but not than a datagram can be
+        assert received_numbers(receiver) == [1, 3]  # These exceed the MTU, but not the datagram limit.
         gap = next(message for message in receiver.messages if message.msgid == "gap").first(f"gap@{PEN}")
         assert (gap["dropped"], gap["reason"], gap["first"], gap["last"]) == ("1", "size", "2", "2")
         await recorder.close()
 
 
 @pytest.mark.parametrize("transport", ["tcp", "unix", "udp"])
-async def test_closing_waits_no_longer_than_configured_for_an_absent_receiver(
+async def test_closing_ends_soon_after_the_configured_time_if_the_receiver_is_absent(
     transport: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     kind = socket.SOCK_DGRAM if transport == "udp" else socket.SOCK_STREAM
     with socket.socket(socket.AF_INET, kind) as unused:
-        unused.bind(("127.0.0.1", 0))  # nobody listens there
+        unused.bind(("127.0.0.1", 0))  # No process listens on this port.
         destination = f"{transport}://127.0.0.1:{unused.getsockname()[1]}"
         if transport == "unix":
             destination = f"unix://{tmp_path / 'none'}"
@@ -156,12 +156,12 @@
         await recorder.close()
         assert loop.time() - started_s < 2.0
     assert sum(recorder.counts.sent) + sum(recorder.queue.dropped) == 50
-    if transport != "udp":  # its kernel accepts what nobody receives
+    if transport != "udp":  # For UDP, the kernel accepts datagrams without a receiver.
         assert recorder.queue.gap.total == 50
         assert "record_delivery_incomplete sent=0 unconfirmed=0 dropped=50\n" in capsys.readouterr().err
 
 
-async def test_a_receiver_with_a_certificate_for_another_name_is_sent_nothing(tmp_path: Path) -> None:
+async def test_nothing_is_sent_to_a_receiver_with_a_certificate_for_another_name(tmp_path: Path) -> None:
     async with run_receiver("tls", tmp_path) as (receiver, section):
         options = parse_options(section | {"name": "other.lima"}, shutdown_flush_s=0.1)
         recorder = start_recorder(options)
