--- a/anisespool/agent/instance_directory.py
+++ b/anisespool/agent/instance_directory.py
@@ -14,7 +14,7 @@
 from anisespool.agent.control_client import ControlClient, Reachability
 from anisespool.agent.task_scope import TaskScope
 from anisespool.config.operator import AgentOptions
-from anisespool.control.socket_directory import INSTANCE_NAME, SOCKET_SUFFIX
+from anisespool.control.socket_directory import INSTANCE_NAME_PATTERN, SOCKET_SUFFIX
 from anisespool.log import log_event
 
 POLL_JITTER_SHARE = 0.2  # of the poll interval, so that the instances are not polled in step
@@ -98,7 +98,11 @@
             with os.scandir(self.directory) as entries:
                 for entry in entries:
                     name, suffix = os.path.splitext(entry.name)
-                    if suffix == SOCKET_SUFFIX and INSTANCE_NAME.fullmatch(name) and _is_socket(entry):
+                    if (
+                        suffix == SOCKET_SUFFIX
+                        and INSTANCE_NAME_PATTERN.fullmatch(name)
+                        and _is_socket(entry)
+                    ):
                         found[name] = Path(entry.path)
         except OSError as error:
             log_event("instance_directory_scan_failed", directory=str(self.directory), error=str(error))
--- a/anisespool/control/config_updater.py
+++ b/anisespool/control/config_updater.py
@@ -8,7 +8,7 @@
 from anisespool.config.operator import LiveConfig, OperatorConfig
 from anisespool.config.platform import Address, ConfigError, PlatformConfig
 from anisespool.control.errors import DamagedUpdateError, InvalidDocumentError, UpdateRejectedError
-from anisespool.control.generations import AppliedConfig, ApplyDecision, decide
+from anisespool.control.generations import AppliedConfig, ApplyDecision, decide_update
 from anisespool.control.operator_drains import OperatorDrains
 from anisespool.control.requests import ApplyRequest, ValidateRequest
 from anisespool.proxy.event_log import ConfigApplied
@@ -73,7 +73,7 @@
         """
         live, effective = self._parse(request.content)
         update = request.update
-        decision = decide(self.applied, update, operator.digest(live))
+        decision = decide_update(self.applied, update, operator.digest(live))
         if decision is ApplyDecision.ALREADY_APPLIED:
             return False
         if decision is ApplyDecision.DIGEST_MISMATCH:
--- a/anisespool/control/generations.py
+++ b/anisespool/control/generations.py
@@ -47,7 +47,7 @@
     DIGEST_MISMATCH = "damaged"  # the content has another digest than the sender computed
 
 
-def decide(applied: AppliedConfig, update: ConfigUpdate, computed_digest: str) -> ApplyDecision:
+def decide_update(applied: AppliedConfig, update: ConfigUpdate, computed_digest: str) -> ApplyDecision:
     """Decide what to do with an update.
 
     Args:
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -23,7 +23,7 @@
 OTHERS_MODE = 0o077  # bits of group and others
 SOCKET_SUFFIX = ".sock"
 LOCK_SUFFIX = ".lock"
-INSTANCE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+INSTANCE_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 MAX_SOCKET_PATH_BYTES = 107  # unix(7): sun_path less its terminating null byte
 MAX_PENDING_CONNECTIONS = 16  # not accepted yet
 UCRED = struct.Struct("3i")  # pid, uid, gid: unix(7), SO_PEERCRED
@@ -86,7 +86,7 @@
             DirectoryError: The path is too long, or the directory can't be written.
             InstanceNameInUseError: Another living process has the name.
         """
-        if not INSTANCE_NAME.fullmatch(instance):
+        if not INSTANCE_NAME_PATTERN.fullmatch(instance):
             problem = f"{instance!r} can't name a socket, wanted letters, digits, . _ -"
             raise PlatformConfigError("LB_NAME", problem)
         self.path = directory / f"{instance}{SOCKET_SUFFIX}"
--- a/anisespool/lab/explore/generations.py
+++ b/anisespool/lab/explore/generations.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate, decide
+from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate, decide_update
 from anisespool.lab.explore.network import FaultBudget, Network, possible_faults, replace_at
 from anisespool.lab.explore.state_space import Step
 
@@ -63,7 +63,7 @@
         instances: int = 2,
         documents: int = 3,
         budget: FaultBudget | None = None,
-        rule: DecisionRule = decide,
+        rule: DecisionRule = decide_update,
     ) -> None:
         self._instances = instances
         self._documents = documents
--- a/tests/control/test_generations.py
+++ b/tests/control/test_generations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate, decide
+from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate, decide_update
 
 
 @pytest.mark.parametrize(
@@ -21,4 +21,4 @@
 def test_a_document_is_applied_in_order_and_once(
     update: ConfigUpdate, content_digest: str, decision: ApplyDecision
 ) -> None:
-    assert decide(AppliedConfig(2, "two"), update, content_digest) is decision
+    assert decide_update(AppliedConfig(2, "two"), update, content_digest) is decision
