--- a/anisespool/control/connection.py
+++ b/anisespool/control/connection.py
@@ -1,7 +1,8 @@
-"""One client's connection to the control socket: HTTP/1.1, one request after another.
+"""One client's connection to the control socket: HTTP/1.1 requests, handled one at a time.
 
-Driven by readiness callbacks: no task waits on a client, and a handler runs between two events of the loop.
-A client that is silent, sends half a request or does not read its answers is disconnected.
+The connection is driven by readiness callbacks: no task waits for a client, and a handler runs between two
+events of the loop. A client that stays idle, stalls within a request or does not read its responses is
+disconnected.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 from collections.abc import Callable
 
 from anisespool.codec import http1
-from anisespool.control.answers import Answer, error_answer
 from anisespool.control.errors import RequestFramingError
+from anisespool.control.http_responses import HttpResponse, error_response
 
-MAX_UNREAD_BYTES = 1024 * 1024  # of answers that a client does not read
-READ_BYTES = 65536
+MAX_UNSENT_BYTES = 1024 * 1024  # A client that leaves more response data unread is disconnected.
+MAX_READ_BYTES = 65536
 
-Respond = Callable[[http1.Request], Answer]
+Respond = Callable[[http1.Request], HttpResponse]
 
 
 class ClientConnection:
-    """One accepted connection, until it is aborted or the client closes it."""
+    """An accepted connection, open until `abort` is called or the client closes it."""
 
     def __init__(
         self,
@@ -31,13 +32,13 @@
         respond: Respond,
         on_closed: Callable[[ClientConnection], None],
     ) -> None:
-        """Start reading from `sock`, which must be non-blocking.
+        """Start reading from `sock`.
 
         Args:
-            sock: The accepted socket; owned by this connection from here on.
-            idle_timeout_s: The longest time without a complete request.
-            respond: Returns the answer to a request.
-            on_closed: Called when the connection has ended.
+            sock: The accepted socket, non-blocking. This connection closes it.
+            idle_timeout_s: Maximum time without a complete request.
+            respond: Returns the response to a request.
+            on_closed: Called when the connection is closed.
         """
         self._sock = sock
         self._idle_timeout_s = idle_timeout_s
@@ -55,7 +56,7 @@
 
     def _read(self) -> None:
         try:
-            data = self._sock.recv(READ_BYTES)
+            data = self._sock.recv(MAX_READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -65,20 +66,22 @@
             return
         for request in self._parser.feed(data):
             if self._closed:
-                return  # disconnected by an earlier answer of this batch, which it did not read
+                return  # The client did not read an earlier response of this batch and was disconnected.
             self._send(self._respond(request), close=not request.keep_alive)
         if self._parser.error_status:
             error = RequestFramingError(self._parser.error_status, http1.MAX_BODY_BYTES)
-            self._send(error_answer(error), close=True)
+            self._send(error_response(error), close=True)
 
-    def _send(self, answer: Answer, close: bool) -> None:
+    def _send(self, response: HttpResponse, close: bool) -> None:
         if self._closed:
             return
-        self._unsent += http1.encode_response(answer.status, json.dumps(answer.body).encode(), close=close)
-        # Only a complete request restarts the timer: a byte now and then does not keep a connection open.
+        self._unsent += http1.encode_response(
+            response.status, json.dumps(response.body).encode(), close=close
+        )
+        # Only a complete request restarts the timer, so sending single bytes does not keep a connection open.
         self._idle_timer.cancel()
         self._idle_timer = self._loop.call_later(self._idle_timeout_s, self.abort)
-        if len(self._unsent) > MAX_UNREAD_BYTES:
+        if len(self._unsent) > MAX_UNSENT_BYTES:
             self.abort()
         else:
             self._write(close)
@@ -100,10 +103,10 @@
             self._shut_down_output()
 
     def _shut_down_output(self) -> None:
-        """End the connection after its last answer.
+        """Shut down the sending side of the connection after its last response.
 
-        Closing it with input unread would reset it, and the client might never read the answer: input is
-        discarded until the client closes its side or the timer ends it.
+        Closing a socket with unread input resets the connection, and the client could lose the response. So
+        input is read and discarded until the client closes its side or the idle timeout expires.
         """
         self._loop.remove_reader(self._sock)
         self._loop.add_reader(self._sock, self._discard_input)
@@ -114,7 +117,7 @@
 
     def _discard_input(self) -> None:
         try:
-            if not self._sock.recv(READ_BYTES):
+            if not self._sock.recv(MAX_READ_BYTES):
                 self.abort()
         except (BlockingIOError, InterruptedError):
             return
@@ -122,7 +125,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close the connection at once; what is unsent is dropped. May be called again."""
+        """Close the connection at once and drop unsent data. May be called repeatedly."""
         self._idle_timer.cancel()
         if not self._closed:
             self._loop.remove_reader(self._sock)
--- a/anisespool/control/errors.py
+++ b/anisespool/control/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the control socket: one exception class for each kind, grouped by whose fault it is.
+"""Errors of the control socket: one exception class for each kind, grouped by who caused the error.
 
-`str(error)` is the text for the operator; scripts read these texts. `answers.error_answer` gives each kind of
-RequestError its HTTP status and its code.
+`str(error)` is the text for the operator, and scripts parse these texts.
+`http_responses.error_response` maps each kind of RequestError to an HTTP status and an error code.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from anisespool.control.generations import AppliedConfig, ApplyDecision, ConfigUpdate
 from anisespool.control.routes import Route
 
-MAX_TEXT_CHARACTERS = 200  # of an error that quotes its sender
+MAX_ERROR_TEXT_CHARACTERS = 200  # Limit for texts that quote received data.
 MAX_PATH_CHARACTERS = 80
 MAX_NAMED_ENDPOINTS = 4
-SHORT_DIGEST_CHARACTERS = 8
+DIGEST_PREFIX_CHARACTERS = 8
 
 
 class ControlError(Exception):
@@ -25,11 +25,11 @@
 
 @dataclass(eq=False)
 class DirectoryError(ConfigError):
-    """The operator's fault: a directory that the operator's file names can't hold what it is for.
+    """A directory that the operator's file sets can't be used.
 
     Attributes:
-        key: The file's key that names it.
-        problem: What is wrong.
+        key: The key of the file that sets the directory.
+        problem: What is wrong with it.
     """
 
     key: str
@@ -41,7 +41,7 @@
 
 @dataclass(eq=False)
 class AlreadyLockedError(ControlError):
-    """Another living process holds the lock of the file `path`."""
+    """Another running process holds the lock on the file `path`."""
 
     path: Path
 
@@ -51,7 +51,7 @@
 
 @dataclass(eq=False)
 class InstanceNameInUseError(AlreadyLockedError):
-    """Another living process serves the control socket of `instance`."""
+    """Another running process holds the lock on the instance name `instance`."""
 
     instance: str
 
@@ -60,28 +60,28 @@
 
 
 class RequestError(ControlError):
-    """A control request that is answered with an error. Raised by its subclasses only."""
+    """Base of the errors that are reported to a client in an error response."""
 
 
 class InvalidRequestError(RequestError):
-    """The client's fault: the request is wrong, whatever state the instance is in."""
+    """Base of client errors: the request is invalid in any state of the instance."""
 
 
 class StateConflictError(RequestError):
-    """Nobody's fault: the request is valid, and contradicts the state that the instance is in."""
+    """Base of conflicts: the request is valid, but not in the current state of the instance."""
 
 
 class InstanceFaultError(RequestError):
-    """The instance's fault: the request may be valid, and could not be carried out."""
+    """Base of internal errors: the request may be valid, but the instance failed to process it."""
 
 
 @dataclass(eq=False)
 class RequestFramingError(InvalidRequestError):
-    """The bytes received are no HTTP request, or one over the limits.
+    """The received bytes are not an HTTP request, or the request exceeds a size limit.
 
     Attributes:
-        status: 400, or 413 for a body over the limit.
-        max_body_bytes: Largest body of a request.
+        status: HTTP status: 413 for a body over the limit, else 400.
+        max_body_bytes: Maximum size of a request body.
     """
 
     status: int
@@ -98,19 +98,19 @@
     reason: str
 
     def __str__(self) -> str:
-        return self.reason[:MAX_TEXT_CHARACTERS]
+        return self.reason[:MAX_ERROR_TEXT_CHARACTERS]
 
 
 @dataclass(eq=False)
-class UnknownVerbError(InvalidRequestError):
-    """No handler for this method and path."""
+class UnknownRouteError(InvalidRequestError):
+    """No handler exists for this method and path."""
 
     route: Route
-    known: list[str]
+    known_routes: list[str]
 
     def __str__(self) -> str:
         method, path = self.route
-        return f"no verb {method} {path[:MAX_PATH_CHARACTERS]}; there are {', '.join(self.known)}"
+        return f"no verb {method} {path[:MAX_PATH_CHARACTERS]}; there are {', '.join(self.known_routes)}"
 
 
 @dataclass(eq=False)
@@ -118,24 +118,24 @@
     """A field of the body is missing, of the wrong type or out of range.
 
     Attributes:
-        field: Its name, or names.
-        wanted: What is accepted there.
-        found: What was received, as `repr`; empty where it is not quoted.
+        field: Name of the field, or names of several separated by commas.
+        expected: Description of the accepted values.
+        received: `repr` of the received value; empty if it is not quoted.
     """
 
     field: str
-    wanted: str
-    found: str = ""
+    expected: str
+    received: str = ""
 
     def __str__(self) -> str:
-        if not self.found:
-            return f"{self.field}: wanted {self.wanted}"
-        return f"{self.field}: found {self.found}, wanted {self.wanted}"[:MAX_TEXT_CHARACTERS]
+        if not self.received:
+            return f"{self.field}: wanted {self.expected}"
+        return f"{self.field}: found {self.received}, wanted {self.expected}"[:MAX_ERROR_TEXT_CHARACTERS]
 
 
 @dataclass(eq=False)
 class InvalidDocumentError(InvalidRequestError):
-    """The content of an update is no valid configuration for this instance."""
+    """The content of an update is not a valid configuration for this instance."""
 
     reason: str
 
@@ -145,21 +145,21 @@
 
 @dataclass(eq=False)
 class DamagedUpdateError(InvalidRequestError):
-    """The content of an update does not have the digest that its sender computed."""
+    """The digest of an update's content differs from the digest that the sender computed."""
 
     update: ConfigUpdate
 
     def __str__(self) -> str:
-        return f"the content does not match its digest {_short(self.update.digest)}"
+        return f"the content does not match its digest {_digest_prefix(self.update.digest)}"
 
 
 @dataclass(eq=False)
 class UpdateRejectedError(StateConflictError):
-    """A valid update that does not follow on the applied configuration.
+    """The update is valid, but not a successor of the applied configuration, which stays in force.
 
     Attributes:
         decision: STALE, CONFLICT or BASE_MISMATCH.
-        applied: The configuration in force, which stays.
+        applied: The configuration in force.
         update: The rejected update.
     """
 
@@ -168,22 +168,22 @@
     update: ConfigUpdate
 
     def __str__(self) -> str:
-        current = f"has generation {self.applied.generation} ({_short(self.applied.digest)})"
+        current = f"has generation {self.applied.generation} ({_digest_prefix(self.applied.digest)})"
         match self.decision:
             case ApplyDecision.STALE:
                 return f"{current}, generation {self.update.generation} is older"
             case ApplyDecision.CONFLICT:
                 return f"{current}, another document of that generation was offered"
             case _:
-                return f"{current}, the document was made for {_short(self.update.base)}"
+                return f"{current}, the document was made for {_digest_prefix(self.update.base)}"
 
 
 @dataclass(eq=False)
 class StaleDrainRevisionError(StateConflictError):
-    """The fleet's drains with a revision that is not newer than the applied one.
+    """The fleet drains have an older revision, or the applied one with other endpoints.
 
     Attributes:
-        revision: The applied one.
+        revision: Revision of the fleet drains that are applied.
     """
 
     revision: int
@@ -194,7 +194,7 @@
 
 @dataclass(eq=False)
 class LastEndpointError(StateConflictError):
-    """Draining `endpoints` would leave none to send to, and `force` is not set."""
+    """Draining `endpoints` would leave no endpoint to send to, and `force` is not set."""
 
     endpoints: frozenset[str]
 
@@ -205,7 +205,7 @@
 
 @dataclass(eq=False)
 class TooManyDrainsError(StateConflictError):
-    """More endpoints drained by hand than `limit`."""
+    """The request would drain more than `limit` endpoints by hand."""
 
     limit: int
 
@@ -215,11 +215,11 @@
 
 @dataclass(eq=False)
 class DrainedElsewhereError(StateConflictError):
-    """The endpoint can't be undrained by hand: the agent or the configuration drains it.
+    """An endpoint that the agent or the configuration drains can't be undrained by hand.
 
     Attributes:
-        endpoint: Its id.
-        source: What drains it, in words for the operator.
+        endpoint: Id of the endpoint.
+        source: What drains the endpoint, as text for the operator.
     """
 
     endpoint: str
@@ -230,12 +230,12 @@
 
 
 class HandlerFailedError(InstanceFaultError):
-    """A handler raised an unexpected exception, which is in the log."""
+    """A handler raised an unexpected exception, which the instance has logged."""
 
     def __str__(self) -> str:
         return "see the instance's log"
 
 
-def _short(digest: str) -> str:
-    """Return the part of a digest that error texts have."""
-    return digest[:SHORT_DIGEST_CHARACTERS]
+def _digest_prefix(digest: str) -> str:
+    """Return the shortened form of a digest that error texts show."""
+    return digest[:DIGEST_PREFIX_CHARACTERS]
--- a/anisespool/control/generations.py
+++ b/anisespool/control/generations.py
@@ -1,7 +1,7 @@
-"""Whether an instance applies a configuration update: completely or not at all, in order, each one once.
+"""Decides whether an instance applies a configuration update, so that each is applied in order and only once.
 
-Compare-and-swap over generations: an update names the generation that it makes and the digest of the
-configuration that it replaces. Pure: no I/O, no clock.
+The rule is a compare-and-swap over generations: an update has the number of its own generation and the digest
+of the configuration that it replaces. The functions are pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class AppliedConfig(NamedTuple):
-    """The configuration that an instance has applied (a tuple: the lab's explorer hashes and sorts many).
+    """The configuration that an instance has applied. A tuple, as the lab's explorer hashes and sorts many.
 
     Attributes:
-        generation: 0 while it runs on its own file alone, as it was started.
-        digest: Of the document in force (`config.operator.digest`).
+        generation: The applied generation; 0 if only the operator's file is in force.
+        digest: Digest of the document in force, computed by `config.operator.digest`.
     """
 
     generation: int
@@ -26,9 +26,9 @@
     """The header of a configuration update, without its content.
 
     Attributes:
-        generation: The generation that applying it makes.
-        base: Digest of the configuration that it was made to replace.
-        digest: Of its content, as the sender computed it.
+        generation: The generation after the update is applied.
+        base: Digest of the configuration that the update replaces.
+        digest: Digest of the update's content, computed by the sender.
     """
 
     generation: int
@@ -40,26 +40,26 @@
     """What an instance does with an update. The values are the error codes on the control socket."""
 
     APPLY = "take"
-    ALREADY_APPLIED = "same"  # the same update again: acknowledged, nothing changes
-    STALE = "older"  # of a generation before the applied one
-    CONFLICT = "conflict"  # another document under the applied generation
-    BASE_MISMATCH = "base"  # made to replace another configuration than the applied one
-    DIGEST_MISMATCH = "damaged"  # the content has another digest than the sender computed
+    ALREADY_APPLIED = "same"  # The update is applied already and only acknowledged.
+    STALE = "older"  # The generation is lower than the applied one.
+    CONFLICT = "conflict"  # The applied generation has another document.
+    BASE_MISMATCH = "base"  # The update replaces a configuration that is not the applied one.
+    DIGEST_MISMATCH = "damaged"  # The digest of the content differs from the sender's.
 
 
 def decide_update(applied: AppliedConfig, update: ConfigUpdate, computed_digest: str) -> ApplyDecision:
-    """Decide what to do with an update.
+    """Return whether to apply an update, or why not.
 
     Args:
         applied: The configuration in force.
         update: Header of the update.
-        computed_digest: Digest of its content as received.
+        computed_digest: Digest of the received content.
     """
     if update.digest != computed_digest:
         return ApplyDecision.DIGEST_MISMATCH
     if update.generation == applied.generation:
-        same = update.digest == applied.digest
-        return ApplyDecision.ALREADY_APPLIED if same else ApplyDecision.CONFLICT
+        is_same_content = update.digest == applied.digest
+        return ApplyDecision.ALREADY_APPLIED if is_same_content else ApplyDecision.CONFLICT
     if update.generation < applied.generation:
         return ApplyDecision.STALE
     return ApplyDecision.APPLY if update.base == applied.digest else ApplyDecision.BASE_MISMATCH
--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -1,7 +1,7 @@
-"""The verbs of the control socket: decode the request, call the owner of the state, answer.
+"""Handlers of the control socket: each decodes a request, calls the owner of the state and returns JSON.
 
-Each handler is a plain function that runs between two events of the loop, so requests of the application see
-its change completely or not at all. Nothing here may await.
+Handlers are synchronous functions that run between two events of the loop, so application requests see a
+change completely or not at all. A handler that awaited would break this.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from anisespool.control.inspection import Inspector
 from anisespool.control.operator_drains import OperatorDrains
 from anisespool.control.requests import RequestBody
-from anisespool.control.responses import Changed, JsonObject, Validated, json_object
+from anisespool.control.responses import ChangeResult, JsonObject, ValidateResponse, json_object
 from anisespool.control.router import Handler
 from anisespool.control.routes import Route
 from anisespool.proxy.event_log import ShutdownRequested
@@ -22,10 +22,10 @@
 
 
 class ControlHandlers:
-    """The handlers of one instance.
+    """The handlers of one instance, and the state that they work on.
 
     Attributes:
-        routes: Handlers by verb; other subsystems may add theirs.
+        routes: The handler of each route. Other subsystems may add routes.
     """
 
     def __init__(
@@ -35,10 +35,10 @@
         proxy: ObservedProxy,
         controls: RuntimeControls,
     ) -> None:
-        """Put `operator_config` in force and build the handlers.
+        """Apply `operator_config` and build the handlers.
 
         Raises:
-            ConfigError: It does not fit the platform's settings.
+            ConfigError: `operator_config` contradicts the platform's settings.
         """
         self._events = proxy.event_log
         self._controls = controls
@@ -61,9 +61,7 @@
         return json_object(self._inspector.state())
 
     def _state_after(self, changed: bool) -> JsonObject:
-        return json_object(self._inspector.state(), Changed(changed))
-
-    # Inspection -----------------------------------------------------------------------------------
+        return json_object(self._inspector.state(), ChangeResult(changed))
 
     def _get_state(self, body: RequestBody) -> JsonObject:
         return self._state()
@@ -75,18 +73,14 @@
         request = requests.decode_events(body)
         return {"boot": self._inspector.boot, **self._events.after(request.after)}
 
-    # Configuration --------------------------------------------------------------------------------
-
     def _validate(self, body: RequestBody) -> JsonObject:
         digest = self._config_updater.validate(requests.decode_validate(body))
-        return json_object(Validated(digest))
+        return json_object(ValidateResponse(digest))
 
     def _apply(self, body: RequestBody) -> JsonObject:
         changed = self._config_updater.apply(requests.decode_apply(body))
         return self._state_after(changed)
 
-    # Draining -------------------------------------------------------------------------------------
-
     def _shut_down(self, body: RequestBody) -> JsonObject:
         """Shut the instance down gracefully, as SIGTERM does."""
         self._events.record(ShutdownRequested())
--- a/anisespool/control/answers.py
+++ b/anisespool/control/http_responses.py
@@ -1,4 +1,4 @@
-"""Answers of the control socket: HTTP status and JSON, of a success or of an error.
+"""HTTP responses of the control socket: the status and JSON body of a success or of an error.
 
 A body is `{"version": 1, ...}` or `{"version": 1, "error": {"code", "text"}}`.
 """
@@ -20,7 +20,7 @@
     RequestFramingError,
     StaleDrainRevisionError,
     TooManyDrainsError,
-    UnknownVerbError,
+    UnknownRouteError,
     UpdateRejectedError,
 )
 from anisespool.control.generations import ApplyDecision
@@ -29,15 +29,15 @@
 PROTOCOL_VERSION = 1
 
 
-class Answer(NamedTuple):
-    """HTTP status and JSON body of an answer."""
+class HttpResponse(NamedTuple):
+    """HTTP status and JSON body of a response."""
 
     status: int
     body: JsonObject
 
 
 class ErrorCode(NamedTuple):
-    """How a kind of error is answered: the HTTP status, and the code that clients compare."""
+    """HTTP status of one kind of error, and the code that clients compare."""
 
     status: int
     code: str
@@ -45,7 +45,7 @@
 
 ERROR_CODES: dict[type[RequestError], ErrorCode] = {
     MalformedBodyError: ErrorCode(HTTPStatus.BAD_REQUEST, "bad-json"),
-    UnknownVerbError: ErrorCode(HTTPStatus.NOT_FOUND, "unknown-verb"),
+    UnknownRouteError: ErrorCode(HTTPStatus.NOT_FOUND, "unknown-verb"),
     InvalidFieldError: ErrorCode(HTTPStatus.BAD_REQUEST, "invalid"),
     InvalidDocumentError: ErrorCode(HTTPStatus.BAD_REQUEST, "invalid"),
     DamagedUpdateError: ErrorCode(HTTPStatus.BAD_REQUEST, ApplyDecision.DIGEST_MISMATCH.value),
@@ -57,15 +57,15 @@
 }
 
 
-def success_answer(body: JsonObject) -> Answer:
-    """Return the answer to a request that was carried out."""
-    return Answer(HTTPStatus.OK, {"version": PROTOCOL_VERSION} | body)
+def success_response(body: JsonObject) -> HttpResponse:
+    """Return the response to a successful request."""
+    return HttpResponse(HTTPStatus.OK, {"version": PROTOCOL_VERSION} | body)
 
 
-def error_answer(error: RequestError) -> Answer:
-    """Return the answer that reports `error` to a client."""
+def error_response(error: RequestError) -> HttpResponse:
+    """Return the response that reports `error` to a client."""
     status, code = _error_code(error)
-    return Answer(status, {"version": PROTOCOL_VERSION, "error": {"code": code, "text": str(error)}})
+    return HttpResponse(status, {"version": PROTOCOL_VERSION, "error": {"code": code, "text": str(error)}})
 
 
 def _error_code(error: RequestError) -> ErrorCode:
--- a/anisespool/control/inspection.py
+++ b/anisespool/control/inspection.py
@@ -1,4 +1,4 @@
-"""State and description of an instance, as the control socket shows them. Read only."""
+"""Builds the state and description of an instance for the control socket. Read only."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 from anisespool.proxy.runtime_controls import RuntimeControls
 
 BOOT_ID_CHARACTERS = 16
-MAX_DESCRIBED_ENDPOINTS = 256  # the others are only counted
-DESCRIPTION_MAX_AGE_NS = 100_000_000  # of a cached one: a client that polls fast must not slow requests down
+MAX_DESCRIBED_ENDPOINTS = 256  # Further endpoints count in `endpoints_total` only.
+# Descriptions are cached, so that a client that polls fast does not slow application requests down.
+DESCRIPTION_MAX_AGE_NS = 100_000_000
 
 
 class Inspector:
-    """Describes one instance from its parts.
+    """Describes one instance from the state of its subsystems.
 
     Attributes:
-        boot: A random id of this process's start.
+        boot: A random id that identifies this run of the process.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         config_updater: ConfigUpdater,
         drains: OperatorDrains,
     ) -> None:
-        """Count the uptime from here."""
+        """Generate the boot id and start the uptime."""
         self.boot = uuid4().hex[:BOOT_ID_CHARACTERS]
         self._config = config
         self._proxy = proxy
@@ -55,11 +56,11 @@
         self._started_ns = time.monotonic_ns()
         self._started_ms = wall_ns() // 1_000_000
         self._description: JsonObject = {}
-        self._described_ns = -DESCRIPTION_MAX_AGE_NS  # monotonic
-        self._described_publication = -1  # of the drains
+        self._described_at_ns = -DESCRIPTION_MAX_AGE_NS  # Monotonic time of the cached description.
+        self._described_publish_count = -1  # `drains.publish_count` at that time.
 
     def state(self) -> InstanceState:
-        """Return the state as of now."""
+        """Return the current state."""
         drains = self._drains
         return InstanceState(
             name=self._config.name,
@@ -72,19 +73,19 @@
             generation=self._config_updater.applied.generation,
             digest=self._config_updater.applied.digest,
             drained=sorted(drains.sources.all),
-            drained_by_hand=sorted(drains.sources.here),
+            drained_by_hand=sorted(drains.sources.by_hand),
             drained_by_fleet=sorted(drains.sources.fleet),
             drains_revision=drains.fleet_revision,
         )
 
     def description(self) -> JsonObject:
-        """Return InstanceDescription as JSON: cached for DESCRIPTION_MAX_AGE_NS, but not beyond a drain."""
+        """Return InstanceDescription as JSON, cached until it expires or drains are published."""
         now_ns = time.monotonic_ns()
-        is_expired = now_ns - self._described_ns >= DESCRIPTION_MAX_AGE_NS
-        if is_expired or self._described_publication != self._drains.publications:
+        is_expired = now_ns - self._described_at_ns >= DESCRIPTION_MAX_AGE_NS
+        if is_expired or self._described_publish_count != self._drains.publish_count:
             self._description = json_object(self._describe(now_ns))
-            self._described_ns = now_ns
-            self._described_publication = self._drains.publications
+            self._described_at_ns = now_ns
+            self._described_publish_count = self._drains.publish_count
         return self._description
 
     def _describe(self, now_ns: int) -> InstanceDescription:
@@ -104,7 +105,7 @@
                 if view.endpoint in ids
             ],
             endpoints_total=len(ids),
-            file=operator.to_tables(self._config_updater.effective),
+            file=operator.to_tables(self._config_updater.effective_config),
             live_keys=list(operator.LIVE_SECTIONS),
         )
 
--- a/anisespool/control/requests.py
+++ b/anisespool/control/requests.py
@@ -1,6 +1,7 @@
-"""Bodies of control requests as checked types.
+"""Types for the bodies of control requests, and functions that decode them.
 
-Decoded by hand, not by `msgspec.convert`: scripts read the texts of the errors. Unknown fields are ignored.
+They don't use `msgspec.convert`, whose error texts would differ from those that scripts parse. Unknown fields
+are ignored.
 """
 
 from __future__ import annotations
@@ -14,27 +15,27 @@
 from anisespool.control.errors import InvalidFieldError
 from anisespool.control.generations import ConfigUpdate
 
-MAX_GENERATION = 2**53  # integers up to here are exact in every JSON implementation
+INTEGER_LIMIT = 2**53  # Below this limit, integers are exact in every JSON implementation.
 MAX_ENDPOINT_ID_CHARACTERS = 200
 
 RequestBody = Mapping[str, Any]
 
 
 class EventsRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/events`: the events after number `after`."""
+    """Body of `POST /v1/events`, which returns the events with a number above `after`."""
 
     after: int
 
 
 class ValidateRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/validate`: `content` is checked by `config.operator.parse_live_config`."""
+    """Body of `POST /v1/validate`. `config.operator.parse_live_config` validates `content`."""
 
     content: object
     force: bool
 
 
 class ApplyRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/apply`: `force` allows draining the last endpoint too."""
+    """Body of `POST /v1/apply`. `force` allows an update that drains the last endpoint."""
 
     update: ConfigUpdate
     content: object
@@ -42,23 +43,23 @@
 
 
 class FleetDrainsRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/endpoints/drained`: the complete set that the agent drains, as of `revision`."""
+    """Body of `POST /v1/endpoints/drained`: all endpoints that the agent drains, as of `revision`."""
 
     revision: int
     endpoints: frozenset[str]
     force: bool
-    dry_run: bool  # `check` on the socket
+    dry_run: bool  # The key on the socket is `check`.
 
 
 class EndpointRequest(msgspec.Struct, frozen=True):
-    """`POST /v1/endpoints/drain` and `/v1/endpoints/undrain`: one endpoint, by its id."""
+    """Body of `POST /v1/endpoints/drain` and `/v1/endpoints/undrain`."""
 
     endpoint: str
     force: bool
 
 
 def decode_events(body: RequestBody) -> EventsRequest:
-    """Decode the body of `/v1/events`; like all `decode_*` it raises InvalidFieldError."""
+    """Decode the body of `/v1/events`. Like all `decode_` functions, it raises InvalidFieldError."""
     after = body.get("after", 0)
     if isinstance(after, bool) or not isinstance(after, int) or after < 0:
         raise InvalidFieldError("after", "the number of an event", repr(after))
@@ -67,47 +68,49 @@
 
 def decode_validate(body: RequestBody) -> ValidateRequest:
     """Decode the body of `/v1/validate`."""
-    return ValidateRequest(body.get("content"), _flag(body, "force"))
+    return ValidateRequest(body.get("content"), _decode_flag(body, "force"))
 
 
 def decode_apply(body: RequestBody) -> ApplyRequest:
     """Decode the body of `/v1/apply`."""
-    generation = _positive_integer(body, "generation")
+    generation = _decode_positive_integer(body, "generation")
     base = body.get("base")
     digest = body.get("digest")
     if not isinstance(base, str) or not isinstance(digest, str):
         raise InvalidFieldError("base, digest", "the digests as text")
-    return ApplyRequest(ConfigUpdate(generation, base, digest), body.get("content"), _flag(body, "force"))
+    return ApplyRequest(
+        ConfigUpdate(generation, base, digest), body.get("content"), _decode_flag(body, "force")
+    )
 
 
 def decode_fleet_drains(body: RequestBody) -> FleetDrainsRequest:
     """Decode the body of `/v1/endpoints/drained`."""
-    revision = _positive_integer(body, "revision")
+    revision = _decode_positive_integer(body, "revision")
     ids = body.get("ids")
     if not isinstance(ids, list) or len(ids) > operator.MAX_DRAINED_ENDPOINTS:
         raise InvalidFieldError("ids", f"a list of at most {operator.MAX_DRAINED_ENDPOINTS} ids")
-    endpoints = frozenset(_endpoint_id(value) for value in ids)
-    return FleetDrainsRequest(revision, endpoints, _flag(body, "force"), _flag(body, "check"))
+    endpoints = frozenset(_decode_endpoint_id(value) for value in ids)
+    return FleetDrainsRequest(revision, endpoints, _decode_flag(body, "force"), _decode_flag(body, "check"))
 
 
 def decode_endpoint(body: RequestBody) -> EndpointRequest:
     """Decode the body of `/v1/endpoints/drain` and `/v1/endpoints/undrain`."""
-    return EndpointRequest(_endpoint_id(body.get("id")), _flag(body, "force"))
+    return EndpointRequest(_decode_endpoint_id(body.get("id")), _decode_flag(body, "force"))
 
 
-def _flag(body: RequestBody, key: str) -> bool:
-    """Any true value sets a flag, so that clients may send 1 as well."""
+def _decode_flag(body: RequestBody, key: str) -> bool:
+    """Return the flag under `key`. Any truthy value sets it, so that clients may also send 1."""
     return bool(body.get(key))
 
 
-def _positive_integer(body: RequestBody, key: str) -> int:
+def _decode_positive_integer(body: RequestBody, key: str) -> int:
     value = body.get(key)
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 < value < MAX_GENERATION:
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 < value < INTEGER_LIMIT:
         raise InvalidFieldError(key, "1 to 2**53", repr(value))
     return value
 
 
-def _endpoint_id(value: object) -> str:
+def _decode_endpoint_id(value: object) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_ENDPOINT_ID_CHARACTERS:
         raise InvalidFieldError("id", "an endpoint's id", repr(value))
     return value
--- a/anisespool/control/responses.py
+++ b/anisespool/control/responses.py
@@ -1,6 +1,6 @@
-"""Answers of the control socket; fields are in the order of the JSON.
+"""Types for the bodies of control responses. Their fields are in the order of the JSON.
 
-Where a field's name here differs from its key on the socket, `msgspec.field(name=...)` gives the key.
+If the name of a field differs from its key on the socket, `msgspec.field(name=...)` sets the key.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from anisespool.balancer.interface import EndpointState
 
-JsonObject = dict[str, Any]  # JSON as it goes on the socket; nothing decides by it
+JsonObject = dict[str, Any]  # JSON as sent on the socket; no decision depends on it.
 
 
 class InstancePhase(StrEnum):
-    """What an instance does at the moment. The values are those on the socket."""
+    """Lifecycle phase of an instance. The values are the names on the socket."""
 
-    STARTING = "starting"  # no endpoint yet
+    STARTING = "starting"  # No endpoint is ready yet.
     SERVING = "serving"
-    DRAINING = "draining"  # graceful shutdown
+    DRAINING = "draining"  # The graceful shutdown has begun.
 
 
 class EndpointStateName(StrEnum):
-    """The names that the socket has for the states of an endpoint (`balancer.interface.EndpointState`)."""
+    """Names of the endpoint states (`balancer.interface.EndpointState`) on the socket."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -44,69 +44,69 @@
 
 
 class InstanceState(msgspec.Struct, frozen=True, kw_only=True):
-    """`GET /v1/state`: small, as an agent of thousands of instances polls it each second."""
+    """Body of `GET /v1/state`. It is small, since an agent polls thousands of instances each second."""
 
     name: str
     pid: int
-    boot: str  # a new random id with each start
+    boot: str  # A random id, new at each start of the process.
     build: str
-    started_ms: int  # Unix time
+    started_ms: int  # Unix time in ms.
     uptime_s: float
     phase: InstancePhase
     generation: int
     digest: str
-    drained: list[str]  # endpoint ids, by any source
+    drained: list[str]  # Ids of all drained endpoints.
     drained_by_hand: list[str] = msgspec.field(name="drained_here")
     drained_by_fleet: list[str] = msgspec.field(name="drained_fleet")
-    drains_revision: int  # of the fleet's drains
+    drains_revision: int  # Revision of the fleet drains.
 
 
 class EndpointDescription(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint in `GET /v1/describe`."""
+    """One endpoint in the body of `GET /v1/describe`."""
 
     id: str
     address: str
-    listed: EndpointStateName  # in the endpoint list as received
-    state: EndpointStateName  # in the balancer, with drains
-    drained_by: str = msgspec.field(name="drained")  # sources joined by `+`; empty: not drained
-    weight: float = msgspec.field(name="odds")  # share of the next attempts, 0 to 1
-    slowdown: float  # ratio: recent latency over the typical one
-    queue: float  # requests queued there, by its last load report
-    in_flight: int = msgspec.field(name="open")  # attempts of this sidecar
+    listed: EndpointStateName  # State in the endpoint list, before drains.
+    state: EndpointStateName  # State in the balancer, after drains.
+    drained_by: str = msgspec.field(name="drained")  # Drain sources joined by `+`, empty if not drained.
+    weight: float = msgspec.field(name="odds")  # Share of the next attempts, 0 to 1.
+    slowdown: float  # Ratio of the recent latency to the typical one.
+    queue: float  # Requests queued at the endpoint, from its last load report.
+    in_flight: int = msgspec.field(name="open")  # Attempts of this sidecar.
     warmup_left_s: float = msgspec.field(name="cold_s")
-    idle: int  # connections
-    connecting: int  # attempts that wait for a connection
+    idle: int  # Number of idle connections.
+    connecting: int  # Attempts that wait for a connection.
 
 
 class InstanceDescription(msgspec.Struct, frozen=True, kw_only=True):
-    """`GET /v1/describe`, after the fields of InstanceState."""
+    """Body of `GET /v1/describe`, which starts with the fields of InstanceState."""
 
     listen: str
-    open_requests: int = msgspec.field(name="open")  # without a final response
-    queueing_ratio: float = msgspec.field(name="strain")  # 0 to 1
-    clients: dict[str, int]  # connections of the application
-    settings: JsonObject  # the platform's, as applied
-    classes: dict[str, dict[str, int]]  # final answers by request class and outcome
+    open_requests: int = msgspec.field(name="open")  # Requests without a final response.
+    queueing_ratio: float = msgspec.field(name="strain")  # Range 0 to 1.
+    clients: dict[str, int]  # Number of application connections, by state.
+    settings: JsonObject  # The platform's settings in force.
+    classes: dict[str, dict[str, int]]  # Number of final responses, by request class and outcome.
     endpoints: list[EndpointDescription]
     endpoints_total: int
-    file: JsonObject  # the operator's file with the document in force
+    file: JsonObject  # The operator's configuration, with the document in force.
     live_keys: list[str]
 
 
-class Validated(msgspec.Struct, frozen=True):
-    """`POST /v1/validate`."""
+class ValidateResponse(msgspec.Struct, frozen=True):
+    """Body of `POST /v1/validate`."""
 
     digest: str
 
 
-class Changed(msgspec.Struct, frozen=True):
-    """Whether a request changed anything; follows InstanceState."""
+class ChangeResult(msgspec.Struct, frozen=True):
+    """Whether a request changed the instance; sent after InstanceState."""
 
     changed: bool
 
 
 def json_object(*parts: msgspec.Struct) -> JsonObject:
-    """Return the fields of all `parts` as one JSON object, in their order."""
+    """Return the fields of all `parts` as one JSON object, in the order of the parts."""
     merged: JsonObject = {}
     for part in parts:
         merged |= msgspec.to_builtins(part)
--- a/anisespool/control/routes.py
+++ b/anisespool/control/routes.py
@@ -1,4 +1,4 @@
-"""The verbs of the control socket: the HTTP method and path of each (docs/fleet.md)."""
+"""The operations of the control socket, each identified by its HTTP method and path (docs/fleet.md)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Route(NamedTuple):
-    """Method and path of one verb."""
+    """HTTP method and path of one operation."""
 
     method: str
     path: str
@@ -17,7 +17,7 @@
 
 GET_STATE = Route("GET", "/v1/state")
 DESCRIBE = Route("GET", "/v1/describe")
-LIST_MEMBERS = Route("GET", "/v1/peers")  # only where the instance takes part in the membership protocol
+LIST_MEMBERS = Route("GET", "/v1/peers")  # Available only if the instance runs the membership protocol.
 GET_EVENTS = Route("POST", "/v1/events")
 VALIDATE_CONFIG = Route("POST", "/v1/validate")
 APPLY_CONFIG = Route("POST", "/v1/apply")
--- a/anisespool/control/server.py
+++ b/anisespool/control/server.py
@@ -1,4 +1,4 @@
-"""The listener of the control socket: HTTP/1.1 with JSON, parsed as on the application's side."""
+"""The server of the control socket: HTTP/1.1 with JSON, parsed like the requests of the application."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 async def serve(directory: Path, instance: str, options: ControlOptions, routes: Routes) -> None:
     """Serve the control socket of `instance` in `directory` until cancelled.
 
-    At a restart the old process may still be draining under this name. Only this socket waits for its end,
-    requests of the application don't.
+    After a restart, the previous process may still be draining and hold this name. The control socket then
+    opens when that process ends. Application requests don't wait for it.
     """
     with closing(await _start(directory, instance, options, routes)):
         await asyncio.Event().wait()
 
 
 async def _start(directory: Path, instance: str, options: ControlOptions, routes: Routes) -> ControlServer:
-    """Return the listening server as soon as the instance's name is free."""
+    """Open the control socket and return its server. Retry until the instance's name is free."""
     logged = False
     while True:
         try:
@@ -44,7 +44,7 @@
 
 
 class ControlServer:
-    """Accepts clients from its creation until it is closed; needs a running loop."""
+    """Accepts clients from its creation until `close` is called. Needs a running event loop."""
 
     def __init__(self, instance_socket: InstanceSocket, options: ControlOptions, routes: Routes) -> None:
         self._instance_socket = instance_socket
@@ -66,7 +66,7 @@
         except OSError as error:
             self._pause_accepting(error)
             return
-        is_allowed = peer_uid(sock) in (os.geteuid(), 0)  # of this user or root
+        is_allowed = peer_uid(sock) in (os.geteuid(), 0)  # Only this user and root may connect.
         if not is_allowed or len(self._connections) >= self._options.max_connections:
             sock.close()
             return
@@ -77,7 +77,10 @@
         self._connections.add(connection)
 
     def _pause_accepting(self, error: OSError) -> None:
-        """With no file descriptor left the listener stays readable, and the loop would spin on it."""
+        """Stop accepting clients for ACCEPT_RETRY_S.
+
+        If the process is out of file descriptors, the listener stays readable and the loop would spin on it.
+        """
         log_event("control_accept_failed", error=error, retry_s=ACCEPT_RETRY_S)
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._listener)
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -1,7 +1,8 @@
-"""The directory of control sockets, and who may connect there.
+"""The directory of control sockets: access rights, and locks on instance names.
 
-A directory of the operator's own, mode 0700. Each instance has `NAME.sock` (mode 0600) and `NAME.lock` in it,
-and holds the lock while it lives: a socket whose lock is free was left by a process that is dead.
+The directory has mode 0700 and belongs to the operator's user. It contains `NAME.sock` (mode 0600) and
+`NAME.lock` for each instance, which holds the lock until its process ends. If the lock is free, the socket is
+left over from a process that ended.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 CONTROL_DIRECTORY_KEY = "control.folder"
 DIRECTORY_MODE = 0o700
 FILE_MODE = 0o600
-OTHERS_MODE = 0o077  # bits of group and others
+GROUP_AND_OTHERS_MODE = 0o077
 SOCKET_SUFFIX = ".sock"
 LOCK_SUFFIX = ".lock"
 INSTANCE_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-MAX_SOCKET_PATH_BYTES = 107  # unix(7): sun_path less its terminating null byte
-MAX_PENDING_CONNECTIONS = 16  # not accepted yet
-UCRED = struct.Struct("3i")  # pid, uid, gid: unix(7), SO_PEERCRED
+MAX_SOCKET_PATH_BYTES = 107  # Size of `sun_path` without the terminating null byte, see unix(7).
+MAX_PENDING_CONNECTIONS = 16  # Listen backlog.
+PEER_CREDENTIALS = struct.Struct("3i")  # Holds pid, uid and gid, see SO_PEERCRED in unix(7).
 
 
 def prepare_directory(folder: str, key: str = CONTROL_DIRECTORY_KEY) -> Path:
-    """Return the directory `folder`, created with mode 0700 if it is missing.
+    """Return the directory `folder`. Create it with mode 0700 if it does not exist.
 
     Args:
-        folder: Its path.
-        key: The key of the operator's file that names it, for the error.
+        folder: Path of the directory.
+        key: Key of the path in the operator's file, for the error text.
 
     Raises:
-        DirectoryError: It is no directory, can't be created, or others than this user can enter it.
+        DirectoryError: It is not a directory, can't be created, or is accessible to other users.
     """
     directory = Path(folder)
     try:
@@ -47,19 +48,19 @@
         raise DirectoryError(key, f"{folder}: {error.strerror}") from None
     if not stat.S_ISDIR(status.st_mode):
         raise DirectoryError(key, f"{folder} is no folder")
-    if status.st_uid != os.geteuid() or status.st_mode & OTHERS_MODE:
+    if status.st_uid != os.geteuid() or status.st_mode & GROUP_AND_OTHERS_MODE:
         mode = stat.S_IMODE(status.st_mode)
         raise DirectoryError(key, f"{folder}: found mode {mode:04o}, wanted 0700 and the same user")
     return directory
 
 
 def acquire_lock(path: Path) -> int:
-    """Lock the file `path`, created if it is missing, and return the descriptor that holds the lock.
+    """Lock the file `path`, creating it if it does not exist, and return the descriptor that holds the lock.
 
-    The lock ends when the descriptor is closed, at the latest with the process.
+    The lock is released when the descriptor is closed, at the latest when the process ends.
 
     Raises:
-        AlreadyLockedError: Another process has the lock.
+        AlreadyLockedError: Another descriptor, of this or another process, holds the lock.
         OSError: The file can't be opened.
     """
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
@@ -72,19 +73,19 @@
 
 
 class InstanceSocket:
-    """The socket of one instance name, locked against other processes from creation to `release`.
+    """The control socket of one instance name, which is locked from creation until `release` is called.
 
     Attributes:
-        path: Of the socket.
+        path: Path of the socket.
     """
 
     def __init__(self, directory: Path, instance: str) -> None:
         """Lock the name `instance` in `directory`.
 
         Raises:
-            PlatformConfigError: The name can't be a socket's.
-            DirectoryError: The path is too long, or the directory can't be written.
-            InstanceNameInUseError: Another living process has the name.
+            PlatformConfigError: The name can't be used in a file name.
+            DirectoryError: The path is too long, or the lock file can't be opened.
+            InstanceNameInUseError: The name is already locked.
         """
         if not INSTANCE_NAME_PATTERN.fullmatch(instance):
             problem = f"{instance!r} can't name a socket, wanted letters, digits, . _ -"
@@ -101,7 +102,7 @@
             raise InstanceNameInUseError(error.path, instance) from None
 
     def listen(self) -> socket.socket:
-        """Return a listening, non-blocking socket, in place of one that a dead process left."""
+        """Return a listening, non-blocking socket. Replace one left over from a process that ended."""
         self.path.unlink(missing_ok=True)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         listener.setblocking(False)
@@ -111,12 +112,14 @@
         return listener
 
     def release(self) -> None:
-        """Remove the socket, then free the name for other processes."""
+        """Remove the socket, then release the lock on the name."""
         self.path.unlink(missing_ok=True)
         os.close(self._lock)
 
 
 def peer_uid(sock: socket.socket) -> int:
     """Return the user id of the process at the other end of a Unix socket."""
-    _, uid, _ = UCRED.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, UCRED.size))
+    _, uid, _ = PEER_CREDENTIALS.unpack(
+        sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    )
     return int(uid)
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the control socket's tests: a sidecar in the test's own process, and a client of its socket."""
+"""Fixtures for tests of the control socket: a sidecar in the test process, and a client of its socket."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlledSidecar:
-    """A sidecar in front of `endpoints` (`s-0`, `s-1` and so on), and its control socket."""
+    """A sidecar with its control socket, and its endpoints `s-0`, `s-1` and so on."""
 
     sidecar: RunningSidecar
     endpoints: list[Endpoint]
     socket: Path
 
-    async def call(self, verb: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
-        """Status and answer of a verb: POST with a body, GET without."""
-        return await control_client.call(self.socket, f"/v1/{verb}", body)
+    async def call(self, operation: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
+        """Send POST with a body, GET without; return status and response body."""
+        return await control_client.call(self.socket, f"/v1/{operation}", body)
 
-    async def get(self, verb: str) -> dict[str, Any]:
-        """The answer to GET, which must succeed."""
-        status, answer = await self.call(verb)
+    async def get(self, operation: str) -> dict[str, Any]:
+        """Send GET, check that it succeeds, and return the response body."""
+        status, response = await self.call(operation)
         assert status == 200
-        return answer
+        return response
 
-    async def post(self, verb: str, body: dict[str, Any]) -> dict[str, Any]:
-        """The answer to POST, which must succeed."""
-        status, answer = await self.call(verb, body)
+    async def post(self, operation: str, body: dict[str, Any]) -> dict[str, Any]:
+        """Send POST, check that it succeeds, and return the response body."""
+        status, response = await self.call(operation, body)
         assert status == 200
-        return answer
+        return response
 
-    async def post_rejected(self, verb: str, body: dict[str, Any]) -> str:
-        """The error code of the answer to POST, which must be an error."""
-        status, answer = await self.call(verb, body)
+    async def post_rejected(self, operation: str, body: dict[str, Any]) -> str:
+        """Send POST, check that it fails, and return the error code."""
+        status, response = await self.call(operation, body)
         assert status >= 400
-        return str(answer["error"]["code"])
+        return str(response["error"]["code"])
 
     async def request(self, data: bytes | None = None) -> int:
-        """The status of one request of the application, `raw_call()` unless it is given."""
+        """Send an application request, by default `request_bytes()`, and return the status."""
         return (await send_request(self.sidecar.address, data or request_bytes())).status
 
 
@@ -58,27 +58,31 @@
 
 @pytest.fixture
 def start_sidecar(tmp_path: Path) -> StartSidecar:
-    """Starts a sidecar with a control socket; it ends with the block.
+    """Return a function whose context manager runs a sidecar with a control socket.
 
-    Arguments: `endpoints`, their number; `answer`, what each answers; `wait_for_socket`, whether the control
-    socket must exist before the block begins; others as in the section [control] of the operator's file.
+    Every endpoint sends `response`. `wait_for_socket` delays the block until the control socket exists. Other
+    arguments are keys of the section [control].
     """
 
     @asynccontextmanager
     async def start(
-        endpoints: int = 1,
-        answer: bytes | Callable[..., Awaitable[None]] = OK,
+        endpoint_count: int = 1,
+        response: bytes | Callable[..., Awaitable[None]] = OK,
         wait_for_socket: bool = True,
         **control: Any,
     ) -> AsyncIterator[ControlledSidecar]:
         async with AsyncExitStack() as stack:
-            peers = [await stack.enter_async_context(Endpoint(answer).serve()) for _ in range(endpoints)]
+            endpoints = [
+                await stack.enter_async_context(Endpoint(response).serve()) for _ in range(endpoint_count)
+            ]
             tables = {"control": {"folder": str(tmp_path / "ctl")} | control}
             file = operator.parse_operator_config(tables, "file")
-            sidecar = await stack.enter_async_context(running_sidecar(tmp_path, *peers, operator_config=file))
+            sidecar = await stack.enter_async_context(
+                running_sidecar(tmp_path, *endpoints, operator_config=file)
+            )
             socket = tmp_path / "ctl" / "n0.sock"
             if wait_for_socket:
                 await wait_until(socket.exists)
-            yield ControlledSidecar(sidecar, peers, socket)
+            yield ControlledSidecar(sidecar, endpoints, socket)
 
     return start
--- a/tests/control/test_config_updater.py
+++ b/tests/control/test_config_updater.py
@@ -1,4 +1,4 @@
-"""Applying configuration updates to a running instance: completely, once, and in order."""
+"""Configuration updates of a running instance are applied completely, once and in order."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 CONTENT: dict[str, Any] = {"endpoints": {"drained": ["s-0"]}, "connections": CONNECTIONS}
 
 
-async def assert_content_in_force(instance: ControlledSidecar, digest: str) -> None:
-    """Check that the instance has CONTENT as generation 4, completely."""
+async def assert_content_applied(instance: ControlledSidecar, digest: str) -> None:
+    """Check that the instance has applied all of CONTENT as generation 4."""
     description = await instance.get("describe")
     assert (description["generation"], description["drained"]) == (4, ["s-0"])
     assert description["digest"] == digest
@@ -22,19 +22,19 @@
 
 
 async def test_an_update_is_applied_completely_and_once(start_sidecar: StartSidecar) -> None:
-    async with start_sidecar(endpoints=2) as instance:
+    async with start_sidecar(endpoint_count=2) as instance:
         base = (await instance.get("state"))["digest"]
         update = apply_request(4, base, CONTENT)
         validated = await instance.post("validate", {"content": CONTENT})
         assert validated == {"version": 1, "digest": update["digest"]}
         for changed in (True, False):
-            status, answer = await instance.call("apply", update)
-            assert (status, answer["generation"], answer["changed"]) == (200, 4, changed)
-        await assert_content_in_force(instance, update["digest"])
+            status, response = await instance.call("apply", update)
+            assert (status, response["generation"], response["changed"]) == (200, 4, changed)
+        await assert_content_applied(instance, update["digest"])
 
 
 @pytest.mark.parametrize(
-    ("generation", "on_applied", "content", "changes", "code"),
+    ("generation", "has_applied_base", "content", "header_changes", "code"),
     [
         (3, True, {}, {}, "older"),
         (4, True, {}, {}, "conflict"),
@@ -47,18 +47,18 @@
         (5, True, {"endpoints": {"drained": ["s-0", "s-1"]}}, {}, "last-endpoint"),
     ],
 )
-async def test_a_rejected_update_has_its_code_and_changes_nothing(
+async def test_a_rejected_update_returns_its_error_code_and_changes_nothing(
     start_sidecar: StartSidecar,
     generation: int,
-    on_applied: bool,
+    has_applied_base: bool,
     content: dict[str, Any],
-    changes: dict[str, Any],
+    header_changes: dict[str, Any],
     code: str,
 ) -> None:
-    async with start_sidecar(endpoints=2) as instance:
+    async with start_sidecar(endpoint_count=2) as instance:
         start_digest = (await instance.get("state"))["digest"]
         applied = await instance.post("apply", apply_request(4, start_digest, CONTENT))
-        base = applied["digest"] if on_applied else start_digest
-        rejected = apply_request(generation, base, content) | changes
+        base = applied["digest"] if has_applied_base else start_digest
+        rejected = apply_request(generation, base, content) | header_changes
         assert await instance.post_rejected("apply", rejected) == code
-        await assert_content_in_force(instance, applied["digest"])
+        await assert_content_applied(instance, applied["digest"])
--- a/tests/control/test_generations.py
+++ b/tests/control/test_generations.py
@@ -1,4 +1,4 @@
-"""The order in which configuration updates are applied."""
+"""The rule that decides whether a configuration update is applied."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         (ConfigUpdate(3, "two", "three"), "thr", ApplyDecision.DIGEST_MISMATCH),
     ],
 )
-def test_a_document_is_applied_in_order_and_once(
+def test_an_update_is_applied_only_in_order_and_only_once(
     update: ConfigUpdate, content_digest: str, decision: ApplyDecision
 ) -> None:
     assert decide_update(AppliedConfig(2, "two"), update, content_digest) is decision
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -1,4 +1,4 @@
-"""Clients of the control socket that misbehave: they get an error or are disconnected, requests go on."""
+"""Misbehaving clients of the control socket get an error or are disconnected. Application requests go on."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
         (b"GET /v1/explode HTTP/1.1\r\nHost: i\r\n\r\n", 404, "unknown-verb"),
         (b"DELETE /v1/state HTTP/1.1\r\nHost: i\r\n\r\n", 404, "unknown-verb"),
     ],
-    ids=["binary", "no JSON", "no object", "too large", "too deep", "unknown path", "unknown method"],
+    ids=["binary", "not JSON", "not an object", "too large", "too deep", "unknown path", "unknown method"],
 )
-async def test_bad_input_is_answered_with_status_and_code(
+async def test_invalid_requests_get_an_error_status_and_code(
     start_sidecar: StartSidecar, capfd: pytest.CaptureFixture[str], data: bytes, status: int, code: str
 ) -> None:
     async with start_sidecar() as instance:
@@ -43,26 +43,26 @@
     assert "Traceback" not in capfd.readouterr().err
 
 
-async def test_stalled_clients_are_disconnected_and_delay_no_request(
+async def test_stalled_clients_are_disconnected_and_do_not_delay_application_requests(
     start_sidecar: StartSidecar, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async with start_sidecar(silence_s=0.2) as instance:
-        half_sent = [await asyncio.open_unix_connection(str(instance.socket)) for _ in range(3)]
-        for _, writer in half_sent:
+        partial_senders = [await asyncio.open_unix_connection(str(instance.socket)) for _ in range(3)]
+        for _, writer in partial_senders:
             writer.write(b"POST /v1/apply HTTP/1.1\r\nContent-Length: 50\r\n\r\n{")
-        never_reads = socket.socket(socket.AF_UNIX)
-        never_reads.connect(str(instance.socket))
-        never_reads.send(b"GET /v1/describe HTTP/1.1\r\nHost: i\r\n\r\n" * 400)
+        non_reader = socket.socket(socket.AF_UNIX)
+        non_reader.connect(str(instance.socket))
+        non_reader.send(b"GET /v1/describe HTTP/1.1\r\nHost: i\r\n\r\n" * 400)
         for number in range(20):
             assert await instance.request(request_bytes(trace_id=f"t{number}")) == 200
-        for reader, _ in half_sent:
-            assert await reader.read() == b""  # disconnected
-        never_reads.close()
+        for reader, _ in partial_senders:
+            assert await reader.read() == b""  # The client is disconnected.
+        non_reader.close()
         await instance.get("state")
     assert "Traceback" not in capfd.readouterr().err
 
 
-async def test_clients_beyond_the_limit_and_of_other_users_are_disconnected(
+async def test_clients_over_the_limit_and_clients_of_other_users_are_disconnected(
     start_sidecar: StartSidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with start_sidecar(most_connections=2) as instance:
@@ -81,27 +81,27 @@
             await instance.call("state")
 
 
-async def test_the_socket_is_served_as_soon_as_the_process_before_has_released_the_name(
+async def test_the_socket_is_served_as_soon_as_the_previous_process_releases_the_name(
     tmp_path: Path,
     start_sidecar: StartSidecar,
     monkeypatch: pytest.MonkeyPatch,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     monkeypatch.setattr(server, "START_RETRY_S", 0.01)
-    before = InstanceSocket(prepare_directory(str(tmp_path / "ctl")), "n0")
+    previous = InstanceSocket(prepare_directory(str(tmp_path / "ctl")), "n0")
     async with start_sidecar(wait_for_socket=False) as instance:
-        assert await instance.request() == 200  # requests do not wait for it
-        await asyncio.sleep(0.05)  # several attempts, one line in the log
-        assert not before.path.exists()
-        before.release()
-        await wait_until(before.path.exists)
+        assert await instance.request() == 200  # Application requests don't wait for the socket.
+        await asyncio.sleep(0.05)  # Several attempts log one line.
+        assert not previous.path.exists()
+        previous.release()
+        await wait_until(previous.path.exists)
         await instance.get("state")
     lines = [line for line in capfd.readouterr().err.splitlines() if line.startswith("control_")]
     error = f"another process named n0 is alive in {tmp_path / 'ctl'}"
     assert lines == [f'control_socket_unavailable error="{error}" retry_s=0.01']
 
 
-async def test_a_failed_accept_is_logged_and_accepting_goes_on_after_a_pause(
+async def test_a_failed_accept_is_logged_and_accepting_resumes_after_a_pause(
     start_sidecar: StartSidecar, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(server, "ACCEPT_RETRY_S", 0.05)
--- a/tests/control/test_socket_directory.py
+++ b/tests/control/test_socket_directory.py
@@ -1,4 +1,4 @@
-"""The directory of control sockets: names, locks and permissions."""
+"""Instance names, locks and permissions in the directory of control sockets."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 
 
-def has_living_owner(path: Path) -> bool:
-    """Whether a process holds the lock beside a socket."""
+def is_locked(path: Path) -> bool:
+    """Return whether a process holds the lock of the socket `path`."""
     descriptor = os.open(path.with_suffix(LOCK_SUFFIX), os.O_RDWR | os.O_CLOEXEC)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -41,7 +41,7 @@
 
 @contextmanager
 def process_with_socket(directory: Path, instance: str) -> Iterator[subprocess.Popen[str]]:
-    """A process that listens on the control socket of `instance` until it is killed."""
+    """Run a process that listens on the control socket of `instance` until it is killed."""
     code = (
         "import sys, time, pathlib; from anisespool.control.socket_directory import InstanceSocket\n"
         "listener = InstanceSocket(pathlib.Path(sys.argv[1]), sys.argv[2]).listen()\n"
@@ -57,29 +57,29 @@
             process.kill()
 
 
-def test_a_name_is_locked_while_its_process_runs_and_a_dead_ones_socket_is_replaced(directory: Path) -> None:
+def test_a_name_is_locked_while_its_process_runs_and_a_stale_socket_is_replaced(directory: Path) -> None:
     path = directory / "a.sock"
     with process_with_socket(directory, "a") as process:
-        assert has_living_owner(path)
+        assert is_locked(path)
         with pytest.raises(InstanceNameInUseError, match=f"named a is alive in {directory}"):
             InstanceSocket(directory, "a")
         process.kill()
         assert process.wait() == -signal.SIGKILL
     assert path.exists()
-    assert not has_living_owner(path)
+    assert not is_locked(path)
     second = InstanceSocket(directory, "a")
     second.listen().close()
     assert second.path == path
-    assert has_living_owner(path)
-    with pytest.raises(InstanceNameInUseError):  # within one process too
+    assert is_locked(path)
+    with pytest.raises(InstanceNameInUseError):  # The same process can't lock it twice.
         InstanceSocket(directory, "a")
     second.release()
     assert not path.exists()
-    assert not has_living_owner(path)
+    assert not is_locked(path)
 
 
 @pytest.mark.parametrize("name", ["../up", "", "x" * 65])
-def test_an_instance_name_that_is_no_plain_file_name_is_rejected(directory: Path, name: str) -> None:
+def test_an_instance_name_that_is_not_a_plain_file_name_is_rejected(directory: Path, name: str) -> None:
     with pytest.raises(ConfigError, match="letters"):
         InstanceSocket(directory, name)
 
@@ -92,7 +92,7 @@
         prepare_directory(str(directory))
 
 
-def test_a_file_in_place_of_the_directory_is_rejected(tmp_path: Path) -> None:
+def test_a_path_that_is_not_a_directory_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(ConfigError, match=r"control\.folder"):
         prepare_directory(str(tmp_path / "file"))
