--- a/anisespool/config/platform/endpoint_list.py
+++ b/anisespool/config/platform/endpoint_list.py
@@ -85,9 +85,9 @@
     address = NO_ADDRESS if is_removed else Address.parse(raw["host_port"])
     up_since_ms = int(raw.get("up_since_ms", 0))
     started_ns = max(1, up_since_ms * NS_PER_MS - names.monotonic_epoch_ns) if up_since_ms else 0
-    zone = names.zone(raw.get("locality", ""))
-    kind = names.kind(raw.get("flavor", ""))
+    zone = names.zone_index(raw.get("locality", ""))
+    machine_type = names.machine_type_index(raw.get("flavor", ""))
     weight = float(raw.get("size", 1.0))
     cell = int(raw.get("cell", 0))
-    listing = EndpointListing(0, weight, cell, kind, zone, state, started_ns)
+    listing = EndpointListing(0, weight, cell, machine_type, zone, state, started_ns)
     return EndpointEntry(str(raw["id"]), address, listing)
--- a/anisespool/config/platform/names.py
+++ b/anisespool/config/platform/names.py
@@ -9,14 +9,14 @@
 class NameIndex:
     """Indexes of the names in the platform's settings, which the balancer uses by number only.
 
-    A zone, endpoint kind or tenant that is not in the settings gets the index past the end, which the
+    A zone, machine type or tenant that is not in the settings gets the index past the end, which the
     balancer treats as unknown.
 
     Attributes:
         classes: Request classes.
         tenants: Tenants.
         zones: Zones.
-        kinds: Endpoint kinds (the settings' SKUs).
+        machine_types: Machine types (the settings' SKUs).
         monotonic_epoch_ns: Unix time less monotonic time, ns. Read once: otherwise one start time of an
             endpoint would become many.
     """
@@ -24,7 +24,7 @@
     classes: dict[str, int]
     tenants: dict[str, int]
     zones: dict[str, int]
-    kinds: dict[str, int]
+    machine_types: dict[str, int]
     monotonic_epoch_ns: int
 
     @staticmethod
@@ -36,10 +36,10 @@
             text = name.decode("latin-1")
         return names.get(text)
 
-    def zone(self, name: str) -> int:
+    def zone_index(self, name: str) -> int:
         """Return the index of a zone of the endpoint list."""
         return self.zones.get(name, len(self.zones))
 
-    def kind(self, name: str) -> int:
-        """Return the index of an endpoint kind of the endpoint list."""
-        return self.kinds.get(name, len(self.kinds))
+    def machine_type_index(self, name: str) -> int:
+        """Return the index of a machine type of the endpoint list."""
+        return self.machine_types.get(name, len(self.machine_types))
--- a/anisespool/config/platform/platform_file.py
+++ b/anisespool/config/platform/platform_file.py
@@ -45,14 +45,14 @@
         except (OSError, ValueError, RecursionError) as error:
             raise PlatformConfigError(FILE_VARIABLE, error) from None
 
-    def converted(self, key: str, convert: Callable[[Any], ValueT]) -> ValueT:
-        """Return the value of a key, converted; a missing key is None to `convert`.
+    def convert(self, key: str, converter: Callable[[Any], ValueT]) -> ValueT:
+        """Return the value of a key, converted; a missing key is None to `converter`.
 
         Raises:
-            PlatformConfigError: `convert` raised ValueError or TypeError.
+            PlatformConfigError: `converter` raised ValueError or TypeError.
         """
         try:
-            return convert(self.raw.get(key))
+            return converter(self.raw.get(key))
         except (ValueError, TypeError) as error:
             raise PlatformConfigError(FILE_VARIABLE, error, key) from None
 
@@ -72,7 +72,7 @@
             raise PlatformConfigError(FILE_VARIABLE, f"{value!r} is no number above 0", f"{section}.{key}")
         return int(value)
 
-    def positions(self, key: str, name_of: Callable[[Any], str]) -> dict[str, int]:
+    def indexes_by_name(self, key: str, name_of: Callable[[Any], str]) -> dict[str, int]:
         """Return the position of each name in a list of the settings; a missing list is empty.
 
         Args:
--- a/anisespool/config/platform_loader.py
+++ b/anisespool/config/platform_loader.py
@@ -22,7 +22,7 @@
 
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_KEEPALIVE_NS = 15_000_000_000
-NO_ENDPOINTS = EndpointList(revision=0, complete=True, endpoints=())
+EMPTY_ENDPOINT_LIST = EndpointList(revision=0, complete=True, endpoints=())
 
 
 def load_platform_config(environment: Mapping[str, str]) -> PlatformConfig:
@@ -33,7 +33,7 @@
     """
     path = _variable(environment, FILE_VARIABLE)
     file = PlatformFile.read(path)
-    raw_settings = file.converted("settings", PlatformFile)
+    raw_settings = file.convert("settings", PlatformFile)
     settings = _settings(raw_settings)
     names = _name_index(raw_settings)
     return PlatformConfig(
@@ -41,7 +41,7 @@
         name=_variable(environment, "LB_NAME"),
         listen=_address(environment, "LB_LISTEN"),
         discovery=_address(environment, "LB_DISCOVERY"),
-        seed=file.converted("seed", _parse_seed),
+        seed=file.convert("seed", _parse_seed),
         max_sockets=file.positive_number("limits", "sockets", DEFAULT_MAX_SOCKETS),
         keepalive_ns=raw_settings.positive_number("allowed", "keepalive-ns", DEFAULT_KEEPALIVE_NS),
         settings=settings,
@@ -56,7 +56,7 @@
     Raises:
         PlatformConfigError: The file can't be read, or has none.
     """
-    return PlatformFile.read(path).converted("discovery", Address.parse)
+    return PlatformFile.read(path).convert("discovery", Address.parse)
 
 
 def read_peer_addresses(path: str) -> PeerAddresses:
@@ -67,9 +67,9 @@
     """
     file = PlatformFile.read(path)
     return PeerAddresses(
-        listen=file.converted("peer_listen", Address.parse),
-        peers=file.converted("peers", lambda addresses: tuple(map(Address.parse, addresses or ()))),
-        broadcast=file.converted("peers_all", lambda text: Address.parse(text) if text else None),
+        listen=file.convert("peer_listen", Address.parse),
+        peers=file.convert("peers", lambda addresses: tuple(map(Address.parse, addresses or ()))),
+        broadcast=file.convert("peers_all", lambda text: Address.parse(text) if text else None),
     )
 
 
@@ -104,10 +104,10 @@
 def _name_index(raw_settings: PlatformFile) -> NameIndex:
     monotonic_epoch_ns = wall_ns() - time.monotonic_ns()
     return NameIndex(
-        classes=raw_settings.positions("request-classes", _entry_name),
-        tenants=raw_settings.positions("tenants", _entry_name),
-        zones=raw_settings.positions("zones", str),
-        kinds=raw_settings.positions("skus", str),
+        classes=raw_settings.indexes_by_name("request-classes", _entry_name),
+        tenants=raw_settings.indexes_by_name("tenants", _entry_name),
+        zones=raw_settings.indexes_by_name("zones", str),
+        machine_types=raw_settings.indexes_by_name("skus", str),
         monotonic_epoch_ns=monotonic_epoch_ns,
     )
 
@@ -119,8 +119,8 @@
 
 def _initial_endpoints(file: PlatformFile, names: NameIndex) -> EndpointList:
     """Return the list to start with, and log each entry that can't be read."""
-    endpoints = file.converted(
-        "known", lambda raw: NO_ENDPOINTS if raw is None else parse_endpoint_list(raw, names)
+    endpoints = file.convert(
+        "known", lambda raw: EMPTY_ENDPOINT_LIST if raw is None else parse_endpoint_list(raw, names)
     )
     for fault in endpoints.faults:
         log_event("initial_endpoint_unreadable", error=fault)
--- a/tests/agent/test_crash_recovery.py
+++ b/tests/agent/test_crash_recovery.py
@@ -12,7 +12,7 @@
 from anisespool.agent.crash_points import CrashPoint
 from tests.agent.conftest import StartProcessFleet
 from tests.agent.harness import accept_changes, reject_changes
-from tests.config.test_operator_file import VALID
+from tests.config.test_operator_file import VALID_OPERATOR_FILE
 from tests.harness.waiting import wait_until
 
 
@@ -101,7 +101,7 @@
 async def test_the_commands_output_and_exit_status(tmp_path: Path, process_fleet: StartProcessFleet) -> None:
     files = {name: tmp_path / f"{name}.toml" for name in ("change", "invalid", "missing")}
     files["change"].write_text("[members]\n")
-    files["invalid"].write_text(VALID)
+    files["invalid"].write_text(VALID_OPERATOR_FILE)
     async with process_fleet() as fleet:
         status, lines = await fleet.command("list")
         assert status == 4
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -12,7 +12,7 @@
 from anisespool.config.platform import ConfigError
 
 EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "operator.toml"
-VALID = '[control]\nfolder = "c"\n[agent]\nstate = "s"\n[members.acme]\nshare = 0.5\n'
+VALID_OPERATOR_FILE = '[control]\nfolder = "c"\n[agent]\nstate = "s"\n[members.acme]\nshare = 0.5\n'
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
     assert config.connections == operator.ConnectionOptions()
 
 
-@pytest.mark.parametrize(("text", "status", "error_lines"), [(VALID, 0, 0), ("[x]", 2, 1)])
+@pytest.mark.parametrize(("text", "status", "error_lines"), [(VALID_OPERATOR_FILE, 0, 0), ("[x]", 2, 1)])
 def test_check_reads_the_file_and_does_nothing_else(
     tmp_path: Path, text: str, status: int, error_lines: int
 ) -> None:
