--- a/anisespool/__main__.py
+++ b/anisespool/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: without arguments the sidecar, as the platform starts it; otherwise the command line."""
+"""Entry point of the sidecar, which the platform starts without arguments, and of the command line."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 def main() -> int:
     """Run the sidecar or the command line, and return the exit status.
 
-    The arguments of a sidecar are parsed here by hand: importing the command line's parser would cost each
-    sidecar several MB for as long as it runs.
+    The arguments of `sidecar` are parsed here by hand, because importing the command line's parser would cost
+    each sidecar several MB of memory for as long as it runs.
     """
     arguments = sys.argv[1:]
     if not arguments or arguments[0] == "sidecar" and _are_sidecar_arguments(arguments[1:]):
@@ -22,7 +22,7 @@
 
 
 def _are_sidecar_arguments(arguments: list[str]) -> bool:
-    """Whether nothing follows `sidecar` but `--config FILE`; all else is the command line's to explain."""
+    """Return whether nothing or only `--config FILE` follows `sidecar`; the command line reports the rest."""
     return not arguments or len(arguments) == 2 and arguments[0] == "--config"
 
 
--- a/anisespool/config/__init__.py
+++ b/anisespool/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as frozen, checked types: the platform's and the operator's, and the wall clock."""
+"""The configuration of the platform and of the operator as validated, immutable types, and the wall clock."""
--- a/anisespool/config/clock.py
+++ b/anisespool/config/clock.py
@@ -1,4 +1,4 @@
-"""The wall clock. No other module reads it, so that the lab can shift it for a whole process.
+"""The wall clock. No other module reads it, so that the lab can shift it for the whole process.
 
 Durations are differences of the monotonic clock. The wall clock only dates what leaves the process.
 """
@@ -11,11 +11,11 @@
 
 
 def wall_ns() -> int:
-    """Return the wall clock's time in Unix ns."""
+    """Return the wall clock time in Unix ns."""
     return time.time_ns() + _offset_ns
 
 
 def set_offset(offset_s: float) -> None:
-    """Shift this process's wall clock by `offset_s` against the machine's, from now on. For the lab only."""
+    """Shift this process's wall clock by `offset_s` relative to the machine's. For the lab only."""
     global _offset_ns
     _offset_ns = int(offset_s * 1e9)
--- a/anisespool/config/platform/__init__.py
+++ b/anisespool/config/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's configuration and endpoint list as frozen, checked types.
+"""The platform's configuration and endpoint list as validated, immutable types.
 
-`config/platform_loader.py` reads them from the environment and the configuration file; discovery's watch
-parses each update of the endpoint list by the same `NameIndex`.
+`config/platform_loader.py` reads them from the environment and the configuration file. The watch of the
+endpoint list parses each update with the same `NameIndex`.
 """
 
 from anisespool.config.platform.address import Address
--- a/anisespool/config/platform/address.py
+++ b/anisespool/config/platform/address.py
@@ -15,10 +15,10 @@
 
     @classmethod
     def parse(cls, text: object) -> Address:
-        """Split `host:port`.
+        """Parse `host:port`.
 
         Raises:
-            ValueError: `text` is not of that form.
+            ValueError: `text` does not have this form.
         """
         host, _, port = (text if isinstance(text, str) else "").rpartition(":")
         if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
--- a/anisespool/config/platform/endpoint_list.py
+++ b/anisespool/config/platform/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it, from JSON to checked types."""
+"""Parses the endpoint list that discovery sends as JSON into validated types."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from anisespool.config.platform.address import Address
 from anisespool.config.platform.names import NameIndex
 
-# Endpoint states by their names in the platform's endpoint list.
+# Endpoint states by their names in the endpoint list.
 ENDPOINT_STATES = {
     "up": EndpointState.READY,
     "draining": EndpointState.DRAINING,
@@ -17,7 +17,7 @@
 }
 NS_PER_MS = 1_000_000
 NO_ADDRESS = Address("", 0)
-# What reading malformed JSON values may raise.
+# Exceptions that reading malformed JSON values may raise.
 MALFORMED_VALUE_ERRORS = (KeyError, TypeError, AttributeError, OverflowError, ValueError)
 
 
@@ -25,9 +25,9 @@
     """One entry of the endpoint list.
 
     Attributes:
-        id: Its id in the list.
-        address: Where it listens; NO_ADDRESS for one that was removed.
-        listing: The balancer's form. `listing.endpoint` is 0 until the proxy numbers the endpoint.
+        id: The endpoint's id in the list.
+        address: The address it listens on; NO_ADDRESS for a removed endpoint.
+        listing: The entry for the balancer. `listing.endpoint` is 0 until the proxy numbers the endpoint.
     """
 
     id: str
@@ -36,13 +36,13 @@
 
 
 class EndpointList(NamedTuple):
-    """The endpoint list, or a change of it.
+    """The whole endpoint list, or only its changed entries.
 
     Attributes:
-        revision: Discovery's revision after this update.
-        complete: Whether these are all endpoints; otherwise only those that changed.
-        endpoints: The entries that could be read.
-        faults: For each entry that could not be read: which, and why.
+        revision: Discovery's revision number after this update.
+        complete: Whether the update lists all endpoints; otherwise it lists only those that changed.
+        endpoints: Entries that could be read.
+        faults: One error text for each entry that could not be read, which names the entry.
     """
 
     revision: int
@@ -52,17 +52,17 @@
 
 
 def parse_endpoint_list(raw: Any, names: NameIndex) -> EndpointList:
-    """Check and convert discovery's JSON object.
+    """Validate and convert the JSON object that discovery sends.
 
-    An entry that can't be read is left out and reported in `faults`. From a complete list it is then
-    missing, so nothing is sent to that endpoint.
+    An entry that can't be read is left out and reported in `faults`. A complete list then lacks the endpoint,
+    so no requests are sent to it.
 
     Args:
         raw: The JSON value.
-        names: Indexes of the names that entries may have.
+        names: Indexes of the zones and machine types that entries name.
 
     Raises:
-        ValueError: The object as a whole can't be read.
+        ValueError: The value can't be read as a whole.
     """
     endpoints: list[EndpointEntry] = []
     faults: list[str] = []
@@ -80,7 +80,7 @@
 
 def _parse_entry(raw: Mapping[str, Any], names: NameIndex) -> EndpointEntry:
     state = ENDPOINT_STATES[raw["phase"]]
-    # A removed endpoint may be listed by its id alone, and has to be removed all the same.
+    # The entry of a removed endpoint may have only id and phase; the endpoint is removed nevertheless.
     is_removed = state == EndpointState.GONE
     address = NO_ADDRESS if is_removed else Address.parse(raw["host_port"])
     up_since_ms = int(raw.get("up_since_ms", 0))
--- a/anisespool/config/platform/errors.py
+++ b/anisespool/config/platform/errors.py
@@ -1,19 +1,19 @@
-"""Errors in a configuration: base of the operator's too, and those that are the platform's fault."""
+"""The base class of configuration errors, and errors in the platform's configuration."""
 
 from __future__ import annotations
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the text is one line that names the variable or key."""
+    """A configuration can't be used; the message is one line that names the variable or key."""
 
 
 class PlatformConfigError(ConfigError):
-    """The platform's fault: an environment variable, or a key of its file, is missing or wrong.
+    """An environment variable or a key of the platform's file is missing or invalid.
 
     Attributes:
-        variable: The environment variable.
-        problem: What is wrong.
-        key: The file's key; None: the variable itself, or the file as a whole.
+        variable: Name of the environment variable.
+        problem: Description of the error.
+        key: The key in the file. None if the variable itself or the file as a whole is invalid.
     """
 
     def __init__(self, variable: str, problem: object, key: str | None = None) -> None:
--- a/anisespool/config/platform/names.py
+++ b/anisespool/config/platform/names.py
@@ -1,4 +1,4 @@
-"""Indexes of the names in the platform's settings."""
+"""Converts names in the platform's settings to indexes."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NameIndex:
-    """Indexes of the names in the platform's settings, which the balancer uses by number only.
+    """Index of each name in the platform's settings; the balancer identifies all of them by index.
 
-    A zone, machine type or tenant that is not in the settings gets the index past the end, which the
-    balancer treats as unknown.
+    A zone, machine type or tenant that the settings lack gets the index past the end, which the balancer
+    treats as unknown.
 
     Attributes:
-        classes: Request classes.
-        tenants: Tenants.
-        zones: Zones.
-        machine_types: Machine types (the settings' SKUs).
-        monotonic_epoch_ns: Unix time less monotonic time, ns. Read once: otherwise one start time of an
-            endpoint would become many.
+        classes: Indexes of the request classes.
+        tenants: Indexes of the tenants.
+        zones: Indexes of the zones.
+        machine_types: Indexes of the machine types, which the settings call SKUs.
+        monotonic_epoch_ns: Unix time minus monotonic time in ns. It is read only once: a new difference for
+            each update would change the start time of an endpoint that did not restart.
     """
 
     classes: dict[str, int]
@@ -29,7 +29,7 @@
 
     @staticmethod
     def index_of(names: dict[str, int], name: bytes) -> int | None:
-        """Return the index of a name as received: UTF-8, or else Latin-1 (RFC 9110, 5.5). None: unknown."""
+        """Return the index of a name in UTF-8 or else Latin-1 (RFC 9110, 5.5), or None if it is unknown."""
         try:
             text = name.decode()
         except UnicodeDecodeError:
@@ -37,9 +37,9 @@
         return names.get(text)
 
     def zone_index(self, name: str) -> int:
-        """Return the index of a zone of the endpoint list."""
+        """Return the index of a zone that the endpoint list names."""
         return self.zones.get(name, len(self.zones))
 
     def machine_type_index(self, name: str) -> int:
-        """Return the index of a machine type of the endpoint list."""
+        """Return the index of a machine type that the endpoint list names."""
         return self.machine_types.get(name, len(self.machine_types))
--- a/anisespool/config/platform/platform_config.py
+++ b/anisespool/config/platform/platform_config.py
@@ -1,4 +1,4 @@
-"""What the platform configures a sidecar with, as frozen types."""
+"""The platform's configuration of a sidecar as immutable types."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """Everything that the platform configures a sidecar with at its start.
+    """The configuration that the platform gives a sidecar at its start.
 
     Attributes:
-        path: The configuration file, which is read again on SIGHUP.
-        name: The instance's name.
-        listen: The address that clients connect to.
-        discovery: The discovery service's address.
+        path: Path of the configuration file, which is read again on SIGHUP.
+        name: Name of the instance.
+        listen: Address that clients connect to.
+        discovery: Address of the discovery service.
         seed: Seed of the balancer's random choices.
-        max_sockets: File descriptors that the sidecar may have open.
-        keepalive_ns: How long an endpoint keeps an idle connection open, ns.
-        settings: The balancer's settings.
-        names: Indexes of the settings' names.
-        initial_endpoints: The endpoint list to start with.
+        max_sockets: Maximum number of open file descriptors of the sidecar.
+        keepalive_ns: Time in ns for which an endpoint keeps an idle connection open.
+        settings: Settings of the balancer.
+        names: Indexes of the names in the settings.
+        initial_endpoints: Endpoint list used until discovery sends one.
     """
 
     path: str
@@ -45,8 +45,8 @@
 
     Attributes:
         listen: This sidecar's own address.
-        peers: All sidecars by number, this one among them.
-        broadcast: An address that reaches all of them, where there is one.
+        peers: Addresses of all sidecars by member number, including this one.
+        broadcast: Address that reaches all sidecars, if there is one.
     """
 
     listen: Address
--- a/anisespool/config/platform/platform_file.py
+++ b/anisespool/config/platform/platform_file.py
@@ -1,4 +1,4 @@
-"""The JSON file that LB_CONFIG names: typed access to its keys."""
+"""Typed access to the keys of the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class PlatformFile:
-    """One object of the file, the outermost or a section of it.
+    """The file's top-level JSON object or one of its sections.
 
-    Every error is a PlatformConfigError that names the key.
+    Access to a key raises a PlatformConfigError that names the key if its value is invalid.
 
     Attributes:
-        raw: The object as parsed.
+        raw: The parsed JSON object.
     """
 
     def __init__(self, raw: object) -> None:
         """Wrap a JSON value.
 
         Raises:
-            ValueError: It is no object.
+            ValueError: The value is not an object.
         """
         if not isinstance(raw, dict):
-            raise ValueError("an object is needed")
+            raise ValueError("expected a JSON object")
         self.raw: JsonObject = raw
 
     @classmethod
@@ -37,7 +37,7 @@
         """Read the file.
 
         Raises:
-            PlatformConfigError: It can't be read, or is no JSON object.
+            PlatformConfigError: The file can't be read or is not a JSON object.
         """
         try:
             with open(path, "rb") as file:
@@ -46,7 +46,7 @@
             raise PlatformConfigError(FILE_VARIABLE, error) from None
 
     def convert(self, key: str, converter: Callable[[Any], ValueT]) -> ValueT:
-        """Return the value of a key, converted; a missing key is None to `converter`.
+        """Return the converted value of a key; `converter` gets None if the key is missing.
 
         Raises:
             PlatformConfigError: `converter` raised ValueError or TypeError.
@@ -57,32 +57,34 @@
             raise PlatformConfigError(FILE_VARIABLE, error, key) from None
 
     def positive_number(self, section: str, key: str, default: int) -> int:
-        """Return a number above 0 from a section.
+        """Return a number of at least 1 from a section, without its fraction.
 
         Args:
-            section: The section's key.
-            key: The key in it.
-            default: What holds without section or key.
+            section: Key of the section.
+            key: Key in the section.
+            default: Value if the section or the key is missing.
 
         Raises:
-            PlatformConfigError: The value is no number, or below 1.
+            PlatformConfigError: The value is not a number or is below 1.
         """
         value = (self.raw.get(section) or {}).get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 1:
-            raise PlatformConfigError(FILE_VARIABLE, f"{value!r} is no number above 0", f"{section}.{key}")
+            raise PlatformConfigError(FILE_VARIABLE, f"{value!r} is not a number >= 1", f"{section}.{key}")
         return int(value)
 
     def indexes_by_name(self, key: str, name_of: Callable[[Any], str]) -> dict[str, int]:
-        """Return the position of each name in a list of the settings; a missing list is empty.
+        """Return the index of each name in a list of the settings; a missing list counts as empty.
 
         Args:
-            key: The list's key.
-            name_of: Returns the name of an entry. Raises KeyError, TypeError.
+            key: Key of the list.
+            name_of: Returns the name of an entry; raises KeyError or TypeError if it has none.
 
         Raises:
-            PlatformConfigError: It is no list, or an entry has no name.
+            PlatformConfigError: The value is not a list, or an entry has no name.
         """
         try:
             return {name_of(entry): index for index, entry in enumerate(self.raw.get(key) or [])}
         except (KeyError, TypeError):
-            raise PlatformConfigError(FILE_VARIABLE, "names are needed", f"settings.{key}") from None
+            raise PlatformConfigError(
+                FILE_VARIABLE, "expected a list of named entries", f"settings.{key}"
+            ) from None
--- a/anisespool/config/platform_loader.py
+++ b/anisespool/config/platform_loader.py
@@ -1,4 +1,4 @@
-"""Loads the platform's configuration from environment variables and the JSON file that one of them names."""
+"""Loads the platform's configuration from environment variables and the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Load the whole configuration.
 
     Raises:
-        PlatformConfigError: A variable, or a key of the file, is missing or wrong.
+        PlatformConfigError: A variable or a key of the file is missing or invalid.
     """
     path = _variable(environment, FILE_VARIABLE)
     file = PlatformFile.read(path)
@@ -54,16 +54,16 @@
     """Read the address of the discovery service from the file.
 
     Raises:
-        PlatformConfigError: The file can't be read, or has none.
+        PlatformConfigError: The file can't be read, or its key `discovery` is missing or invalid.
     """
     return PlatformFile.read(path).convert("discovery", Address.parse)
 
 
 def read_peer_addresses(path: str) -> PeerAddresses:
-    """Read the file's keys `peer_listen`, `peers` and `peers_all`.
+    """Read the keys `peer_listen`, `peers` and `peers_all` from the file.
 
     Raises:
-        PlatformConfigError: The file can't be read, or one of the keys is wrong.
+        PlatformConfigError: The file can't be read, or one of the keys is invalid.
     """
     file = PlatformFile.read(path)
     return PeerAddresses(
@@ -98,7 +98,7 @@
     try:
         return int(raw, 16)
     except (TypeError, ValueError):
-        raise ValueError(f"{raw!r} is no hexadecimal number") from None
+        raise ValueError(f"{raw!r} is not a hexadecimal number") from None
 
 
 def _name_index(raw_settings: PlatformFile) -> NameIndex:
@@ -118,7 +118,7 @@
 
 
 def _initial_endpoints(file: PlatformFile, names: NameIndex) -> EndpointList:
-    """Return the list to start with, and log each entry that can't be read."""
+    """Return the initial endpoint list, and log each of its entries that can't be read."""
     endpoints = file.convert(
         "known", lambda raw: EMPTY_ENDPOINT_LIST if raw is None else parse_endpoint_list(raw, names)
     )
--- a/anisespool/log.py
+++ b/anisespool/log.py
@@ -1,7 +1,8 @@
-"""The log: one line an event on standard error, in logfmt: `event_name key=value key="two words"`.
+"""The log on standard error, one logfmt line per event: `event_name key=value key="two words"`.
 
-Every line of a sidecar and of the agent goes through `log_event`, so one event has one name, and one thing
-has the same key everywhere. docs/on-call.md lists every event, and tests/test_log_lines.py compares the two.
+Sidecars and the agent write every line with `log_event`, so that an event has one name, and a field the same
+key in all events. docs/on-call.md lists all events, and tests/test_log_lines.py compares that list with the
+code.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 
 
 def log_event(event: str, /, **fields: object) -> None:
-    """Write one line about `event`. Control characters are escaped, so that one event is always one line."""
+    """Write one line for `event`. Control characters are escaped, so that each event is a single line."""
     print(format_event(event, **fields), file=sys.stderr)
 
 
 def format_event(event: str, /, **fields: object) -> str:
-    """The line that `log_event` writes, without its end."""
+    """Return the line that `log_event` writes, without the line end."""
     parts = [event]
     parts += [f"{key}={_quoted(str(value))}" for key, value in fields.items()]
     return " ".join(parts)[:MAX_LINE_CHARACTERS]
 
 
 def _quoted(value: str) -> str:
-    """`value` as it is where that is unambiguous, otherwise in double quotes with escapes."""
+    """Return `value` unchanged if it is unambiguous, otherwise in double quotes with escapes."""
     if value and value.isprintable() and not any(character in value for character in ' "=\\'):
         return value
     escaped = value.replace("\\", "\\\\").replace('"', '\\"')
--- a/tests/config/test_clock.py
+++ b/tests/config/test_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock, read in one place so that the lab can move it."""
+"""The wall clock: a single module reads it, so that the lab can shift it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def movable_clock() -> Iterator[None]:
-    """The clock is the machine's again at the end."""
+    """Remove the offset of the clock after the test."""
     yield
     clock.set_offset(0.0)
 
--- a/tests/config/test_platform_config.py
+++ b/tests/config/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what is missing or wrong is named, and start times are stable."""
+"""The platform's configuration: errors name the missing or invalid part, and start times are stable."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
         ("LB_CONFIG", "nonsense"),
     ],
 )
-def test_a_wrong_variable_is_named(tmp_path: Path, name: str, value: str) -> None:
+def test_an_error_names_the_invalid_variable(tmp_path: Path, name: str, value: str) -> None:
     environment = write_config(tmp_path, NO_LISTENER, []) | {name: value}
     with pytest.raises(ConfigError, match=name) as error:
         load_platform_config(environment)
     assert "\n" not in str(error.value)
 
 
-def test_any_text_is_a_name(tmp_path: Path) -> None:
+def test_any_text_is_a_valid_instance_name(tmp_path: Path) -> None:
     environment = write_config(tmp_path, NO_LISTENER, []) | {"LB_NAME": "nonsense"}
     assert load_platform_config(environment).name == "nonsense"
 
@@ -54,7 +54,7 @@
         (["known"], {"revision": 1}, "known"),
     ],
 )
-def test_a_wrong_key_is_named(tmp_path: Path, path: list[str], value: object, named: str) -> None:
+def test_an_error_names_the_invalid_key(tmp_path: Path, path: list[str], value: object, named: str) -> None:
     environment = write_config(tmp_path, NO_LISTENER, [])
     file = Path(environment["LB_CONFIG"])
     raw: dict[str, Any] = json.loads(file.read_text())
@@ -79,21 +79,21 @@
     assert line.count("\n") == 1
 
 
-def test_equal_start_times_stay_equal_and_an_unknown_one_is_long_ago(tmp_path: Path) -> None:
+def test_equal_start_times_stay_equal_and_an_unknown_one_is_zero(tmp_path: Path) -> None:
     names = load_platform_config(write_config(tmp_path, NO_LISTENER, [])).names
-    lists = [
+    endpoint_lists = [
         parse_endpoint_list(
             {"revision": 1, "complete": True, "members": [member("a", NO_LISTENER, up_since_ms=start_ms)]},
             names,
         )
         for start_ms in (START_MS, START_MS, 0)
     ]
-    starts = [endpoints.endpoints[0].listing.started_ns for endpoints in lists]
+    starts = [update.endpoints[0].listing.started_ns for update in endpoint_lists]
     assert starts[0] == starts[1] > 0
     assert starts[2] == 0
 
 
 @pytest.mark.parametrize("text", ["", "host", ":1", "host:", "host:x", "host:65536", "host:-1", None, 7])
-def test_what_is_no_address_is_rejected(text: object) -> None:
+def test_an_invalid_address_is_rejected(text: object) -> None:
     with pytest.raises(ValueError, match="is no host:port"):
         Address.parse(text)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts to reach a peer, of which two subsystems each have their own bounds."""
+"""The delays of the backoff, also with the bounds of the two subsystems that use it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert backoff.next_delay_s() <= 0.2
 
 
-def test_a_reset_begins_with_the_initial_delay() -> None:
+def test_a_reset_restores_the_initial_delay() -> None:
     backoff = Backoff(0.2, 3.0, Random(1))
     for _ in range(8):
         backoff.next_delay_s()
@@ -42,7 +42,7 @@
 
 
 def record_delays_s(random: Random) -> Iterator[float]:
-    """The delays of the record sender, written out: doubled to a maximum."""
+    """Yield the expected delays of the record sender, which double up to a maximum."""
     next_s = 0.2
     while True:
         yield next_s * random.uniform(0.5, 1.0)
@@ -50,7 +50,7 @@
 
 
 def watch_delays_s(random: Random, max_by_attempt_s: list[float]) -> Iterator[float]:
-    """The delays of the endpoint watch, written out: each attempt has its maximum."""
+    """Yield the expected delays of the endpoint watch, with a maximum for each attempt."""
     next_s = 0.05
     for max_s in max_by_attempt_s:
         yield min(next_s, max_s) * random.uniform(0.5, 1.0)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_record_sender_has_its_bounds_to_the_digit(seed: int) -> None:
+def test_the_record_sender_has_exactly_its_expected_delays(seed: int) -> None:
     backoff = Backoff(recorder.INITIAL_BACKOFF_S, recorder.MAX_BACKOFF_S, Random(seed))
     expected_s = record_delays_s(Random(seed))
     for _ in range(FAILURES):
@@ -67,8 +67,8 @@
 
 @pytest.mark.parametrize("max_backoff_s", [0.05, 0.2, timeouts.POLL_TIMING.max_backoff_s, 60.0])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_endpoint_watch_has_its_bounds_to_the_digit(seed: int, max_backoff_s: float) -> None:
-    """Also where updates that can't be applied, which have another maximum, come in between."""
+def test_the_endpoint_watch_has_exactly_its_expected_delays(seed: int, max_backoff_s: float) -> None:
+    """Some of the failures are updates that can't be applied, which have another maximum."""
     draws = Random(seed + 1000)
     invalid = [draws.random() < 0.5 for _ in range(FAILURES)]
     max_by_attempt_s = [2.0 if is_invalid else max_backoff_s for is_invalid in invalid]
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""The log's form, and that docs/on-call.md lists each event that the code writes, with its keys."""
+"""The format of log lines, and the list in docs/on-call.md of all events of the code with their keys."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 from anisespool.log import MAX_LINE_CHARACTERS, format_event, log_event
 
 ROOT = Path(__file__).parent.parent
-NOT_ON_CALL = {"lab", "fakes"}  # packages that write no log of a running sidecar or agent
+# Packages that write no log of a running sidecar or agent.
+EXCLUDED_PACKAGES = {"lab", "fakes"}
 OTHER_LOG_LIBRARIES = {"logging", "loguru", "structlog"}
 ROW = re.compile(r"^\| `([a-z][a-z0-9_]*)` \| ([^|]*) \| ([^|]+) \| ([^|]+) \|$", re.MULTILINE)
 
 
 def modules_that_log() -> Iterator[Path]:
-    """Modules of a running sidecar, the agent and the command, without the log module itself."""
+    """Yield the modules of the sidecar, the agent and the command line, except the log module."""
     for path in sorted((ROOT / "anisespool").rglob("*.py")):
         relative = path.relative_to(ROOT / "anisespool")
-        if relative.parts[0] not in NOT_ON_CALL and relative.name != "log.py":
+        if relative.parts[0] not in EXCLUDED_PACKAGES and relative.name != "log.py":
             yield path
 
 
 def events_in_code() -> dict[str, set[str]]:
-    """Event names and their keys, from every call of log_event() and format_event()."""
+    """Return the keys of each event, from every call of log_event() and format_event()."""
     found: dict[str, set[str]] = {}
     for path in modules_that_log():
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not is_log_call(node):
                 continue
             assert isinstance(node.args[0], ast.Constant), (
-                f"{path}:{node.lineno}: an event's name is a literal"
+                f"{path}:{node.lineno}: the name of an event must be a literal"
             )
             keys = {keyword.arg for keyword in node.keywords if keyword.arg}
             found.setdefault(str(node.args[0].value), set()).update(keys)
@@ -41,13 +42,13 @@
 
 
 def is_log_call(node: ast.Call) -> bool:
-    """Whether a call writes a line of the log, or makes its text."""
+    """Return whether a call writes or formats a line of the log."""
     name = getattr(node.func, "id", getattr(node.func, "attr", ""))
     return name in ("log_event", "format_event")
 
 
 def imported_modules(tree: ast.Module) -> set[str]:
-    """Top-level names of the modules that a module imports."""
+    """Return the top-level names of the modules that a module imports."""
     names: set[str] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -60,12 +61,12 @@
 @pytest.mark.parametrize(
     "source", ["import structlog", "import logging.config", "from structlog import get_logger"]
 )
-def test_an_import_of_another_log_library_is_found(source: str) -> None:
+def test_an_import_of_another_log_library_is_detected(source: str) -> None:
     assert imported_modules(ast.parse(source)) & OTHER_LOG_LIBRARIES
 
 
-def test_every_line_goes_through_the_log_module() -> None:
-    """A library's own logger would write events that this file does not see, in another form."""
+def test_no_module_imports_another_log_library() -> None:
+    """The logger of a library would write events in another format, which this file does not detect."""
     for path in modules_that_log():
         assert not imported_modules(ast.parse(path.read_text())) & OTHER_LOG_LIBRARIES, path
 
@@ -89,10 +90,10 @@
         ({"error": ""}, 'event error=""'),
     ],
 )
-def test_values_are_quoted_only_where_they_must_be(fields: dict[str, object], line: str) -> None:
+def test_values_are_quoted_only_where_necessary(fields: dict[str, object], line: str) -> None:
     assert format_event("event", **fields) == line
 
 
-def test_a_line_is_bounded(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_length_of_a_line_is_bounded(capsys: pytest.CaptureFixture[str]) -> None:
     log_event("event", error="x" * 1000)
     assert len(capsys.readouterr().err) == MAX_LINE_CHARACTERS + 1
