--- a/anisespool/config/operator/__init__.py
+++ b/anisespool/config/operator/__init__.py
@@ -1,10 +1,10 @@
-"""The operator's configuration: the TOML file and the live changes to it.
+"""The operator's configuration: a TOML file, and live changes to it.
 
-Every feature beyond the platform's is switched on here and off without it. Importing this package imports
-msgspec, so a sidecar that was started without an operator's file never does.
+Features beyond the platform's are enabled here and are off without a file. Importing this package imports
+msgspec, so a sidecar that was started without an operator's file never imports it.
 
 A `LiveConfig` holds the sections that can change while an instance runs, as one document with a generation
-and a digest; the other sections are read once, at the start.
+and a digest. The other sections are read only once, at the start.
 """
 
 from anisespool.config.operator.canonical import canonical_json, digest, to_tables
--- a/anisespool/config/operator/canonical.py
+++ b/anisespool/config/operator/canonical.py
@@ -1,4 +1,4 @@
-"""The canonical form of a live configuration, by which instances and the agent compare and store it."""
+"""The canonical form of a live configuration, in which instances and the agent compare and store it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def canonical_json(live: LiveConfig) -> bytes:
-    """Return JSON with sorted keys and all defaults of its sections: equal contents are equal bytes."""
+    """Return JSON with sorted keys and all defaults of its sections: equal contents give equal bytes."""
     return msgspec.json.encode(live, order="sorted")
 
 
@@ -23,6 +23,6 @@
 
 
 def to_tables(config: LiveConfig | OperatorConfig) -> Tables:
-    """Return the sections as tables, for JSON answers."""
+    """Return the sections as tables for JSON responses."""
     tables: Tables = msgspec.to_builtins(config)
     return tables
--- a/anisespool/config/operator/destination.py
+++ b/anisespool/config/operator/destination.py
@@ -1,4 +1,4 @@
-"""The receiver of request records: the URL in `records.to`, parsed."""
+"""Parses the URL in `records.to`, which names the receiver of request records."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 from anisespool.config.platform import Address
 
-MAX_UNIX_PATH_BYTES = 107  # sun_path of sockaddr_un, without its closing zero (Linux, unix(7))
+# Size of sun_path in sockaddr_un, without its terminating zero (Linux, unix(7)).
+MAX_UNIX_PATH_BYTES = 107
 UNIX_SCHEME = "unix"
 
 
 class Transport(StrEnum):
-    """How records reach a receiver on the network. The values are the URL's schemes."""
+    """Protocol for a receiver on the network. The values are the schemes of the URL."""
 
     UDP = "udp"
     TCP = "tcp"
@@ -29,7 +30,7 @@
 
 
 class UnixDestination(NamedTuple):
-    """A receiver on this machine, which reads from a Unix datagram socket."""
+    """A receiver on this machine that reads from a Unix datagram socket."""
 
     path: Path
 
@@ -38,14 +39,14 @@
 
 
 class DestinationError(ValueError):
-    """The URL has none of the forms that a destination may have.
+    """The URL does not have any of the forms of a destination.
 
     Attributes:
-        url: As it stands in the file.
+        url: The URL as it is in the file.
     """
 
     def __init__(self, url: str) -> None:
-        super().__init__(f"{url!r} is no destination of records")
+        super().__init__(f"{url!r} is not a valid destination of records")
         self.url = url
 
 
@@ -53,8 +54,8 @@
     """Parse `udp://IP:PORT`, `tcp://IP:PORT`, `tls://IP:PORT` or `unix:///PATH`.
 
     Raises:
-        DestinationError: It has none of these forms. A host name is none: it would have to be resolved at
-            any moment.
+        DestinationError: The URL has none of these forms. A host name is not accepted, because it would
+            have to be resolved while the sidecar runs.
     """
     scheme, _, location = url.partition("://")
     if scheme == UNIX_SCHEME:
--- a/anisespool/config/operator/errors.py
+++ b/anisespool/config/operator/errors.py
@@ -1,6 +1,6 @@
-"""Errors in the operator's configuration, which are the operator's fault, and msgspec's converted to them.
+"""Errors in the operator's configuration, and the conversion of msgspec's errors to them.
 
-Each is one line that names the source (a file, or a document), the key, what was found and what was wanted.
+Each message is one line with the source (a file or document), the key, what was found and what was wanted.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class OperatorSyntaxError(ConfigError):
-    """The file can't be read, or is no TOML.
+    """The file can't be read or is not valid TOML.
 
     Attributes:
-        source: The file's path.
-        problem: What is wrong with it.
+        source: Path of the file.
+        problem: Description of the error.
     """
 
     def __init__(self, source: str, problem: object) -> None:
@@ -33,13 +33,13 @@
 
 
 class OperatorConfigError(ConfigError):
-    """One key is unknown, missing or has a wrong value.
+    """A key is unknown, missing or has an invalid value.
 
     Attributes:
-        source: The file's path, or the document's name.
-        key: The key with its sections, as in the file; None: the document as a whole.
-        found: What the document has there.
-        wanted: What it may have there.
+        source: Path of the file or name of the document.
+        key: The key with its sections as in the file. None if the document as a whole is invalid.
+        found: Value or problem found there.
+        wanted: Description of valid values.
     """
 
     def __init__(self, source: str, key: str | None, found: str, wanted: str) -> None:
@@ -52,10 +52,12 @@
 
 
 class UnknownClassError(OperatorConfigError):
-    """A request class of the file is none of the platform's; the text is cut, as it lists all classes.
+    """The file names a request class that the platform does not define.
+
+    The message lists all classes, so it is cut to MAX_CLASS_ERROR_CHARACTERS.
 
     Attributes:
-        name: The unknown class.
+        name: Name of the unknown class.
     """
 
     def __init__(self, source: str, name: str, classes: Collection[str]) -> None:
@@ -68,10 +70,10 @@
 
 
 class UnknownTenantError(OperatorConfigError):
-    """A tenant of the file is none of the platform's; the text names a few of those.
+    """The file names a tenant that the platform does not define; the message lists a few that it does.
 
     Attributes:
-        name: The unknown tenant.
+        name: Name of the unknown tenant.
     """
 
     MAX_NAMED_TENANTS: ClassVar[int] = 8
@@ -83,12 +85,12 @@
 
 
 def from_validation_error(error: msgspec.ValidationError, tables: Tables, source: str) -> OperatorConfigError:
-    """Return msgspec's error as one that also shows the value found.
+    """Convert an error of msgspec to one that also shows the value found.
 
     Args:
-        error: Its text ends with the place: "... - at `$.endpoints.drained[0]`".
-        tables: What was converted.
-        source: The file's path, or the document's name.
+        error: An error whose message ends with the place, such as "... - at `$.endpoints.drained[0]`".
+        tables: The tables that msgspec could not convert.
+        source: Path of the file or name of the document.
     """
     text, _, place = str(error).partition(" - at `$")
     key = place.rstrip("`").lstrip(".")
@@ -104,13 +106,13 @@
 
 
 def abbreviated(value: object) -> str:
-    """Return a value's representation, cut to MAX_VALUE_CHARACTERS."""
+    """Return the representation of a value, cut to MAX_VALUE_CHARACTERS."""
     text = repr(value)
     return text if len(text) <= MAX_VALUE_CHARACTERS else text[: MAX_VALUE_CHARACTERS - 3] + "..."
 
 
 def _value_at(tables: Any, key: str) -> Any:
-    """Return the value at a place like `endpoints.drained[0]`; `[...]` is any entry of a table."""
+    """Return the value at a place such as `endpoints.drained[0]`; `[...]` stands for any entry of a table."""
     value = tables
     for part in re.findall(r"[^.\[\]]+|\[\d+\]|\[\.\.\.\]", key):
         if part == "[...]":
--- a/anisespool/config/operator/parsing.py
+++ b/anisespool/config/operator/parsing.py
@@ -1,4 +1,4 @@
-"""Parses and checks TOML files and JSON documents; an error is one line."""
+"""Parses and validates the operator's TOML files and JSON documents. An error message is one line."""
 
 from __future__ import annotations
 
@@ -17,17 +17,20 @@
 from anisespool.config.operator.tables import Tables
 from anisespool.config.operator.validation import validate_live_sections, validate_operator_config
 
-MAX_DOCUMENT_BYTES = 64 * 1024  # of a file or document: the largest request of the control socket
-MAX_LISTED_CHARACTERS = 200  # of the names of keys in an error line
+# Maximum size of a file or document, equal to the largest request of the control socket.
+MAX_DOCUMENT_BYTES = 64 * 1024
+# Maximum length of the list of keys in an error message.
+MAX_LISTED_CHARACTERS = 200
 SchemaT = TypeVar("SchemaT", bound=msgspec.Struct)
 
 
 def read_operator_config(path: str) -> OperatorConfig:
-    """Read and check a whole file.
+    """Read and validate a whole file.
 
     Raises:
-        OperatorSyntaxError: It can't be read or is no TOML.
-        OperatorConfigError: A key is unknown, missing or wrong.
+        OperatorSyntaxError: The file can't be read or is not valid TOML.
+        OperatorConfigError: A key is unknown, missing or invalid, or the file is longer than
+            MAX_DOCUMENT_BYTES.
     """
     try:
         with open(path, "rb") as file:
@@ -38,15 +41,15 @@
 
 
 def parse_toml(data: bytes, source: str) -> Tables:
-    """Parse TOML into tables, which are not checked yet.
+    """Parse TOML into tables that are not validated yet.
 
     Args:
-        data: The file's content.
-        source: Its path or name, for errors.
+        data: Content of the file.
+        source: Path or name of the file, for errors.
 
     Raises:
-        OperatorConfigError: It is longer than MAX_DOCUMENT_BYTES.
-        OperatorSyntaxError: It is no TOML; the text names the line.
+        OperatorConfigError: The content is longer than MAX_DOCUMENT_BYTES.
+        OperatorSyntaxError: The content is not valid TOML; the message names the line.
     """
     if len(data) > MAX_DOCUMENT_BYTES:
         raise OperatorConfigError(source, None, f"over {MAX_DOCUMENT_BYTES} bytes", "at most that")
@@ -57,14 +60,14 @@
 
 
 def parse_operator_config(tables: Tables, source: str) -> OperatorConfig:
-    """Convert and check a file's tables.
+    """Convert and validate the tables of a file.
 
     Args:
         tables: The parsed file.
-        source: Its path or name, for errors.
+        source: Path or name of the file, for errors.
 
     Raises:
-        OperatorConfigError: A key is unknown, missing or wrong.
+        OperatorConfigError: A key is unknown, missing or invalid.
     """
     config = _convert(tables, OperatorConfig, source)
     validate_operator_config(config, source)
@@ -72,14 +75,14 @@
 
 
 def parse_live_config(tables: object, source: str) -> LiveConfig:
-    """Convert and check a live change.
+    """Convert and validate a live change.
 
     Args:
-        tables: The parsed document; anything but tables is an error.
-        source: Its path or name, for errors.
+        tables: The parsed document; any other value than tables is an error.
+        source: Path or name of the document, for errors.
 
     Raises:
-        OperatorConfigError: A key is unknown or wrong, or names a section that needs a restart.
+        OperatorConfigError: A key is unknown or invalid, or a section can change only by a restart.
     """
     if not isinstance(tables, dict):
         raise OperatorConfigError(source, None, abbreviated(tables), f"tables {', '.join(LIVE_SECTIONS)}")
--- a/anisespool/config/operator/record_sections.py
+++ b/anisespool/config/operator/record_sections.py
@@ -1,4 +1,4 @@
-"""The operator's sections about request records: where they go, and which share of them is written."""
+"""The sections `[records]` and `[sampling]`: where request records are sent, and the shares written."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from anisespool.config.operator.section import Name, Section
 
 Share = Annotated[float, Meta(ge=0, le=1)]
-STREAM_URLS = (f"{Transport.TCP}:", f"{Transport.TLS}:")
+STREAM_URL_PREFIXES = (f"{Transport.TCP}:", f"{Transport.TLS}:")
 
 
 class Framing(StrEnum):
-    """How records are delimited on a stream (RFC 6587). The values are those of the file."""
+    """Framing of records on a stream (RFC 6587). The values are those in the file."""
 
     OCTET_COUNTING = "octets"
     NEWLINE = "newline"
 
 
 class ClassSampling(Section, frozen=True, kw_only=True):
-    """`[sampling.classes.NAME]`: shares for one request class; None: the share of `[sampling]`."""
+    """`[sampling.classes.NAME]`: the shares for one request class. None means the share in `[sampling]`."""
 
     served: Share | None = None
     client_disconnected: Share | None = field(default=None, name="gone")
@@ -30,15 +30,15 @@
 
 
 class SamplingOptions(Section, frozen=True, kw_only=True):
-    """`[sampling]`: which shares of the records are written, by outcome.
+    """`[sampling]`: the shares of the records that are written, by outcome.
 
     Requests that were shed or failed are always recorded.
 
     Attributes:
-        served: Of requests answered by an endpoint.
-        client_disconnected: Of requests whose client disconnected before the answer.
-        rejected: Of requests that the listener rejected as malformed or unknown.
-        classes: By request class, in place of the shares above.
+        served: Share for requests that an endpoint answered.
+        client_disconnected: Share for requests whose client disconnected before the response.
+        rejected: Share for requests that the listener rejected as malformed or unknown.
+        classes: Shares by request class, which replace those above.
     """
 
     served: Share = 1.0
@@ -48,28 +48,28 @@
 
 
 class RecordOptions(Section, frozen=True, kw_only=True):
-    """`[records]`: each request's path as a syslog record (RFC 5424). Off without the section.
+    """`[records]`: one syslog record (RFC 5424) of the path of each request. Off without the section.
 
     Attributes:
         destination: `udp://IP:PORT`, `tcp://IP:PORT`, `tls://IP:PORT` or `unix:///PATH`.
-        framing: How records are delimited on TCP; TLS always counts octets (RFC 5425).
-        enterprise_number: The private enterprise number of the structured data (RFC 5424, 7.2.2).
+        framing: Framing of records on TCP; TLS always uses octet counting (RFC 5425).
+        enterprise_number: Private enterprise number of the structured data (RFC 5424, 7.2.2).
         facility: Syslog facility.
-        hostname: HOSTNAME of each record; None: the machine's.
+        hostname: HOSTNAME of each record. None means the machine's host name.
         app_name: APP-NAME of each record.
-        max_buffered_bytes: Size of the records that wait to be sent.
-        max_buffered_records: Number of the records that wait to be sent.
-        drop_policy: Which records are dropped first when the buffer is full.
-        max_record_bytes: Size of one record; longer ones are truncated.
-        max_value_bytes: Size of one parameter value.
-        flush_interval_ms: How long a record waits for others to be sent together.
-        shutdown_flush_s: After the last response, for the records that still wait.
-        unconfirmed_bytes: The last bytes written to a connection that was lost; what they hold counts as
+        max_buffered_bytes: Maximum size of the records that wait to be sent.
+        max_buffered_records: Maximum number of records that wait to be sent.
+        drop_policy: Records that are dropped first when the buffer is full.
+        max_record_bytes: Maximum size of a record; longer ones are truncated.
+        max_value_bytes: Maximum size of a parameter value.
+        flush_interval_ms: Time that a record waits for others to be sent with it.
+        shutdown_flush_s: Time after the last response to send the records that still wait.
+        unconfirmed_bytes: Number of bytes last written to a lost connection; records in them count as
             unconfirmed.
-        ca_file: Of TLS: the authority that verifies the receiver.
-        certificate_file: Of TLS: the client's certificate.
-        key_file: Of TLS: the key of that certificate.
-        server_name: Of TLS: the name in the receiver's certificate; None: its address.
+        ca_file: CA certificate that verifies the receiver, for TLS.
+        certificate_file: Certificate of the client, for TLS.
+        key_file: Key of that certificate.
+        server_name: Name in the receiver's certificate, for TLS. None means its address.
     """
 
     destination: Name = field(name="to")
@@ -95,14 +95,14 @@
 
     @property
     def parsed_destination(self) -> Destination:
-        """The destination's transport and address.
+        """The parsed destination.
 
         Raises:
-            DestinationError: See `parse_destination`.
+            DestinationError: The URL is invalid, see `parse_destination`.
         """
         return parse_destination(self.destination)
 
     @property
     def is_stream(self) -> bool:
-        """Whether records go over a connection, which can be lost with unconfirmed records in it."""
-        return self.destination.startswith(STREAM_URLS)
+        """Whether records are sent over a connection, which can be lost together with unconfirmed records."""
+        return self.destination.startswith(STREAM_URL_PREFIXES)
--- a/anisespool/config/operator/schema.py
+++ b/anisespool/config/operator/schema.py
@@ -1,4 +1,4 @@
-"""The whole operator's file, and the part of it that can change while an instance runs."""
+"""The schemas of the operator's file and of its sections that can change while an instance runs."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 class LiveConfig(Section, frozen=True, kw_only=True, omit_defaults=True):
     """A live change.
 
-    Its sections replace those of the instance's own file. A section that it lacks is the file's, so an empty
-    document restores the file.
+    Its sections replace those of the instance's own file. For a section that it lacks the file applies, so an
+    empty document restores the configuration of the file.
     """
 
     endpoints: EndpointOptions | None = None
@@ -46,7 +46,7 @@
     sampling: SamplingOptions = SamplingOptions()
 
     def with_live_config(self, live: LiveConfig) -> OperatorConfig:
-        """Return this configuration with the sections of `live` in place of its own."""
+        """Return this configuration with its sections replaced by those that `live` has."""
         sections = {name: getattr(live, name) for name in _LIVE_FIELDS}
         given = {name: section for name, section in sections.items() if section is not None}
         return msgspec.structs.replace(self, **given)
@@ -54,5 +54,5 @@
 
 _LIVE_FIELDS = tuple(field.name for field in msgspec.structs.fields(LiveConfig))
 
-# The sections' names in the file, as operators write them.
+# Names of the live sections in the file.
 LIVE_SECTIONS = tuple(field.encode_name for field in msgspec.structs.fields(LiveConfig))
--- a/anisespool/config/operator/section.py
+++ b/anisespool/config/operator/section.py
@@ -1,7 +1,7 @@
-"""What all sections of the operator's file have in common.
+"""Base class and types shared by all sections of the operator's file.
 
-`msgspec.field(name=...)` gives a field's key in the file where it differs from its name in the code:
-operators' scripts write the keys, so they never change.
+`msgspec.field(name=...)` sets a field's key in the file if it differs from the name in the code. Keys never
+change, because operators' scripts write them.
 """
 
 from __future__ import annotations
@@ -15,4 +15,4 @@
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One table of the file: immutable, and a key that nothing reads is an error."""
+    """One table of the file. It is immutable, and an unknown key is an error."""
--- a/anisespool/config/operator/sections.py
+++ b/anisespool/config/operator/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the operator's file, but for those of request records (`record_sections`)."""
+"""The sections of the operator's file, except those about request records (`record_sections`)."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ControlOptions(Section, frozen=True, kw_only=True):
-    """`[control]`: one instance's control socket, `NAME.sock` in a directory of mode 0700.
+    """`[control]`: the control socket of an instance, `NAME.sock` in a directory with mode 0700.
 
     Off without the section.
 
     Attributes:
-        directory: The directory of the sockets of all instances.
-        max_connections: Clients of the control socket connected at the same time.
-        idle_timeout_s: A client that sends nothing for so long is disconnected.
+        directory: Directory of the control sockets of all instances.
+        max_connections: Maximum number of clients connected to the control socket.
+        idle_timeout_s: Time after which a client that sends nothing is disconnected.
     """
 
     directory: Name = field(name="folder")
@@ -29,19 +29,20 @@
 
 
 class EndpointOptions(Section, frozen=True, kw_only=True):
-    """`[endpoints]`: endpoints that the operator drains, by their ids in the endpoint list."""
+    """`[endpoints]`: ids of the endpoints that the operator drains."""
 
     drained: Annotated[list[Name], Meta(max_length=MAX_DRAINED_ENDPOINTS)] = field(default_factory=list)
 
 
 class ConnectionOptions(Section, frozen=True, kw_only=True):
-    """`[connections]`: connections to endpoints, and idle ones of clients.
+    """`[connections]`: connections to endpoints, and idle connections of clients.
 
     Attributes:
-        max_idle_per_endpoint: Idle connections kept to one endpoint. Each costs the endpoint a descriptor.
-        reuse_delay_ms: How long a connection stays idle between two requests.
-        connect_timeout_ms: In place of the platform's; None: the platform's.
-        client_idle_timeout_s: A client's connection that is idle for so long after a response is closed.
+        max_idle_per_endpoint: Maximum number of idle connections to an endpoint. Each takes up a file
+            descriptor of the endpoint.
+        reuse_delay_ms: Minimum time that a connection stays idle between two requests.
+        connect_timeout_ms: Connect timeout. None means the platform's.
+        client_idle_timeout_s: Time after a response at which an idle connection of a client is closed.
     """
 
     max_idle_per_endpoint: Annotated[int, Meta(ge=0, le=10_000)] = field(default=48, name="idle_per_endpoint")
@@ -51,13 +52,13 @@
 
 
 class DiscoveryOptions(Section, frozen=True, kw_only=True):
-    """`[discovery]`: the discovery service's address, in place of the platform's where there is one."""
+    """`[discovery]`: an address of the discovery service that replaces the platform's."""
 
     address: str | None = None
 
 
 class TenantOptions(Section, frozen=True, kw_only=True):
-    """`[members.TENANT]`: one tenant's share of the fleet's capacity, in place of the platform's."""
+    """`[members.TENANT]`: a tenant's share of the fleet's capacity, which replaces the platform's."""
 
     share: Annotated[float, Meta(gt=0, le=1)]
 
@@ -66,26 +67,25 @@
 
 
 class MembershipOptions(Section, frozen=True, kw_only=True):
-    """`[peers]`: which sidecars of the fleet are alive, by SWIM with Lifeguard's extensions.
+    """`[peers]`: membership of the fleet's sidecars, detected with SWIM and Lifeguard's extensions.
 
-    Off without the section, and where the platform's settings do not allow peer messages
-    (docs/membership.md).
+    Off without the section, and if the platform's settings do not allow peer messages (docs/membership.md).
 
     Attributes:
-        probe_interval_ms: Between two probes.
-        ping_timeout_ms: For a direct acknowledgement, before indirect probes are requested.
-        probe_timeout_ms: For any acknowledgement, direct or not, before the target is suspected.
-        indirect_probes: Members that are requested to probe the target (SWIM's ping-req).
-        suspicion_min_ms: From a failed probe's start to dead, once `confirmations` others suspect it too.
-        suspicion_max_ms: The same where nobody else suspects it.
-        confirmations: Independent suspicions that bring the timeout down to its minimum.
-        gossip_interval_ms: Between two rounds of dissemination.
-        fanout: Members that one round is sent to.
-        anti_entropy_interval_ms: Between two comparisons of a part of the view with another member's.
-        reconnect_interval_ms: Between two attempts to reach a member that counts as dead.
-        pause_threshold_ms: A gap in this process's own timers from which on it counts as paused itself.
-        pause_grace_ms: After a pause, before it suspects others again.
-        max_datagrams_per_s: Datagrams that it sends.
+        probe_interval_ms: Time between two probes.
+        ping_timeout_ms: Time to wait for a direct acknowledgement before requesting indirect probes.
+        probe_timeout_ms: Time to wait for a direct or indirect acknowledgement before suspecting the target.
+        indirect_probes: Number of members requested to probe the target (SWIM's ping-req).
+        suspicion_min_ms: Time from the start of a failed probe to dead with all `confirmations`.
+        suspicion_max_ms: Time from the start of a failed probe to dead without a confirmation.
+        confirmations: Number of independent suspicions that reduces the timeout to its minimum.
+        gossip_interval_ms: Time between two rounds of dissemination.
+        fanout: Number of members that receive a round.
+        anti_entropy_interval_ms: Time between two comparisons of a part of the view with another member.
+        reconnect_interval_ms: Time between two attempts to reach a member that counts as dead.
+        pause_threshold_ms: Delay of this process's own timers beyond which it counts as paused.
+        pause_grace_ms: Time after a pause in which this process suspects no member.
+        max_datagrams_per_s: Maximum number of datagrams sent per second.
     """
 
     probe_interval_ms: Annotated[float, Meta(ge=20, le=60_000)] = field(default=120.0, name="period_ms")
@@ -107,20 +107,20 @@
 
 
 class AgentOptions(Section, frozen=True, kw_only=True):
-    """`[agent]`: the agent of all instances whose control sockets are in `control.folder`.
+    """`[agent]`: the agent that manages all instances with control sockets in `control.folder`.
 
     Attributes:
-        state_directory: The agent's own directory, mode 0700.
-        tcp_address: `host:port` to listen on beside the Unix socket; only with all three files.
-        certificate_file: The server's certificate for TCP.
-        key_file: The key of that certificate.
-        client_ca_file: The authority that signed the clients' certificates.
-        scan_interval_s: Between two scans of the directory of control sockets.
-        poll_interval_s: Between two polls of one instance.
-        request_timeout_s: An instance that takes longer to answer is unreachable.
-        max_concurrent_requests: Requests to instances open at once.
-        max_instances: Instances that the agent manages.
-        max_watchers: Clients that watch events at the same time.
+        state_directory: Directory of the agent, with mode 0700.
+        tcp_address: `host:port` to listen on beside the Unix socket; requires the three files below.
+        certificate_file: Certificate of the server, for TCP.
+        key_file: Key of that certificate.
+        client_ca_file: CA certificate that verifies the clients' certificates.
+        scan_interval_s: Time between two scans of the directory of control sockets.
+        poll_interval_s: Time between two polls of an instance.
+        request_timeout_s: Time after which an instance that has not responded counts as unreachable.
+        max_concurrent_requests: Maximum number of open requests to instances.
+        max_instances: Maximum number of instances that the agent manages.
+        max_watchers: Maximum number of clients that watch events.
     """
 
     state_directory: Name = field(name="state")
@@ -137,5 +137,5 @@
 
     @property
     def socket_path(self) -> Path:
-        """Where the agent's gRPC service listens and the command line finds it."""
+        """Path of the Unix socket on which the agent's gRPC service listens and the command line finds it."""
         return Path(self.state_directory).absolute() / "agent.sock"
--- a/anisespool/config/operator/tables.py
+++ b/anisespool/config/operator/tables.py
@@ -1,6 +1,7 @@
-"""Tables with the file's keys: parsed TOML or JSON that is not checked yet, or a configuration for output.
+"""Tables with the keys of the file: TOML or JSON before its validation, or a configuration for output.
 
-`parsing` converts them to typed sections, and `canonical` sections to them; nothing else reads their keys.
+`parsing` converts tables to typed sections, and `canonical` sections to tables. Only these two
+modules read the keys.
 """
 
 from __future__ import annotations
--- a/anisespool/config/operator/validation.py
+++ b/anisespool/config/operator/validation.py
@@ -1,4 +1,4 @@
-"""Checks that types can't express: of keys against each other, and of addresses."""
+"""Validation that types can't express: keys that depend on each other, addresses, and known names."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def validate_operator_config(config: OperatorConfig, source: str) -> None:
-    """Check a whole file.
+    """Validate a whole file.
 
     Raises:
-        OperatorConfigError: A key contradicts another one, or holds no address where one is needed.
+        OperatorConfigError: A key contradicts another one, or its value is not an address but should be.
     """
     validate_live_sections(config, source)
     if config.agent is None:
@@ -32,10 +32,10 @@
 
 
 def validate_live_sections(config: OperatorConfig, source: str) -> None:
-    """Check all sections but the agent's, which no live change touches.
+    """Validate all sections except `[agent]`, which a live change can't have.
 
     Raises:
-        OperatorConfigError: As `validate_operator_config`.
+        OperatorConfigError: Same as for `validate_operator_config`.
     """
     _validate_endpoints(config.endpoints, source)
     if config.discovery.address is not None:
@@ -47,10 +47,10 @@
 
 
 def validate_sampled_classes(config: OperatorConfig, classes: Collection[str], source: str) -> None:
-    """Check that every class with sampling shares of its own is one of the platform's `classes`.
+    """Check that the platform's `classes` include every class with its own sampling shares.
 
     Raises:
-        UnknownClassError: One is not.
+        UnknownClassError: A class is not among them.
     """
     for name in config.sampling.classes:
         if name not in classes:
@@ -58,10 +58,10 @@
 
 
 def validate_tenants(config: OperatorConfig, tenants: Collection[str], source: str) -> None:
-    """Check that every tenant with a share of its own is one of the platform's `tenants`.
+    """Check that the platform's `tenants` include every tenant with its own share.
 
     Raises:
-        UnknownTenantError: One is not.
+        UnknownTenantError: A tenant is not among them.
     """
     for name in config.tenants:
         if name not in tenants:
--- a/tests/config/test_destination.py
+++ b/tests/config/test_destination.py
@@ -1,4 +1,4 @@
-"""Where request records are sent: the URL in `records.to`."""
+"""Parsing of the URL in `records.to`, the destination of request records."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         f"unix://{LONGEST_PATH}x",
     ],
 )
-def test_what_is_no_destination_is_rejected(url: str) -> None:
+def test_an_invalid_destination_is_rejected(url: str) -> None:
     with pytest.raises(DestinationError) as error:
         parse_destination(url)
     assert error.value.url == url
@@ -64,5 +64,5 @@
         ("unix:///dev/log", False),
     ],
 )
-def test_only_connections_can_be_lost_with_records_in_them(url: str, is_stream: bool) -> None:
+def test_only_tcp_and_tls_destinations_are_streams(url: str, is_stream: bool) -> None:
     assert RecordOptions(destination=url).is_stream is is_stream
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: a wrong one is one line that names file, key, what was found and what was wanted."""
+"""The operator's file and live changes: validation, error messages, digests and tables."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         ("#" * (operator.MAX_DOCUMENT_BYTES + 1), f"found over {operator.MAX_DOCUMENT_BYTES} bytes"),
     ],
 )
-def test_a_wrong_file_is_reported_in_one_line(tmp_path: Path, text: str, error_part: str) -> None:
+def test_an_invalid_file_is_reported_in_one_line(tmp_path: Path, text: str, error_part: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(ConfigError) as error:
@@ -44,7 +44,7 @@
     assert "\n" not in str(error.value)
 
 
-def test_an_error_carries_source_key_found_and_wanted() -> None:
+def test_an_error_has_source_key_found_and_wanted() -> None:
     with pytest.raises(operator.OperatorConfigError) as error:
         operator.parse_operator_config({"discovery": {"address": "here"}}, "f.toml")
     raised = error.value
@@ -52,7 +52,7 @@
     assert (raised.found, raised.wanted) == ("'here'", "host:port")
 
 
-def test_an_unknown_class_is_named_in_a_text_of_bounded_length() -> None:
+def test_an_unknown_class_is_named_in_a_message_of_bounded_length() -> None:
     tables = {"sampling": {"classes": {"nobody": {"served": 0.5}}}}
     config = operator.parse_operator_config(tables, "f.toml")
     operator.validate_sampled_classes(config, ["nobody"], "f.toml")
@@ -65,7 +65,7 @@
     assert len(str(error.value)) == 400
 
 
-def test_an_unknown_tenant_is_named_beside_a_few_known_ones() -> None:
+def test_an_unknown_tenant_is_named_with_a_few_known_ones() -> None:
     config = operator.parse_operator_config({"members": {"nobody": {"share": 0.5}}}, "f.toml")
     operator.validate_tenants(config, ["nobody"], "f.toml")
     with pytest.raises(operator.UnknownTenantError) as error:
@@ -76,17 +76,17 @@
         operator.validate_tenants(config, [], "f.toml")
 
 
-def test_a_live_change_that_needs_a_restart_is_rejected_by_its_sections() -> None:
+def test_a_live_change_of_sections_that_need_a_restart_is_rejected() -> None:
     with pytest.raises(ConfigError, match="agent, control: found in a live change"):
         operator.parse_live_config({"control": {}, "agent": {}, "members": {}}, "x")
 
 
 def test_live_changes_with_equal_contents_have_equal_digests() -> None:
-    one = operator.parse_live_config({"connections": {}, "endpoints": {"drained": ["b"]}}, "x")
-    same = operator.parse_live_config({"endpoints": {"drained": ["b"]}, "connections": {"rest_ms": 20}}, "x")
-    other = operator.parse_live_config({"connections": {}}, "x")
-    assert operator.digest(one) == operator.digest(same)
-    assert operator.digest(one) != operator.digest(other)
+    first = operator.parse_live_config({"connections": {}, "endpoints": {"drained": ["b"]}}, "x")
+    equal = operator.parse_live_config({"endpoints": {"drained": ["b"]}, "connections": {"rest_ms": 20}}, "x")
+    different = operator.parse_live_config({"connections": {}}, "x")
+    assert operator.digest(first) == operator.digest(equal)
+    assert operator.digest(first) != operator.digest(different)
 
 
 def test_a_live_change_replaces_the_sections_that_it_has() -> None:
@@ -98,7 +98,7 @@
     assert config.with_live_config(operator.LiveConfig()) == config
 
 
-def test_tables_have_the_names_of_the_file() -> None:
+def test_tables_have_the_keys_of_the_file() -> None:
     tables = operator.to_tables(operator.parse_operator_config({"peers": {"shortest_ms": 300.0}}, "x"))
     assert tables["peers"]["shortest_ms"] == 300.0
     assert {"idle_per_endpoint", "rest_ms", "client_kept_s"} <= set(tables["connections"])
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("text", "status", "error_lines"), [(VALID_OPERATOR_FILE, 0, 0), ("[x]", 2, 1)])
-def test_check_reads_the_file_and_does_nothing_else(
+def test_check_validates_the_file_and_writes_nothing(
     tmp_path: Path, text: str, status: int, error_lines: int
 ) -> None:
     path = tmp_path / "f.toml"
