--- a/anisespool/sidecar/__init__.py
+++ b/anisespool/sidecar/__init__.py
@@ -1,7 +1,8 @@
 """One sidecar process: start, reload and graceful shutdown.
 
-`program` is the process (signals, standard error, exit status), `composition` builds and runs the parts of
-one sidecar. What an operator's file switches on (`optional_features`) is imported only where one is given.
+`program` is the process with its signals, standard error and exit status. `composition` builds and runs the
+components of a sidecar. Features that an operator's file enables (`optional_features`) are imported only with
+such a file.
 """
 
 from anisespool.sidecar.composition import run
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -1,4 +1,4 @@
-"""Composition root of one sidecar: builds its parts, starts them, and ends them in order."""
+"""Composition root of a sidecar: builds its components, starts them and stops them in order."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
     from anisespool.config.operator import OperatorConfig
     from anisespool.sidecar.optional_features import OptionalFeatures
 
-# Reference cycles are rare, as parsers break theirs when they end: infrequent collections suffice.
+# Infrequent collections suffice: reference cycles are rare, as parsers break theirs when they end.
 GC_THRESHOLDS = (10_000, 20, 20)
-RESERVED_CONNECTIONS = 32  # sockets for all but clients and endpoints, and for connections that are closing
-MIN_CONNECTIONS = 16  # to clients and endpoints, whatever the platform allows
-# Of the connections to clients and endpoints: many clients' are idle, each busy one needs one to an endpoint.
+# Sockets reserved for other uses than clients and endpoints, and for connections that are closing.
+RESERVED_CONNECTIONS = 32
+# Minimum number of connections to clients and endpoints, whatever the platform allows.
+MIN_CONNECTIONS = 16
+# Clients' share of these connections. Many are idle, and each busy one needs a connection to an endpoint.
 CLIENT_CONNECTION_SHARE = 0.6
 
 
@@ -38,52 +40,52 @@
     on_listening: Callable[[Address], None],
     operator_config: OperatorConfig | None = None,
 ) -> None:
-    """Run one sidecar until `signals.stop` is set and every request that it accepted has its response.
+    """Run a sidecar until `signals.stop` is set and every accepted request has its response.
 
     Args:
-        config: From the platform.
-        signals: Stop and reload.
+        config: The platform's configuration.
+        signals: Events that stop the sidecar and reload its configuration.
         on_listening: Called with the listener's address once it accepts connections.
-        operator_config: The operator's file; without one nothing that it could switch on is imported.
+        operator_config: The operator's configuration. Without one, no optional feature is imported.
 
     Raises:
-        ConfigError: An address can't be listened on, or a section of the operator's file can't be used.
+        ConfigError: Listening on an address failed, or a section of the operator's file can't be used.
     """
-    parts = _Parts(config, signals, operator_config)
-    tasks = _start_background_tasks(parts, config.path, signals)
+    components = _Components(config, signals, operator_config)
+    tasks = _start_background_tasks(components, config.path, signals)
     try:
-        await _start_listening(parts, config, tasks, on_listening)
+        await _start_listening(components, config, tasks, on_listening)
         await signals.stop.wait()
-        if parts.features:
-            tasks += parts.features.announce_shutdown()
-        await stop_listener(parts.server, config.settings)
+        if components.features:
+            tasks += components.features.announce_shutdown()
+        await stop_listener(components.server, config.settings)
     finally:
         for task in tasks:
             task.cancel()
-        if parts.features:
-            await parts.features.close()
+        if components.features:
+            await components.features.close()
 
 
 async def _start_listening(
-    parts: _Parts,
+    components: _Components,
     config: PlatformConfig,
     tasks: list[asyncio.Task[None]],
     on_listening: Callable[[Address], None],
 ) -> None:
-    """Bind the address, start the optional features, and accept once the endpoint list is current."""
+    """Bind the address, start the optional features, and listen once the endpoint list is current."""
     with _listen_errors():
-        parts.server.bind(config.listen)
-    if parts.features:
-        tasks += parts.features.start(parts.controls)
-    await _wait_for_current_list(parts.watch, config)
+        components.server.bind(config.listen)
+    if components.features:
+        tasks += components.features.start(components.controls)
+    await _wait_for_current_list(components.watch, config)
     with _listen_errors():
-        on_listening(parts.server.listen())
-    gc.freeze()  # objects of the start-up are never freed: collections skip them
+        on_listening(components.server.listen())
+    gc.freeze()  # Objects created at start-up are never freed, so collections skip them.
     gc.set_threshold(*GC_THRESHOLDS)
 
 
-class _Parts:
-    """The parts of one sidecar, built and wired, not yet started."""
+class _Components:
+    """The components of a sidecar, connected to each other but not started."""
 
     def __init__(
         self, config: PlatformConfig, signals: Signals, operator_config: OperatorConfig | None
@@ -123,20 +125,22 @@
     return OptionalFeatures(config, operator_config, cluster)
 
 
-def _start_background_tasks(parts: _Parts, config_path: str, signals: Signals) -> list[asyncio.Task[None]]:
+def _start_background_tasks(
+    components: _Components, config_path: str, signals: Signals
+) -> list[asyncio.Task[None]]:
     return [
-        asyncio.create_task(parts.watch.run()),
-        asyncio.create_task(parts.cluster.sweep()),
-        asyncio.create_task(reload_when_signalled(config_path, parts.controls, signals.reload)),
-        asyncio.create_task(parts.server.sweep()),
+        asyncio.create_task(components.watch.run()),
+        asyncio.create_task(components.cluster.sweep()),
+        asyncio.create_task(reload_when_signalled(config_path, components.controls, signals.reload)),
+        asyncio.create_task(components.server.sweep()),
     ]
 
 
 async def _wait_for_current_list(watch: EndpointWatch, config: PlatformConfig) -> None:
-    """Where an agent pushes the endpoint list, wait for it before the first request.
+    """Wait for the agent's endpoint list before the first request, if the discovery mode is push.
 
-    A drain that the agent already has holds from this sidecar's first moment, and the initial list may be
-    older than that. The wait ends with the drain's grace period: without an agent the initial list is used.
+    A drain that the agent already has applies from this sidecar's start, and the initial list may be older
+    than the drain. The wait is limited to the drain grace period: without an agent the initial list is used.
     """
     if config.settings.discovery_mode is DiscoveryMode.PUSH:
         with suppress(TimeoutError):
@@ -145,7 +149,7 @@
 
 @contextmanager
 def _listen_errors() -> Iterator[None]:
-    """An error of the listening socket as one of the variable that names its address."""
+    """Raise an error of the listening socket as one in the variable that names its address."""
     try:
         yield
     except OSError as error:
--- a/anisespool/sidecar/live_controls.py
+++ b/anisespool/sidecar/live_controls.py
@@ -1,4 +1,4 @@
-"""What a controller, or a reloaded configuration, can change on this running sidecar."""
+"""State of this running sidecar, and changes to it by a controller or a reloaded configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Phase(StrEnum):
-    """Part of a sidecar's life, under the control socket's name."""
+    """Lifecycle phase of a sidecar. The values are those on the control socket."""
 
     STARTING = "starting"
     """No endpoint is ready."""
@@ -27,7 +27,7 @@
 
 
 class SidecarControls:
-    """The `RuntimeControls` (proxy/runtime_controls.py) of this process."""
+    """Implements `RuntimeControls` (proxy/runtime_controls.py) for this process."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         platform_discovery: Address,
         recorder: Recorder | None = None,
     ) -> None:
-        """`platform_discovery` is watched unless an operator names another address."""
+        """Watch `platform_discovery` until an operator names another address."""
         self._signals = signals
         self._proxy = proxy
         self._server = server
@@ -49,35 +49,35 @@
 
     @property
     def phase(self) -> Phase:
-        """The phase now."""
+        """The current phase."""
         if self._server.stopping or self._signals.stop.is_set():
             return Phase.DRAINING
         return Phase.SERVING if self._proxy.ready else Phase.STARTING
 
     def begin_shutdown(self) -> None:
-        """Shut down as by SIGTERM."""
+        """Start the graceful shutdown, as SIGTERM does."""
         self._signals.stop.set()
 
     def client_connections(self) -> dict[str, int]:
-        """Clients' connections under the control socket's names: all, and those with an open request."""
+        """Return the number of client connections (`open`) and of those with an open request (`working`)."""
         table = self._server.table
         return {"open": len(table), "working": len(table.active)}
 
     def set_client_idle_timeout(self, timeout_s: float) -> None:
-        """Close clients' connections that are idle for so long after a response."""
+        """Set how long a client connection may stay idle after a response."""
         self._server.idle_timeout_s = timeout_s
 
     def set_sampling(self, sampling: SamplingOptions) -> None:
-        """Write these shares of the records from now on."""
+        """Set the shares of the request records that are written from now on."""
         if self._recorder:
             self._recorder.set_sampling(sampling)
 
     def set_discovery_address(self, address: Address | None) -> None:
-        """Watch the endpoint list at this address; None: at the one of the platform's file."""
+        """Watch the endpoint list at this address, or at the address in the platform's file if it is None."""
         self._operator_discovery = address
         self._watch.change_address(address or self._platform_discovery)
 
     def set_platform_discovery(self, address: Address) -> None:
-        """Watch the address that the platform's file names now, unless the operator names another."""
+        """Watch the new address in the platform's file, unless the operator names another."""
         self._platform_discovery = address
         self._watch.change_address(self._operator_discovery or address)
--- a/anisespool/sidecar/optional_features.py
+++ b/anisespool/sidecar/optional_features.py
@@ -1,6 +1,6 @@
-"""What an operator's file switches on: records, membership, the control socket.
+"""Features that an operator's file enables: request records, membership and the control socket.
 
-Imported only where a file is given; each feature's package is imported only where its section is there.
+This module is imported only with such a file, and the package of a feature only if the file has its section.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 
 class OptionalFeatures:
-    """The features of one sidecar that its operator's file switches on.
+    """The features of a sidecar that its operator's file enables.
 
     Attributes:
-        recorder: Writes request records; None without `[records]`.
-        proxy: Counts and reports what it does; with a recorder it records as well.
+        recorder: Writes request records. None without `[records]`.
+        proxy: A proxy that counts and reports its work, and also records requests if there is a recorder.
     """
 
     def __init__(self, config: PlatformConfig, operator_config: OperatorConfig, cluster: Cluster) -> None:
         """Start the recorder and build the proxy.
 
         Raises:
-            ConfigError: `[records]` can't be used on this machine, or samples an unknown request class.
+            ConfigError: `[records]` can't be used on this machine, or an unknown request class is sampled.
         """
         self._config = config
         self._operator_config = operator_config
@@ -41,10 +41,10 @@
         self.proxy = _build_proxy(config, cluster, self.recorder)
 
     def start(self, controls: SidecarControls) -> list[asyncio.Task[None]]:
-        """Join the fleet's membership, apply the file's live sections and open the control socket.
+        """Start the membership protocol, apply the live sections of the file and open the control socket.
 
         Returns:
-            Tasks for the caller to cancel at the end.
+            Tasks that the caller cancels at the end.
 
         Raises:
             ConfigError: The platform's file doesn't name the peers, or the socket's directory can't be used.
@@ -53,17 +53,17 @@
         return self._start_control(controls)
 
     def announce_shutdown(self) -> list[asyncio.Task[None]]:
-        """Announce the shutdown to the other sidecars, while the last requests are served.
+        """Announce the shutdown to the other sidecars while the last requests are served.
 
         Returns:
-            Tasks for the caller to cancel at the end.
+            Tasks that the caller cancels at the end.
         """
         if self._membership is None:
             return []
         return [asyncio.create_task(self._membership.stop())]
 
     async def close(self) -> None:
-        """Close what is open, and write the records that still wait."""
+        """Close the membership service, and write the records that still wait."""
         if self._membership:
             self._membership.close()
         if self.recorder:
@@ -112,7 +112,7 @@
 def _start_membership(
     config: PlatformConfig, operator_config: OperatorConfig, proxy: ObservedProxy
 ) -> MembershipService | None:
-    """Only where the platform's settings allow it as well; otherwise nothing of it is imported."""
+    """Start the membership protocol if the platform's settings allow it too; otherwise import none of it."""
     if operator_config.membership is None:
         return None
     if not config.settings.may_gossip:
--- a/anisespool/sidecar/process_signals.py
+++ b/anisespool/sidecar/process_signals.py
@@ -1,4 +1,4 @@
-"""The signals by which the platform controls the process."""
+"""Handling of the signals that the platform sends to the process."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Signals:
-    """SIGTERM and SIGINT stop the sidecar, SIGHUP reloads its configuration.
+    """Events set by signals: SIGTERM and SIGINT stop the sidecar, SIGHUP reloads its configuration.
 
-    Installed before anything else is built, so that a SIGHUP during start-up waits instead of killing the
-    process.
+    The handlers are installed before anything else is built, so that a SIGHUP during start-up is pending and
+    does not kill the process.
 
     Attributes:
         stop: Set once the process has to end.
-        reload: Set by each SIGHUP; its handler clears it.
+        reload: Set by each SIGHUP and cleared by the task that reloads the configuration.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self.reload = asyncio.Event()
 
     def install(self) -> None:
-        """Handle the signals in the running loop."""
+        """Install the handlers in the running event loop."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -30,9 +30,9 @@
 
 
 def block_signals() -> None:
-    """Block these signals until the process has ended, which it is about to do.
+    """Block these signals for the rest of the process, which is about to end.
 
-    A closing event loop restores the default actions, by which a late SIGHUP would kill the process before it
-    has reported its exit status.
+    A closing event loop restores the default actions, so a late SIGHUP would kill the process before it exits
+    with its own status.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
--- a/anisespool/sidecar/program.py
+++ b/anisespool/sidecar/program.py
@@ -1,4 +1,4 @@
-"""The sidecar's process: signals, standard error and exit status."""
+"""The process of a sidecar: signals, standard error and exit status."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class ExitStatus(IntEnum):
-    """Of the process, for the platform."""
+    """Exit status of the process, which the platform reads."""
 
     OK = 0
     BAD_CONFIG = 2
-    """The platform's or the operator's configuration can't be used; standard error has the reason."""
+    """The configuration of the platform or of the operator can't be used; standard error has the reason."""
 
 
 def main(operator_config_path: str | None = None) -> int:
-    """Run the sidecar as the environment configures it, until SIGTERM.
+    """Run the sidecar as configured by the environment, until SIGTERM or SIGINT.
 
     Args:
-        operator_config_path: The operator's file; without one nothing that it could switch on is imported.
+        operator_config_path: Path of the operator's file. Without one, no optional feature is imported.
 
     Returns:
         An `ExitStatus`.
--- a/anisespool/sidecar/reload.py
+++ b/anisespool/sidecar/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the platform's configuration at SIGHUP."""
+"""Reloads the platform's configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 async def reload_when_signalled(path: str, controls: SidecarControls, reload: asyncio.Event) -> None:
-    """Read the platform's file again at each signal. Runs until it is cancelled.
+    """Read the platform's file again on each signal, until cancelled.
 
-    Only discovery's address can change while the sidecar runs. A file with an error is logged, and the
-    address before it stays.
+    Only the address of discovery can change while the sidecar runs. If the file has an error, this is logged
+    and the previous address is kept.
 
     Args:
-        path: Of the platform's file.
-        controls: Changes the address.
-        reload: Set by the signal.
+        path: Path of the platform's file.
+        controls: Applies the new address.
+        reload: Event that the signal sets.
     """
     while True:
         await reload.wait()
--- a/anisespool/sidecar/stderr_log.py
+++ b/anisespool/sidecar/stderr_log.py
@@ -1,4 +1,4 @@
-"""Standard error that never blocks the process."""
+"""A replacement for standard error that never blocks the process."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 from anisespool.log import format_event
 
-# A character takes up to four bytes, and a pipe that polls writable takes PIPE_BUF bytes without blocking.
+# A character takes up to four bytes, and a pipe that polls as writable takes PIPE_BUF bytes without blocking.
 MAX_LINE_CHARACTERS = select.PIPE_BUF // 4
 
 
 class NonBlockingStderr:
-    """Takes the place of `sys.stderr`; writes whole lines, and drops those that would block.
+    """Replaces `sys.stderr`: writes whole lines, and drops lines that would block.
 
-    A pipe that nobody reads any more fails each write, and one that is full and not read would block the
-    event loop. So failed writes are ignored, and a line that can't be written at once is dropped; the next
-    one that can be written is preceded by the number of dropped lines.
+    Writes to a pipe with a closed read end fail, and a write to a full pipe that nobody reads would block the
+    event loop. So failed writes are ignored, and a line that can't be written at once is dropped. The next
+    line that can be written is preceded by the number of dropped lines.
     """
 
     def __init__(self, stream: TextIO | None) -> None:
-        """Wrap `stream`; None where the process was started without standard error."""
+        """Wrap `stream`, which is None if the process was started without standard error."""
         self._stream = stream
         self._unfinished_line = ""
         self._dropped_lines = 0
@@ -31,7 +31,7 @@
             self._poll.register(stream.fileno(), select.POLLOUT)
 
     def write(self, text: str) -> int:
-        """Write complete lines; keep the unfinished rest for the next call."""
+        """Write the complete lines, and keep the unfinished line for the next call."""
         *lines, unfinished = (self._unfinished_line + text).split("\n")
         for line in lines:
             self._write_or_drop(line)
@@ -39,7 +39,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Flush the stream; the unfinished line stays."""
+        """Flush the stream; the unfinished line is kept."""
         if self._stream:
             with suppress(OSError):
                 self._stream.flush()
@@ -54,7 +54,7 @@
             self._write_line(line)
 
     def _is_writable(self) -> bool:
-        """Whether a write doesn't block; that to a closed pipe doesn't either, as it fails at once."""
+        """Return whether a write does not block. A write to a closed pipe fails at once."""
         return not self._poll or bool(self._poll.poll(0))
 
     def _write_line(self, line: str) -> None:
--- a/tests/sidecar/test_start.py
+++ b/tests/sidecar/test_start.py
@@ -1,4 +1,4 @@
-"""Which endpoint list the first request of a new process uses."""
+"""The endpoint list that the first request of a new process uses."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize("agent", ["responds", "silent", "resets"])
-async def test_the_first_request_uses_the_agents_list_or_without_an_agent_the_cached_one(
+async def test_the_first_request_uses_the_agents_list_or_without_an_agent_the_cached_list(
     tmp_path: Path, agent: str
 ) -> None:
-    """The agent's list counts as delivered from the process's first moment. So the sidecar accepts nothing
-    until the agent has responded, or for the grace period of a drain."""
+    """The agent's list counts as delivered from the start of the process. So the sidecar does not listen
+    until the agent has responded or the drain grace period has passed."""
     async with Endpoint().serve() as old, Endpoint().serve() as new:
         discovery = DiscoveryService([member("s-0", old.address, "draining"), member("s-1", new.address)])
         grace_ns = 60 * SECOND if agent == "responds" else 50 * MS
