--- a/anisespool/cli/lab/__init__.py
+++ b/anisespool/cli/lab/__init__.py
@@ -1,6 +1,6 @@
-"""`anisespool lab`: questions to the model of the fleet, and runs of real processes beside it.
+"""`anisespool lab`: simulations of the fleet, and runs with real processes.
 
-Imports numpy and the whole lab: load it only for this command.
+Importing this package imports numpy and the whole lab, so it is only imported for this command.
 """
 
 from anisespool.cli.lab.application import app
--- a/anisespool/cli/lab/application.py
+++ b/anisespool/cli/lab/application.py
@@ -1,4 +1,4 @@
-"""Which commands `anisespool lab` has."""
+"""The commands of `anisespool lab`."""
 
 from __future__ import annotations
 
--- a/anisespool/cli/lab/arguments.py
+++ b/anisespool/cli/lab/arguments.py
@@ -1,6 +1,6 @@
-"""Arguments and options of the lab's commands, as types for their parameters, and how some are read.
+"""Arguments and options of the lab's commands, as types of their parameters, and functions that check some.
 
-An option whose parameter has another name than the command line gives it states its name here.
+An option gives its name here if the parameter is named differently.
 """
 
 from __future__ import annotations
@@ -17,32 +17,35 @@
 from anisespool.lab.model.policies import POLICIES
 from anisespool.lab.scenario import ScenarioError
 
-# Figures of a run that every table shows, as the metrics name them.
+# Figures of a run that every table shows, by their names in the metrics.
 MAIN_FIGURES = ("service", "in_time", "late", "refused", "failed")
-RIGHT_ALIGNED_FIGURES = ("refused", "failed")  # in tables
-NO_OVERRIDES: list[str] = []  # a default, never changed
+RIGHT_ALIGNED_FIGURES = ("refused", "failed")  # figures with right-aligned columns
+NO_OVERRIDES: list[str] = []  # default of parameters; never modified
 OUR_POLICY = "ours"
 
-# Of several commands ------------------------------------------------------------------------------
+# Options of several commands.
 
 ScenarioName = Annotated[str, typer.Argument(help="A scenario of the library (`lab list`), or a file.")]
-SeedCount = Annotated[int, typer.Option("--seeds", min=1, max=10_000, help="How many seeds, counted from 1.")]
+SeedCount = Annotated[
+    int, typer.Option("--seeds", min=1, max=10_000, help="Number of seeds, counted from 1.")
+]
 PolicyName = Annotated[str, typer.Option("--policy", help="One of " + ", ".join(POLICIES))]
 Overrides = Annotated[
-    list[str], typer.Option("--set", "-s", help="KEY=VALUE in place of the scenario's: traffic.per_s=500")
+    list[str],
+    typer.Option("--set", "-s", help="KEY=VALUE in place of the scenario's value: traffic.per_s=500"),
 ]
 ResultsPath = Annotated[
     Path | None,
-    typer.Option("--results", help="File for the results; an interrupted sweep continues from it."),
+    typer.Option("--results", help="File for the results, from which an interrupted sweep is continued."),
 ]
 ProcessCount = Annotated[
-    int, typer.Option("--processes", "-j", min=0, help="Processes that run scenarios; 0: one a core.")
+    int, typer.Option("--processes", "-j", min=0, help="Processes that run scenarios; 0: one per core.")
 ]
 
 
 @dataclass(frozen=True, slots=True)
 class BatchOptions:
-    """How many runs of the model are made and shown: options of `run`, `sweep` and `compare`."""
+    """Options of `run`, `sweep` and `compare`: how the simulations are run and shown."""
 
     overrides: Overrides = field(default_factory=list)
     processes: ProcessCount = 0
@@ -50,76 +53,86 @@
     as_json: AsJson = False
 
 
-# Sweeps and comparisons ---------------------------------------------------------------------------
+# Sweeps and comparisons of simulations.
 
 SweptValues = Annotated[
-    list[str], typer.Option("--over", help="KEY=V1,V2,...; several are combined with each other.")
+    list[str], typer.Option("--over", help="KEY=V1,V2,...; with several, all combinations are run.")
 ]
-ComparedPolicyName = Annotated[str, typer.Option("--with", help="The policy that ours is compared with.")]
+ComparedPolicyName = Annotated[str, typer.Option("--with", help="Policy to compare with ours.")]
 ComparedOverrides = Annotated[
     list[str],
-    typer.Option("--against", help="KEY=VALUE for a second run of ours, in place of another policy."),
+    typer.Option(
+        "--against", help="KEY=VALUE: compare ours with itself under this override, not with another policy."
+    ),
 ]
 
-# Real processes -----------------------------------------------------------------------------------
+# Runs with real processes.
 
-LiveSeed = Annotated[int, typer.Option("--seed", help="Decides which requests are sent, and when.")]
-SidecarCount = Annotated[int, typer.Option("--sidecars", min=0, help="In place of the scenario's.")]
-FleetSeed = Annotated[int, typer.Option("--seed", help="Decides requests, faults and lost messages.")]
+LiveSeed = Annotated[int, typer.Option("--seed", help="Seed of the requests and their send times.")]
+SidecarCount = Annotated[
+    int, typer.Option("--sidecars", min=0, help="Number of sidecars; 0: as in the scenario.")
+]
+FleetSeed = Annotated[int, typer.Option("--seed", help="Seed of requests, faults and lost messages.")]
 Mutation = Annotated[
-    str, typer.Option("--spoilt", help="A deliberate fault in the program, to check that the run finds it.")
+    str, typer.Option("--spoilt", help="Deliberate defect in the program, to check that the run detects it.")
 ]
 HistoryPath = Annotated[
-    Path | None, typer.Option("--history", help="File for the joined history of events: JSON lines.")
+    Path | None, typer.Option("--history", help="File for the joined event history, as JSON lines.")
 ]
-PicturePath = Annotated[Path | None, typer.Option("--picture", help="File for the timeline: SVG.")]
+PicturePath = Annotated[Path | None, typer.Option("--picture", help="File for the timeline, as SVG.")]
 
-# Reports ------------------------------------------------------------------------------------------
+# Reports of runs.
 
-ReportPath = Annotated[Path, typer.Option("--file", help="File for the page: HTML that loads nothing else.")]
-SecondRunName = Annotated[str, typer.Option("--with", help="A policy, or `reality`, drawn over it.")]
+ReportPath = Annotated[Path, typer.Option("--file", help="File for the report: self-contained HTML.")]
+SecondRunName = Annotated[
+    str, typer.Option("--with", help="Second run, drawn over the first: a policy, or `reality`.")
+]
 SecondRunOverrides = Annotated[
-    list[str], typer.Option("--against", help="KEY=VALUE for a second run of ours, drawn over it.")
+    list[str],
+    typer.Option("--against", help="KEY=VALUE for a second run of the same policy, drawn over the first."),
 ]
 ReportSeed = Annotated[int, typer.Option("--seed", help="Seed of both runs.")]
 
-# Search -------------------------------------------------------------------------------------------
+# Search for scenarios that break a rule.
 
-SearchSeconds = Annotated[float, typer.Option("--seconds", min=1, help="How long to search, on each core.")]
+SearchSeconds = Annotated[
+    float, typer.Option("--seconds", min=1, help="Seconds to search in each process, not counting shrinking.")
+]
 SearchSeed = Annotated[
-    int, typer.Option("--seed", help="Decides the scenarios; how many are run depends on the machine.")
+    int, typer.Option("--seed", help="Seed of the scenarios; how many are run depends on the machine.")
 ]
 SearchedPolicyName = Annotated[
-    str, typer.Option("--policy", help="A policy, or one with a deliberate fault.")
+    str, typer.Option("--policy", help="Policy, or mutation (ours with a deliberate defect).")
 ]
 MaxServiceLoss = Annotated[
     float,
     typer.Option(
-        "--loss", help="Share of service lost against an ideal policy that counts as a find; over 1: none."
+        "--loss",
+        help="Share of service lost against an ideal policy that counts as a finding; over 1: none.",
     ),
 ]
-FindsPath = Annotated[Path, typer.Option("--folder", help="Directory for the finds.")]
+FindingsPath = Annotated[Path, typer.Option("--folder", help="Directory for the findings.")]
 
-# Exploration --------------------------------------------------------------------------------------
+# Exploration of a protocol.
 
-ProtocolName = Annotated[str, typer.Argument(help="generations or waves")]
-MemberCount = Annotated[int, typer.Option("--members", min=1, max=4, help="Members of the fleet.")]
-MaxLost = Annotated[int, typer.Option("--lost", min=0, max=3, help="Messages that may be lost.")]
+ProtocolName = Annotated[str, typer.Argument(help="Protocol to explore: generations or waves.")]
+MemberCount = Annotated[int, typer.Option("--members", min=1, max=4, help="Number of members.")]
+MaxLost = Annotated[int, typer.Option("--lost", min=0, max=3, help="Maximum number of lost messages.")]
 MaxDuplicated = Annotated[
-    int, typer.Option("--doubled", min=0, max=3, help="Messages that may be duplicated.")
+    int, typer.Option("--doubled", min=0, max=3, help="Maximum number of duplicated messages.")
 ]
-MaxRestarts = Annotated[int, typer.Option("--restarts", min=0, max=3, help="Restarts of members.")]
+MaxRestarts = Annotated[int, typer.Option("--restarts", min=0, max=3, help="Maximum number of restarts.")]
 MaxStates = Annotated[int, typer.Option("--most", min=1, max=5_000_000, help="Maximum number of states.")]
 
 
 def load_scenario(name: str, overrides: list[str]) -> tuple[str, scenario.Scenario]:
-    """Load a scenario, with some keys overridden.
+    """Load a scenario with overrides applied.
 
     Returns:
-        A title that names the overrides too, and the scenario.
+        A title made of the overrides, and the scenario.
 
     Raises:
-        CommandError: There is no such scenario, or a key or value is invalid.
+        CommandError: The scenario does not exist, or a key or value is invalid.
     """
     try:
         return experiments.vary(scenario.load(name), overrides, name)
@@ -128,7 +141,7 @@
 
 
 def check_policy(name: str) -> str:
-    """Return the name if it is a policy's; otherwise raise a CommandError."""
+    """Return the name if a policy has it, otherwise raise a CommandError."""
     if name not in POLICIES:
         raise CommandError(ExitStatus.USAGE_ERROR, f"no policy {name!r}, there are {', '.join(POLICIES)}")
     return name
--- a/anisespool/cli/lab/exploration_command.py
+++ b/anisespool/cli/lab/exploration_command.py
@@ -1,4 +1,4 @@
-"""`anisespool lab explore`: all interleavings of a small instance of a protocol."""
+"""`anisespool lab explore`: explores all interleavings of a protocol with few members."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from anisespool.lab.explore.rollout import RolloutModel
 from anisespool.lab.explore.state_space import ExplorationResult, ProtocolModel, explore
 
-# By the protocol's name on the command line.
+# Models by the name of their protocol on the command line.
 MODELS: dict[str, Callable[[int, FaultBudget], ProtocolModel[Any]]] = {
     "generations": lambda members, budget: GenerationsModel(members, 2, budget),
     "waves": lambda members, budget: RolloutModel(members, 1, budget),
@@ -38,8 +38,8 @@
     max_states: MaxStates = 200_000,
     as_json: AsJson = False,
 ) -> None:
-    """Explore all interleavings of a small instance of a protocol. Exit 1, with the shortest trace, if one is
-    wrong."""
+    """Explore all interleavings of a protocol with few members. Exit 1, with the shortest trace, if one
+    violates an invariant or cannot converge."""
     if protocol not in MODELS:
         text = f"no protocol {protocol!r}, there are {', '.join(MODELS)}"
         raise CommandError(ExitStatus.USAGE_ERROR, text)
--- a/anisespool/cli/lab/live_commands.py
+++ b/anisespool/cli/lab/live_commands.py
@@ -1,6 +1,6 @@
 """Commands that run scenarios with real sidecar processes.
 
-Docstrings of commands are what `--help` shows.
+The docstring of a command is its `--help` text.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from anisespool.lab.experiments import Case
 from anisespool.lab.scenario import Scenario
 
-if TYPE_CHECKING:  # what runs processes is loaded by the commands that do, not by `--help`
+if TYPE_CHECKING:  # commands import these when they run, so that `--help` does not load them
     from anisespool.lab.live.history import FaultSpan, History
     from anisespool.lab.live.live_run import LiveRunResult
     from anisespool.lab.live.statements import Verdict
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """What `lab fleet` changes of the scenario, and what it writes beside its answer."""
+    """Options of `lab fleet`: changes to the scenario, and the files and output to write."""
 
     sidecars: SidecarCount = 0
     seed: FleetSeed = 1
@@ -54,14 +54,14 @@
     as_json: AsJson = False
 
     def all_overrides(self) -> list[str]:
-        """Return the scenario's overrides, the number of sidecars among them."""
+        """Return the overrides of the scenario, including the number of sidecars."""
         return [*self.overrides, f"sidecars={self.sidecars}"] if self.sidecars else self.overrides
 
 
 def run_live(
     name: ScenarioName, seed: LiveSeed = 1, overrides: Overrides = NO_OVERRIDES, as_json: AsJson = False
 ) -> None:
-    """Run a scenario with real sidecars over loopback, beside the model. Exit 1 if a rule was broken."""
+    """Run a scenario with real sidecars on loopback, and in the model. Exit 1 if a rule was broken."""
     from anisespool.cli.lab.live_run_progress import run_with_progress
 
     title, scenario = load_scenario(name, overrides)
@@ -74,7 +74,7 @@
     else:
         output.console.print(_model_comparison_table(f"{name}: {scenario.question}", model, reality))
         cpu = ", ".join(f"{seconds:.1f}" for seconds in run.cpu_s)
-        text = f"sent {run.late_ms():.1f} ms late at the most (p99); CPU of the sidecars {cpu} s"
+        text = f"requests sent {run.late_ms():.1f} ms late (p99); CPU time of the sidecars {cpu} s"
         output.console.print(text)
     if run.broken:
         raise CommandError(ExitStatus.FAILED, run.broken)
@@ -82,7 +82,7 @@
 
 @expand_option_groups
 def run_fleet(name: ScenarioName, *, options: FleetOptions) -> None:
-    """Run many real processes on a faulty network. Exit 1 if a rule or a statement was broken."""
+    """Run many real processes on a faulty network. Exit 1 if a rule was broken or a statement is false."""
     from anisespool.cli.lab.live_run_progress import run_with_progress
     from anisespool.lab.live import statements, timeline_svg
     from anisespool.lab.live.history import join
@@ -93,22 +93,22 @@
         title, scenario, options.seed, options.as_json, control=True, mutation=options.mutation
     )
     history = join(scenario, run)
-    rulings = statements.judge(history)
+    verdicts = statements.judge(history)
     if options.history_path:
         history.write(options.history_path)
     if options.picture_path:
         options.picture_path.write_text(timeline_svg.render(history))
     if options.as_json:
-        _print_fleet_json(run, rulings)
+        _print_fleet_json(run, verdicts)
     else:
-        _print_fleet_tables(f"{name}: {scenario.question}", run, history, rulings)
-    broken = [f"{ruling.statement}: {ruling.figure}" for ruling in rulings if not ruling.holds]
+        _print_fleet_tables(f"{name}: {scenario.question}", run, history, verdicts)
+    broken = [f"{verdict.statement}: {verdict.figure}" for verdict in verdicts if not verdict.holds]
     if run.broken or broken:
         raise CommandError(ExitStatus.FAILED, "; ".join([*run.violations, *broken]))
 
 
 def _check_mutation(scenario: Scenario, mutation: str) -> None:
-    """Raise a CommandError unless the scenario's processes know the mutation; empty is none."""
+    """Raise a CommandError if the scenario's processes do not support the mutation. An empty name is none."""
     from anisespool.fakes import gossip_process
     from anisespool.lab.live import mutated_sidecar
 
@@ -119,7 +119,7 @@
 
 
 class _ComparedFigure(NamedTuple):
-    """A figure of the model's run and of the real one."""
+    """A figure from the model's run, and from the real one."""
 
     name: str
     model: float
@@ -140,7 +140,7 @@
 
 
 def _fleet_figures(run: LiveRunResult) -> dict[str, Any]:
-    """Return the figures of `lab fleet --json`."""
+    """Return the figures of the `--json` output."""
     return run.metrics.figures() | {
         "ready_s": run.start_s,
         "late_ms": run.late_ms(),
@@ -154,28 +154,28 @@
     }
 
 
-def _print_fleet_json(run: LiveRunResult, rulings: list[Verdict]) -> None:
+def _print_fleet_json(run: LiveRunResult, verdicts: list[Verdict]) -> None:
     output.print_json(
         {
             "rules": run.violations or "kept",
-            "statements": [ruling.to_json() for ruling in rulings],
+            "statements": [verdict.to_json() for verdict in verdicts],
             "figures": _fleet_figures(run),
         }
     )
 
 
-def _print_fleet_tables(title: str, run: LiveRunResult, history: History, rulings: list[Verdict]) -> None:
+def _print_fleet_tables(title: str, run: LiveRunResult, history: History, verdicts: list[Verdict]) -> None:
     statements = [
         _Statement("the four rules, no crash", not run.broken, "; ".join(run.violations)),
-        *(_Statement(ruling.statement, ruling.holds, ruling.figure) for ruling in rulings),
+        *(_Statement(verdict.statement, verdict.holds, verdict.figure) for verdict in verdicts),
     ]
     output.console.print(build_table(title, STATEMENT_COLUMNS, statements))
-    output.console.print(build_table("Time line", FAULT_COLUMNS, history.faults()))
+    output.console.print(build_table("Timeline", FAULT_COLUMNS, history.faults()))
     output.console.print(_fleet_summary(_fleet_figures(run)))
 
 
 class _Statement(NamedTuple):
-    """A statement about a run, whether it held, and the figure that decided it."""
+    """A statement about a run, whether it holds, and the figure that decided this."""
 
     text: str
     holds: bool
@@ -196,7 +196,7 @@
 
 def _fleet_summary(figures: dict[str, Any]) -> str:
     return (
-        f"ready in {figures['ready_s']:.1f} s; {figures['asked']} asked, "
+        f"ready in {figures['ready_s']:.1f} s; {figures['asked']} requests, "
         f"{100 * figures['in_time']:.1f} % in time, "
         f"{100 * figures['refused']:.1f} % refused, {100 * figures['failed']:.1f} % failed; sent "
         f"{figures['late_ms']:.1f} ms late (p99), endpoints at most {figures['stall_ms']:.0f} ms; "
--- a/anisespool/cli/lab/live_run_progress.py
+++ b/anisespool/cli/lab/live_run_progress.py
@@ -1,4 +1,4 @@
-"""Runs a scenario with real processes, with progress bars, and turns its errors into exit statuses."""
+"""Runs a scenario with real processes, shows progress bars, and turns errors into exit statuses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from anisespool.lab.scenario import Scenario, ScenarioError
 
 ResultT = TypeVar("ResultT")
-UPDATE_INTERVAL_S = 0.25  # of a progress bar
+UPDATE_INTERVAL_S = 0.25  # between updates of the progress bar
 
 
 def run_with_progress(
@@ -24,15 +24,15 @@
     """Run the scenario with real processes.
 
     Args:
-        title: names the scenario in errors.
-        scenario: what is run.
-        seed: of all that is drawn.
-        quiet: show no progress bars.
-        control: sidecars report events through their control sockets.
-        mutation: a deliberate break of the program; empty for none.
+        title: Name of the scenario in errors.
+        scenario: Scenario to run.
+        seed: Seed of everything random.
+        quiet: Whether to show no progress bars.
+        control: Whether sidecars report events through their control sockets.
+        mutation: Name of a deliberate defect in the program; empty for none.
 
     Raises:
-        CommandError: The scenario can't be run with real processes, the run is void, or a process failed.
+        CommandError: The scenario exceeds the limits of real processes, the run is void, or a process failed.
     """
     try:
         live_run.check_limits(scenario, title)
@@ -46,7 +46,7 @@
         raise CommandError(ExitStatus.FAILED, text) from None
     except (OSError, RuntimeError, TimeoutError) as error:
         text = str(error) or "a sidecar was not ready in time"
-        raise CommandError(ExitStatus.FAILED, f"real processes: {text}; fewer sidecars may do") from None
+        raise CommandError(ExitStatus.FAILED, f"real processes: {text}; fewer sidecars may work") from None
 
 
 def _run(scenario: Scenario, seed: int, quiet: bool, control: bool, mutation: str) -> live_run.LiveRunResult:
@@ -66,7 +66,7 @@
 
 
 async def _run_with_interval(work: Coroutine[Any, Any, ResultT], on_interval: Callable[[], None]) -> ResultT:
-    """Await `work`, and call `on_interval` meanwhile."""
+    """Await `work`, and call `on_interval` every UPDATE_INTERVAL_S meanwhile."""
     task = asyncio.get_running_loop().create_task(work)
     while not task.done():
         await asyncio.wait([task], timeout=UPDATE_INTERVAL_S)
--- a/anisespool/cli/lab/report_command.py
+++ b/anisespool/cli/lab/report_command.py
@@ -1,4 +1,4 @@
-"""`anisespool lab report`: a run, or two over one another, as a page and as text."""
+"""`anisespool lab report`: one run, or two drawn over each other, as an HTML page and as text."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 from anisespool.lab.model.timeline import ScenarioRun, rows
 from anisespool.lab.scenario import Scenario
 
-REALITY = "reality"  # in place of a second policy: real processes
+REALITY = "reality"  # value of --with for a second run with real processes
 
 
 @dataclass(frozen=True, slots=True)
 class ReportOptions:
-    """The runs of a report: the first, and what is drawn over it."""
+    """Options of a report: the first run, and the second one that is drawn over it."""
 
     second_run: SecondRunName = ""
     second_overrides: SecondRunOverrides = field(default_factory=list)
@@ -47,7 +47,7 @@
 
 @expand_option_groups
 def write_report(name: ScenarioName, *, file: ReportPath, options: ReportOptions) -> None:
-    """Report a run, or two over one another, as a page and as text. Exit 1 if a rule was broken."""
+    """Report one run, or two drawn over each other, as HTML and as text. Exit 1 if a rule was broken."""
     from anisespool.lab import report
 
     runs = _run_all(name, options)
@@ -62,7 +62,7 @@
 
 
 def _run_all(name: str, options: ReportOptions) -> list[ScenarioRun]:
-    """Make the first run, and the second where there is one."""
+    """Execute the first run, and the second if there is one."""
     title, scenario = load_scenario(name, options.overrides)
     policy = options.policy
     seed = options.seed
@@ -89,7 +89,7 @@
 
 
 def _print_run(name: str, run: ScenarioRun, as_json: bool) -> None:
-    """Print a run's time line: a row for each second, as JSON lines or a table."""
+    """Print the figures of a run as JSON lines or a table, with a row for each request class."""
     from anisespool.lab import report
 
     if as_json:
--- a/anisespool/cli/lab/simulation_commands.py
+++ b/anisespool/cli/lab/simulation_commands.py
@@ -1,6 +1,6 @@
-"""Commands that run scenarios in the model: one, over a grid of parameters, or two compared.
+"""Commands that simulate a scenario: as it is, over a grid of parameters, or in two compared variants.
 
-Docstrings of commands are what `--help` shows.
+The docstring of a command is its `--help` text.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def list_scenarios() -> None:
-    """List the library of scenarios, with the question that each answers."""
+    """List the scenarios of the library, with the question that each answers."""
     questions = ((name, scenario.load(name).question) for name in scenario.library())
     output.console.print(build_table("Scenarios", SCENARIO_COLUMNS, questions))
 
@@ -65,11 +65,11 @@
     policy: PolicyName = OUR_POLICY,
     batch: BatchOptions,
 ) -> None:
-    """Simulate a scenario for several values of its keys, in several processes."""
+    """Simulate a scenario with several values of its keys, in several processes."""
     cases: list[Case] = []
-    for cell in product(*map(_axis_overrides, axes)):
-        title, loaded = load_scenario(name, [*batch.overrides, *cell])
-        cases += _cases(" ".join(cell) or title, loaded, check_policy(policy), seeds)
+    for combination in product(*map(_axis_overrides, axes)):
+        title, loaded = load_scenario(name, [*batch.overrides, *combination])
+        cases += _cases(" ".join(combination) or title, loaded, check_policy(policy), seeds)
     results = _run_cases(cases, batch)
     _print_results(name, results, batch.as_json)
     _fail_if_rule_broken(results)
@@ -84,7 +84,7 @@
     seeds: SeedCount = 10,
     batch: BatchOptions,
 ) -> None:
-    """Compare two policies (or ours under two settings), paired by seed."""
+    """Compare our policy with another, or with itself under an override, paired by seed."""
     first_title, first = load_scenario(name, batch.overrides)
     cases = _cases(first_title, first, OUR_POLICY, seeds)
     if against:
@@ -103,13 +103,13 @@
 
 
 def _axis_overrides(axis: str) -> list[str]:
-    """Return `KEY=V1,V2` as `KEY=V1` and `KEY=V2`."""
+    """Split `KEY=V1,V2` into `KEY=V1` and `KEY=V2`."""
     key, _, values = axis.partition("=")
     return [f"{key}={value}" for value in values.split(",")]
 
 
 def _run_cases(cases: list[Case], batch: BatchOptions) -> list[Result]:
-    """Run the cases that the results file doesn't have, behind a progress bar unless JSON is printed."""
+    """Run the cases that the results file lacks, with a progress bar unless JSON is printed."""
     results = Results(batch.results_path)
     columns = [BarColumn(), MofNCompleteColumn(), TimeRemainingColumn()]
     try:
@@ -159,12 +159,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _ComparedFigure:
-    """A figure of two policies, paired by seed.
+    """A figure of two policies or variants, paired by seed.
 
     Attributes:
-        first_mean: Of the first policy's runs.
-        second_mean: Of the second's.
-        difference: The second less the first, with its interval.
+        first_mean: Mean over the runs of the first policy.
+        second_mean: Mean over the runs of the second policy.
+        difference: Second less first, with a confidence interval.
     """
 
     name: str
@@ -174,7 +174,7 @@
 
 
 def _compare(first: list[Result], second: list[Result]) -> Iterator[_ComparedFigure]:
-    """Yield each of COMPARED_FIGURES."""
+    """Yield a comparison of each of COMPARED_FIGURES."""
     for name in COMPARED_FIGURES:
         first_values = [float(result.figures[name]) for result in first]
         second_values = [float(result.figures[name]) for result in second]
