--- a/anisespool/cli/demo_fleet.py
+++ b/anisespool/cli/demo_fleet.py
@@ -10,7 +10,7 @@
 
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.cli.agent_client import CALL_TIMEOUT_S, connect_to_agent
-from anisespool.fakes.clients import Client, Load
+from anisespool.fakes.clients import Client, ClientLog
 from anisespool.fakes.discovery import DiscoveryService
 from anisespool.fakes.endpoint import CountingEndpoint
 from anisespool.fakes.local_fleet import LocalFleet
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, folder: Path) -> None:
-        self.load = Load()
+        self.load = ClientLog()
         self.problems: list[str] = []
         self._folder = folder
         self._endpoints = [
@@ -116,7 +116,7 @@
         ]
 
     async def _run_command(self, *arguments: str) -> None:
-        status, lines = await self._fleet.command(*arguments)
+        status, lines = await self._fleet.run_command(*arguments)
         if status:
             self.problems.append(f"{' '.join(arguments)}: status {status}: {lines[-1]}")
 
@@ -126,7 +126,7 @@
         await asyncio.to_thread(self._request_drain, pb.DrainRequest(drain=["push-0"], author="demo"))
 
     def _request_drain(self, request: pb.DrainRequest) -> None:
-        with connect_to_agent(self._fleet.file) as stub:
+        with connect_to_agent(self._fleet.operator_file) as stub:
             last = list(stub.Drain(request, timeout=CALL_TIMEOUT_S))[-1]
         if last.told != last.total:
             self.problems.append(f"drain: confirmed by {last.told} of {last.total} instances")
--- a/anisespool/fakes/clients.py
+++ b/anisespool/fakes/clients.py
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Load:
+class ClientLog:
     """All requests of a set of clients, in the order in which they were sent."""
 
     requests: list[ClientRequest] = field(default_factory=list)
@@ -83,7 +83,7 @@
 class Client:
     """One application beside one sidecar. It reuses idle connections, and opens one more if all are busy."""
 
-    def __init__(self, address: Address, load: Load, seed: int, name: str) -> None:
+    def __init__(self, address: Address, load: ClientLog, seed: int, name: str) -> None:
         """Create a client.
 
         Args:
--- a/anisespool/fakes/discovery.py
+++ b/anisespool/fakes/discovery.py
@@ -56,11 +56,11 @@
         self._may_respond.set()
 
     @property
-    def is_cut(self) -> bool:
+    def has_outage(self) -> bool:
         """Whether there is an outage."""
         return self._outage is not Outage.NONE
 
-    def cut(self, outage: str) -> None:
+    def set_outage(self, outage: str) -> None:
         """Begin or end an outage. Publish no change before it has ended.
 
         Args:
@@ -109,7 +109,7 @@
         self.connections.append(connection)
         while not writer.is_closing():
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
-            if not self.is_cut:
+            if not self.has_outage:
                 write_line(writer, b"")
 
     def _send_all(self, update: dict[str, Any]) -> None:
--- a/anisespool/fakes/instance.py
+++ b/anisespool/fakes/instance.py
@@ -58,7 +58,7 @@
         drains_revision: Of these.
         endpoints: All ids to which it could send; empty: it does not check that one is left.
         applied_generations: In order, each time that a change was applied.
-        offered_generations: In order, each time that a change was received.
+        received_generations: In order, each time that a change was received.
     """
 
     def __init__(self, directory: Path, name: str) -> None:
@@ -73,7 +73,7 @@
         self.drains_revision = 0
         self.endpoints: list[str] = []
         self.applied_generations: list[int] = []
-        self.offered_generations: list[int] = []
+        self.received_generations: list[int] = []
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -170,7 +170,7 @@
 
     def _apply(self, body: dict[str, Any]) -> Reply | None:
         generation = body["generation"]
-        self.offered_generations.append(generation)
+        self.received_generations.append(generation)
         error = self._check_change(body)
         if error:
             return error
--- a/anisespool/fakes/local_fleet.py
+++ b/anisespool/fakes/local_fleet.py
@@ -26,7 +26,7 @@
 
     Attributes:
         directory: Of all files.
-        file: The operator's file of the sidecars and the agent.
+        operator_file: The operator's file of the sidecars and the agent.
         control_directory: Where the sidecars have their control sockets.
         state_directory: The agent's.
         sidecars: Processes, by name.
@@ -50,7 +50,7 @@
             agent_options: Lines of the file's section `agent`.
         """
         self.directory = directory
-        self.file = directory / "operator.toml"
+        self.operator_file = directory / "operator.toml"
         self.control_directory = directory / "ctl"
         self.state_directory = directory / "state"
         self.sidecars: dict[str, asyncio.subprocess.Process] = {}
@@ -59,7 +59,7 @@
         self._discovery = discovery
         self._initial_members = initial_members
         self._reserved_ports: dict[str, socket.socket] = {}  # by the sidecar's name
-        self.file.write_text(
+        self.operator_file.write_text(
             f'[control]\nfolder = "{self.control_directory}"\n\n'
             f'[agent]\nstate = "{self.state_directory}"\n{agent_options}'
         )
@@ -75,13 +75,13 @@
     ) -> None:
         await self.close()
 
-    async def start_sidecar(self, name: str, fleet_size: int = 1, file: Path | None = None) -> None:
+    async def start_sidecar(self, name: str, fleet_size: int = 1, operator_file: Path | None = None) -> None:
         """Start a sidecar, and return once it can serve. One that is started again keeps its address.
 
         Args:
             name: Of the sidecar.
             fleet_size: As its settings say.
-            file: The operator's file in place of the fleet's.
+            operator_file: The operator's file in place of the fleet's.
         """
         directory = self.directory / name
         directory.mkdir(exist_ok=True)
@@ -96,7 +96,7 @@
             listen=f"{address.host}:{address.port}",
             name=name,
         )
-        command = ("-m", "anisespool", "sidecar", "--config", str(file or self.file))
+        command = ("-m", "anisespool", "sidecar", "--config", str(operator_file or self.operator_file))
         with (directory / "log").open("ab") as log:
             self.sidecars[name] = await asyncio.create_subprocess_exec(
                 sys.executable, *command, env=os.environ | environment, stderr=log
@@ -127,7 +127,7 @@
         Args:
             arguments: Of the Python interpreter, in place of those that start the project's agent.
         """
-        command = arguments or ("-m", "anisespool", "agent", "--config", str(self.file))
+        command = arguments or ("-m", "anisespool", "agent", "--config", str(self.operator_file))
         with (self.directory / "agent.log").open("ab") as log:
             self.agent = await asyncio.create_subprocess_exec(sys.executable, *command, stderr=log)
         # That its socket's file exists shows nothing: an agent that was killed leaves it behind.
@@ -138,12 +138,12 @@
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def command(self, *arguments: str) -> tuple[int, list[Any]]:
+    async def run_command(self, *arguments: str) -> tuple[int, list[Any]]:
         """Run the project's command with `--json`, and return its exit status and its decoded lines.
 
         Without a line of output the second is one text: what it wrote to its standard error.
         """
-        options = ("--config", str(self.file), "--json")
+        options = ("--config", str(self.operator_file), "--json")
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/anisespool/fakes/platform.py
+++ b/anisespool/fakes/platform.py
@@ -128,7 +128,7 @@
 def write_config(
     folder: Path,
     discovery: Address,
-    known: list[dict[str, Any]],
+    initial_members: list[dict[str, Any]],
     settings: dict[str, Any],
     listen: str = "127.0.0.1:0",
     name: str = "n0",
@@ -139,7 +139,7 @@
     Args:
         folder: Where the file goes.
         discovery: The discovery service's address.
-        known: Entries of the initial endpoint list.
+        initial_members: Entries of the initial endpoint list.
         settings: As from the function of this name.
         listen: Where the sidecar listens.
         name: The sidecar's.
@@ -150,7 +150,7 @@
         "name": name,
         "seed": "8c1f",
         "limits": {"sockets": sockets},
-        "known": member_list(1, known),
+        "known": member_list(1, initial_members),
         "settings": settings,
         "discovery": discovery_address,
     }
--- a/anisespool/fakes/record_soak.py
+++ b/anisespool/fakes/record_soak.py
@@ -113,11 +113,11 @@
     def add(self, message: Message) -> None:
         """Note one message, by its MSGID."""
         if message.msgid == "path":
-            self.numbers[int(message.first("meta")["sequenceId"])] += 1
+            self.numbers[int(message.params("meta")["sequenceId"])] += 1
         elif message.msgid == "account":
-            self._add_counts(message.first(f"account@{PEN}"))
+            self._add_counts(message.params(f"account@{PEN}"))
         else:
-            self._add_gap(message.first(f"gap@{PEN}"))
+            self._add_gap(message.params(f"gap@{PEN}"))
 
     def unexplained(self, answered: int) -> list[int]:
         """Numbers up to `answered` that neither arrived nor were reported."""
--- a/anisespool/fakes/syslog/__main__.py
+++ b/anisespool/fakes/syslog/__main__.py
@@ -34,8 +34,8 @@
         self.counts[message.msgid] += 1
         if message.msgid != "gap":
             return
-        sd_id = next(sd_id for sd_id in message.data if sd_id.startswith("gap@"))
-        for name, value in message.data[sd_id]:
+        sd_id = next(sd_id for sd_id in message.structured_data if sd_id.startswith("gap@"))
+        for name, value in message.structured_data[sd_id]:
             if value.isdigit():
                 self.counts[f"gap.{name}"] += int(value)
 
--- a/anisespool/fakes/syslog/parser.py
+++ b/anisespool/fakes/syslog/parser.py
@@ -30,7 +30,7 @@
         app: APP-NAME.
         procid: PROCID.
         msgid: MSGID.
-        data: Parameters without their escapes, by SD-ID.
+        structured_data: Parameters without their escapes, by SD-ID.
         text: MSG without its byte order mark; None: there is none.
         is_utf8: MSG began with a byte order mark.
     """
@@ -42,13 +42,13 @@
     app: str
     procid: str
     msgid: str
-    data: dict[str, list[tuple[str, str]]]
+    structured_data: dict[str, list[tuple[str, str]]]
     text: bytes | None
     is_utf8: bool
 
-    def first(self, sd_id: str) -> dict[str, str]:
+    def params(self, sd_id: str) -> dict[str, str]:
         """The parameters of an element by name; empty if there is no such element."""
-        return dict(self.data.get(sd_id, ()))
+        return dict(self.structured_data.get(sd_id, ()))
 
 
 def parse(data: bytes) -> Message:
@@ -76,7 +76,7 @@
         app=app,
         procid=procid,
         msgid=msgid,
-        data=elements,
+        structured_data=elements,
         text=text,
         is_utf8=is_utf8,
     )
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -96,8 +96,8 @@
         """Cut discoveries off as the links demand now, and deliver what is due at the others."""
         for sidecar, feed in enumerate(self._feeds):
             cut = self._links.is_cut(now, self._nodes[sidecar], DISCOVERY, "lists")
-            if cut or feed.roster.is_cut:
-                feed.roster.cut(cut)
+            if cut or feed.roster.has_outage:
+                feed.roster.set_outage(cut)
             self._deliver_due(sidecar)
 
     def _deliver_due(self, sidecar: int) -> None:
@@ -108,7 +108,7 @@
         """
         feed = self._feeds[sidecar]
         now = self._clock.now
-        while feed.pending and feed.pending[0].due_at <= now and not feed.roster.is_cut:
+        while feed.pending and feed.pending[0].due_at <= now and not feed.roster.has_outage:
             update = feed.pending[0]
             delay = self._link_delay(sidecar, update, now)
             if delay:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 import grpc
 
 from anisespool.agent.v1 import agent_pb2 as pb
-from anisespool.fakes.clients import ClientOutcome, ClientRequest, Load
+from anisespool.fakes.clients import ClientLog, ClientOutcome, ClientRequest
 from anisespool.fakes.rule_checker import check_rules
 from benchmarks.fleet_testbed import FleetTestbed, client_traffic, polls, run_fleet
 from benchmarks.report import Report
@@ -141,7 +141,7 @@
     began_s: float
     took_s: float
     progress: pb.DrainProgress
-    load: Load
+    load: ClientLog
 
 
 async def _drain(fleet: FleetTestbed, endpoint: str) -> DrainRun:
--- a/benchmarks/fleet_testbed.py
+++ b/benchmarks/fleet_testbed.py
@@ -17,7 +17,7 @@
 
 from anisespool.agent.v1 import agent_pb2 as pb
 from anisespool.agent.v1 import agent_pb2_grpc
-from anisespool.fakes.clients import Client, Load
+from anisespool.fakes.clients import Client, ClientLog
 from anisespool.fakes.discovery import DiscoveryService
 from anisespool.fakes.endpoint import CountingEndpoint
 from anisespool.fakes.local_fleet import LocalFleet
@@ -152,9 +152,9 @@
 @asynccontextmanager
 async def client_traffic(
     fleet: FleetTestbed, before_s: float = 1.0, after_s: float = 1.0
-) -> AsyncIterator[Load]:
+) -> AsyncIterator[ClientLog]:
     """Send requests at each sidecar, from `before_s` before the block to `after_s` after it."""
-    load = Load()
+    load = ClientLog()
     stop = asyncio.Event()
     clients = [
         Client(fleet.processes.addresses[name], load, seed, name) for seed, name in enumerate(fleet.names)
--- a/benchmarks/records/escaping.py
+++ b/benchmarks/records/escaping.py
@@ -39,7 +39,7 @@
     octets = name if isinstance(name, bytes) else name.encode("utf-8", "surrogatepass")
     element = Element(ELEMENT, [Param("member", escape_value(name, MAX_VALUE_BYTES))])
     data = encode_message(HEADER, [element], max_bytes=MAX_MESSAGE_BYTES)
-    decoded, is_truncated = unescape_value(parse(data).first(ELEMENT)["member"])
+    decoded, is_truncated = unescape_value(parse(data).params(ELEMENT)["member"])
     if decoded != octets or is_truncated:
         raise AssertionError(f"{name!r} came back as {decoded!r}")
 
--- a/benchmarks/records/testbed.py
+++ b/benchmarks/records/testbed.py
@@ -186,5 +186,5 @@
     with_records.write_text(f'[records]\nto = "tcp://{receiver.host}:{receiver.port}"\n')
     without_records = folder / "empty.toml"
     without_records.write_text("")
-    await fleet.start_sidecar(WITH_RECORDS, file=with_records)
-    await fleet.start_sidecar(WITHOUT_RECORDS, file=without_records)
+    await fleet.start_sidecar(WITH_RECORDS, operator_file=with_records)
+    await fleet.start_sidecar(WITHOUT_RECORDS, operator_file=without_records)
--- a/tests/agent/process_fleet.py
+++ b/tests/agent/process_fleet.py
@@ -27,17 +27,17 @@
     async def start_crashing_agent(self, point: CrashPoint, count: int) -> None:
         """Start an agent that kills itself when it reaches `point` for the `count`th time."""
         module = "anisespool.fakes.crashing_agent"
-        await self.start_agent("-m", module, str(self.file), str(point.value), str(count))
+        await self.start_agent("-m", module, str(self.operator_file), str(point.value), str(count))
 
     async def wait_for_crash(self) -> None:
         assert self.agent
         assert await self.agent.wait() == -signal.SIGKILL
 
     async def newest_change_state(self) -> str:
-        _, lines = await self.command("status")
+        _, lines = await self.run_command("status")
         return str(lines[-1]["change"]["state"])
 
     async def reported_up_to_date(self) -> dict[str, bool]:
         """Return whether the agent reports that an instance has the change, by instance name."""
-        _, lines = await self.command("status")
+        _, lines = await self.run_command("status")
         return {target["name"]: target["standing"] == "has" for target in lines[-1]["targets"]}
--- a/tests/agent/test_changes.py
+++ b/tests/agent/test_changes.py
@@ -42,7 +42,7 @@
         assert set(started) <= {0, 1, 4, 7}
         assert (progress.state, progress.has, progress.total) == ("settled", 7, 7)
         assert all(
-            instance.applied_generations == instance.offered_generations == [1]
+            instance.applied_generations == instance.received_generations == [1]
             for instance in harness.instances.values()
         )
         rows = [row async for row in stub.List(pb.ListRequest(pattern="i[0-2]"))]
@@ -204,7 +204,7 @@
                 await asyncio.sleep(0.01)
             instances = harness.instances.values()
             assert all(
-                instance.generation == 1 and instance.offered_generations == [1] for instance in instances
+                instance.generation == 1 and instance.received_generations == [1] for instance in instances
             )
             full.setattr("anisespool.agent.store.change_table.insert_change", fail)
             late = stub.Apply(pb.ApplyRequest(content_json="{}", base_generation=-1))
--- a/tests/agent/test_crash_recovery.py
+++ b/tests/agent/test_crash_recovery.py
@@ -34,7 +34,7 @@
     async with process_fleet() as fleet:
         await fleet.start_instances()
         await fleet.start_crashing_agent(point, count)
-        await fleet.command("apply", str(change), "--wave", "2")
+        await fleet.run_command("apply", str(change), "--wave", "2")
         await fleet.wait_for_crash()
         up_to_date = {instance.name for instance in fleet.instances if instance.generation}
         # The others reject it, so that the first status shows what the killed agent had delivered.
@@ -51,7 +51,7 @@
         for instance in fleet.instances:
             accept_changes(instance)
         if outdated:
-            assert (await fleet.command("resume"))[0] == 0
+            assert (await fleet.run_command("resume"))[0] == 0
         await wait_until(lambda: all(instance.generation == 1 for instance in fleet.instances))
         # Each instance applies the change once, however often it is sent.
         assert all(instance.applied_generations == [1] for instance in fleet.instances)
@@ -69,7 +69,7 @@
     async with process_fleet() as fleet:
         await fleet.start_instances()
         await fleet.start_crashing_agent(point, count)
-        await fleet.command("drain", "s-1")
+        await fleet.run_command("drain", "s-1")
         await fleet.wait_for_crash()
         await fleet.start_agent()
         await wait_until(lambda: all(instance.drained == ["s-1"] for instance in fleet.instances))
@@ -104,7 +104,7 @@
     files["change"].write_text("[members]\n")
     files["invalid"].write_text(VALID)
     async with process_fleet() as fleet:
-        status, lines = await fleet.command("list")
+        status, lines = await fleet.run_command("list")
         assert status == 4
         assert "anisespool agent --config" in lines[0]
         accepting, rejecting = fleet.instances[:2]
@@ -112,10 +112,10 @@
         reject_changes(rejecting, "no")
         await fleet.start_agent()
         for arguments, expected_status, text in COMMANDS:
-            status, lines = await fleet.command(*(argument.format(**files) for argument in arguments))
+            status, lines = await fleet.run_command(*(argument.format(**files) for argument in arguments))
             output = json.dumps(lines).replace('\\"', '"')
             assert (status, text in output) == (expected_status, True), (arguments, lines)
-        command = ["-m", "anisespool", "status", "--config", str(fleet.file)]
+        command = ["-m", "anisespool", "status", "--config", str(fleet.operator_file)]
         process = await asyncio.create_subprocess_exec(
             sys.executable, *command, stdout=asyncio.subprocess.PIPE
         )
--- a/tests/agent/test_service.py
+++ b/tests/agent/test_service.py
@@ -113,13 +113,13 @@
         await assert_call_fails(getattr(stub, method)(request_message), code, text)
         reply = await stub.Status(pb.StatusRequest())
         assert (reply.change.generation, list(reply.drains)) == (0, [])
-        assert harness.instances["i0"].offered_generations == []
+        assert harness.instances["i0"].received_generations == []
 
 
 async def test_a_dry_run_offers_the_change_to_no_instance(harness: AgentHarness) -> None:
     async with harness.agent_with_instances(1) as stub:
         assert (await apply(stub, dry_run=True)).has == 1
-        assert harness.instances["i0"].offered_generations == []
+        assert harness.instances["i0"].received_generations == []
 
 
 async def test_the_number_of_watchers_is_bounded_and_each_receives_events(harness: AgentHarness) -> None:
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -55,13 +55,13 @@
 
 async def test_a_silent_service_responds_when_the_outage_ends() -> None:
     async with DiscoveryService([OLD]).serve() as service:
-        service.cut(Outage.SILENT)
-        assert service.is_cut
+        service.set_outage(Outage.SILENT)
+        assert service.has_outage
         watch = await open_watch(service)
         await wait_until(lambda: service.watch_requests == 1)
         assert not service.connections
-        service.cut(Outage.NONE)
-        assert not service.is_cut
+        service.set_outage(Outage.NONE)
+        assert not service.has_outage
         await read_head(watch)
         assert await read_update(watch) == member_list(1, [OLD])
         watch.writer.close()
@@ -73,9 +73,9 @@
         watch = await open_watch(service)
         await read_head(watch)
         await read_update(watch)
-        service.cut(outage)
+        service.set_outage(outage)
         for connection in (watch, await open_watch(service)):
             with pytest.raises(ConnectionResetError):
                 await connection.reader.read()
             connection.writer.close()
-        assert service.is_cut
+        assert service.has_outage
--- a/tests/fakes/test_load.py
+++ b/tests/fakes/test_load.py
@@ -8,7 +8,7 @@
 import pytest
 
 from anisespool.fakes import http1
-from anisespool.fakes.clients import Client, ClientOutcome, ClientRequest, Load
+from anisespool.fakes.clients import Client, ClientLog, ClientOutcome, ClientRequest
 from anisespool.fakes.endpoint import CountingEndpoint, EndpointFaults
 from anisespool.fakes.platform import REQUEST_CLASSES
 from anisespool.fakes.rule_checker import check_rules
@@ -17,9 +17,9 @@
 DURATION_S = 0.2
 
 
-async def run_client(endpoint: CountingEndpoint, seed: int = 1) -> Load:
+async def run_client(endpoint: CountingEndpoint, seed: int = 1) -> ClientLog:
     """The requests of one client to an endpoint that listens already."""
-    load = Load()
+    load = ClientLog()
     client = Client(endpoint.address, load, seed, "c")
     await client.run(RATE_PER_S, time.monotonic() + DURATION_S)
     return load
--- a/tests/fakes/test_syslog.py
+++ b/tests/fakes/test_syslog.py
@@ -135,7 +135,7 @@
 def test_structured_data_follows_the_rfc(element: bytes, is_valid: bool) -> None:
     data = b"<34>1 - - - - - " + element
     if is_valid:
-        assert parse(data).data
+        assert parse(data).structured_data
     else:
         with pytest.raises(SyslogError):
             parse(data)
@@ -143,8 +143,8 @@
 
 def test_escapes_in_a_parameter_are_undone() -> None:
     message = parse(rb'<34>1 - - - - - [a@1 b="\"\\\]"]')
-    assert message.first("a@1") == {"b": '"\\]'}
-    assert message.first("none@1") == {}
+    assert message.params("a@1") == {"b": '"\\]'}
+    assert message.params("none@1") == {}
 
 
 def test_text_with_a_byte_order_mark_has_to_be_utf_8() -> None:
--- a/tests/records/support.py
+++ b/tests/records/support.py
@@ -64,4 +64,4 @@
 def received_numbers(receiver: Receiver) -> list[int]:
     """The sequenceIds of the received requests' records."""
     requests = [message for message in receiver.messages if message.msgid == "path"]
-    return [int(message.first("meta")["sequenceId"]) for message in requests]
+    return [int(message.params("meta")["sequenceId"]) for message in requests]
--- a/tests/records/test_recorded_proxy.py
+++ b/tests/records/test_recorded_proxy.py
@@ -66,15 +66,15 @@
 async def test_each_request_is_recorded_and_sampling_changes_at_runtime(tmp_path: Path) -> None:
     messages = await serve_requests(tmp_path)
     records = [message for message in messages if message.msgid == "path"]
-    by_trace_id = {record.first(f"req@{PEN}")["trace"]: record for record in records}
+    by_trace_id = {record.params(f"req@{PEN}")["trace"]: record for record in records}
     assert set(by_trace_id) == {"first", "second", "fourth"}
-    assert by_trace_id["second"].first(f"req@{PEN}")["outcome"] == "rejected"
-    counts = messages[-1].first(f"account@{PEN}")
+    assert by_trace_id["second"].params(f"req@{PEN}")["outcome"] == "rejected"
+    counts = messages[-1].params(f"account@{PEN}")
     assert (counts["answered"], counts["unchosen"], counts["sent"]) == ("4", "1", "3")
 
     first = by_trace_id["first"]
-    request = first.first(f"req@{PEN}")
-    attempts = [first.first(f"try{number}@{PEN}") for number in (1, 2)]
+    request = first.params(f"req@{PEN}")
+    attempts = [first.params(f"try{number}@{PEN}") for number in (1, 2)]
     assert (request["outcome"], request["status"], request["tries"]) == ("served", "200", "2")
     assert (request["class"], request["member"], request["node"]) == ("look", "acme", "n0")
     assert [(attempt["ep"], attempt["status"]) for attempt in attempts] == [("s-0", "error"), ("s-0", "ok")]
--- a/tests/records/test_rfc5424.py
+++ b/tests/records/test_rfc5424.py
@@ -47,7 +47,7 @@
     data = encode_message(HEADER, elements, max_bytes=10**6)
     assert b"\n" not in data
     assert all(len(text.encode()) <= max_bytes for _, text in params)
-    for raw, (_, text) in zip(raws, parse(data).data["req@32473"], strict=True):
+    for raw, (_, text) in zip(raws, parse(data).structured_data["req@32473"], strict=True):
         decoded, is_truncated = unescape_value(text)
         assert decoded == raw_bytes(raw) if not is_truncated else raw_bytes(raw).startswith(decoded)
         if not is_truncated:
@@ -90,7 +90,7 @@
     complete = encode_message(HEADER, elements, max_bytes=10**6)
     for max_bytes in range(rfc5424.MIN_MAX_BYTES, len(complete) + 2):
         data = encode_message(HEADER, elements, max_bytes=max_bytes)
-        received = [param for element in parse(data).data.values() for param in element]
+        received = [param for element in parse(data).structured_data.values() for param in element]
         missing = dict(received).get("cut")
         assert len(data) <= max_bytes
         assert len(received) == 36 if missing is None else len(received) - 1 + int(missing) == 36
@@ -110,7 +110,7 @@
 def test_a_message_carries_text(text: str, bom: bool, expected: tuple[bytes | None, bool]) -> None:
     message = parse(encode_message(Header(ORIGIN, Severity.ERROR, "-", "x"), [], text, bom))
     assert (message.text, message.is_utf8) == expected
-    assert message.data == {}
+    assert message.structured_data == {}
 
 
 def test_timestamps_have_microseconds_and_an_offset() -> None:
--- a/tests/records/test_sending.py
+++ b/tests/records/test_sending.py
@@ -38,12 +38,12 @@
         assert not receiver.errors
         assert not receiver.truncated_streams
         assert received_numbers(receiver) == list(range(1, 301))
-        tenant, is_truncated = unescape_value(receiver.messages[1].first(f"req@{PEN}")["member"])
+        tenant, is_truncated = unescape_value(receiver.messages[1].params(f"req@{PEN}")["member"])
         assert tenant == names[1].encode()
         assert not is_truncated
         # 200 times %00 is longer than a value may be.
-        assert unescape_value(receiver.messages[2].first(f"req@{PEN}")["member"]).is_truncated
-        counts = receiver.messages[-1].first(f"account@{PEN}")
+        assert unescape_value(receiver.messages[2].params(f"req@{PEN}")["member"]).is_truncated
+        counts = receiver.messages[-1].params(f"account@{PEN}")
         assert (counts["answered"], counts["sent"], counts["dropped"]) == ("300", "300", "0")
 
 
@@ -77,10 +77,10 @@
         receiver.set_reading(True)
         await recorder.close()
         await wait_until(lambda: receiver.messages[-1].msgid == "account")
-        gaps = [message.first(f"gap@{PEN}") for message in receiver.messages if message.msgid == "gap"]
+        gaps = [message.params(f"gap@{PEN}") for message in receiver.messages if message.msgid == "gap"]
         assert sum(int(gap["dropped"]) for gap in gaps) == sum(queue.dropped)
         assert all(gap["from"] <= gap["to"] and gap["reason"] == "full" for gap in gaps)
-        outcomes = [message.first(f"req@{PEN}").get("outcome") for message in receiver.messages]
+        outcomes = [message.params(f"req@{PEN}").get("outcome") for message in receiver.messages]
         assert outcomes.count("failed") == 50
         assert not receiver.errors
 
@@ -133,7 +133,7 @@
             )
         await wait_until(lambda: receiver.message_count >= 3)
         assert received_numbers(receiver) == [1, 3]  # larger than the MTU, but not than a datagram can be
-        gap = next(message for message in receiver.messages if message.msgid == "gap").first(f"gap@{PEN}")
+        gap = next(message for message in receiver.messages if message.msgid == "gap").params(f"gap@{PEN}")
         assert (gap["dropped"], gap["reason"], gap["first"], gap["last"]) == ("1", "size", "2", "2")
         await recorder.close()
 
--- a/tests/sidecar/test_start.py
+++ b/tests/sidecar/test_start.py
@@ -31,7 +31,7 @@
         listen = f"127.0.0.1:{free_port()}"
         env = write_config(tmp_path, discovery.address, cached, listen, guarantees__drain_grace_ns=grace_ns)
         async with discovery.serve():
-            discovery.cut(Outage.RESET if agent == "resets" else Outage.SILENT)
+            discovery.set_outage(Outage.RESET if agent == "resets" else Outage.SILENT)
             env["LB_DISCOVERY"] = "{}:{}".format(*discovery.address)
             config = load_platform_config(env)
             listening = asyncio.get_running_loop().create_future()
@@ -41,9 +41,9 @@
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*config.listen)
                 assert not listening.done()
-                discovery.cut(Outage.NONE)
+                discovery.set_outage(Outage.NONE)
             address = await listening
             assert (await send_request(address, request_bytes("once"))).status == 200
             assert (len(old.requests), len(new.requests)) == ((0, 1) if agent == "responds" else (1, 0))
-            discovery.cut(Outage.NONE)
+            discovery.set_outage(Outage.NONE)
             task.cancel()
