--- a/anisespool/fakes/clients.py
+++ b/anisespool/fakes/clients.py
@@ -1,6 +1,6 @@
-"""Clients of sidecars, as an open-loop load generator.
+"""Clients of sidecars: an open-loop load generator.
 
-Each request is sent when it is due, whatever became of those before it, so that a slow sidecar does not
+Each request is sent when it is due, whether or not earlier ones have ended, so that a slow sidecar does not
 reduce its own load.
 """
 
@@ -20,14 +20,14 @@
 from anisespool.fakes.server import Connection
 
 CLASS_SHARES = (0.38, 0.35, 0.27)
-"""Of the requests, in the order of REQUEST_CLASSES."""
+"""Share of the requests in each class, in the order of REQUEST_CLASSES."""
 DEADLINE_TOLERANCE_S = 0.05
-"""Past a deadline, as the rules count it on sockets."""
+"""Time past the deadline that the rules allow a response on sockets."""
 BODY_BYTES = 200
 
 
 class ClientOutcome(StrEnum):
-    """How a request ended for its client; the values are those of the demo's `--json` output."""
+    """The outcome of a request for its client; the values are those of the demo's `--json` output."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, as its client saw it.
+    """One request and its result at the client.
 
     Attributes:
-        trace_id: Unique.
-        request_class: The name of its class.
-        due_s: When it was to be sent, monotonic.
-        latency_s: From sending to the end of the response, or until the client gave up.
-        status: Of the response; 0: no complete response.
-        is_echoed: The body of the response was made for this request.
-        is_late: The response came after the deadline.
-        has_extra_bytes: Something came after the one response.
+        trace_id: Unique id of the request.
+        request_class: Name of the request class.
+        due_s: Scheduled time of sending, monotonic.
+        latency_s: Time from sending until the response ended or the client gave up.
+        status: Status of the response; 0: no complete response arrived.
+        is_echoed: Whether the body of the response is this request's trace id.
+        is_late: Whether it took longer than the deadline and DEADLINE_TOLERANCE_S.
+        has_extra_bytes: Whether more bytes followed the response.
     """
 
     trace_id: str
@@ -60,7 +60,7 @@
 
     @property
     def outcome(self) -> ClientOutcome:
-        """How it ended."""
+        """The outcome that follows from the status."""
         if self.status == 200:
             return ClientOutcome.SERVED
         return ClientOutcome.REJECTED if self.status in (429, 503) else ClientOutcome.FAILED
@@ -73,7 +73,7 @@
     requests: list[ClientRequest] = field(default_factory=list)
 
     def outcomes_by_class(self) -> dict[str, Counter[str]]:
-        """Counts of outcomes, by the name of the request class."""
+        """Return the counts of outcomes, by name of the request class."""
         counts = {request_class.name: Counter[str]() for request_class in REQUEST_CLASSES}
         for request in self.requests:
             counts[request.request_class][request.outcome] += 1
@@ -81,32 +81,32 @@
 
 
 class Client:
-    """One application beside one sidecar. It reuses idle connections, and opens one more if all are busy."""
+    """One application beside one sidecar. It reuses idle connections, and opens another if all are busy."""
 
-    def __init__(self, address: Address, load: ClientLog, seed: int, name: str) -> None:
+    def __init__(self, address: Address, log: ClientLog, seed: int, name: str) -> None:
         """Create a client.
 
         Args:
-            address: The sidecar's.
-            load: Where its requests are noted.
-            seed: Of the requests and their times.
-            name: Begins its trace ids.
+            address: Address of the sidecar.
+            log: Log to which the requests are added.
+            seed: Seed of the requests and their times.
+            name: Prefix of the trace ids.
         """
         self._address = address
-        self._load = load
+        self._log = log
         self._name = name
         self._random = random.Random(seed)
         self._idle: list[Connection] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._number = 0
+        self._request_count = 0
 
     async def run(self, rate_per_s: float, until_s: float, stop: asyncio.Event | None = None) -> None:
         """Send requests as a Poisson process, and return when all of them have ended.
 
         Args:
-            rate_per_s: Their mean rate.
-            until_s: When to send no more, monotonic.
-            stop: Ends it earlier.
+            rate_per_s: Mean rate of the requests.
+            until_s: Time after which none is sent, monotonic.
+            stop: Ends sending earlier once it is set.
         """
         due_s = time.monotonic() + self._random.expovariate(rate_per_s)
         while due_s < until_s and not (stop and stop.is_set()):
@@ -123,9 +123,9 @@
 
     async def _send_request(self, due_s: float) -> None:
         request_class = self._random.choices(REQUEST_CLASSES, CLASS_SHARES)[0]
-        self._number += 1
-        request = ClientRequest(f"{self._name}-{self._number}", request_class.name, due_s)
-        self._load.requests.append(request)
+        self._request_count += 1
+        request = ClientRequest(f"{self._name}-{self._request_count}", request_class.name, due_s)
+        self._log.requests.append(request)
         data = self._encode(request, request_class)
         deadline_s = request_class.deadline_ms / 1e3
         sent_s = time.monotonic()
@@ -152,8 +152,8 @@
     async def _exchange(self, request: ClientRequest, data: bytes) -> None:
         """Send a request, on an idle connection if there is one.
 
-        A connection that was idle and ends before any response is replaced by a new one, once: the sidecar
-        may close a connection between two requests.
+        If that connection ends without a complete response, the request is sent again on a new one: the
+        sidecar may close a connection between two requests.
         """
         if self._idle and await self._exchange_on(self._idle.pop(), request, data):
             return
@@ -162,7 +162,7 @@
             await self._exchange_on(Connection(reader, writer), request, data)
 
     async def _exchange_on(self, connection: Connection, request: ClientRequest, data: bytes) -> bool:
-        """Whether there was a complete response."""
+        """Send a request, and return whether a complete response arrived."""
         reader, writer = connection
         try:
             writer.write(data)
--- a/anisespool/fakes/control_client.py
+++ b/anisespool/fakes/control_client.py
@@ -1,4 +1,4 @@
-"""A client of one instance's control socket, written from docs/fleet.md: one request on each connection."""
+"""A client of an instance's control socket, written from docs/fleet.md; it opens a connection per request."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from anisespool.fakes import http1
 
 READ_LIMIT_BYTES = 2**22
-DIGEST_LENGTH = 32
+DIGEST_CHARACTERS = 32
 
 
 async def send_raw(path: Path, data: bytes) -> http1.Response:
-    """Send bytes unchanged, and read the response."""
+    """Send bytes unchanged, and return the response."""
     reader, writer = await asyncio.open_unix_connection(str(path), limit=READ_LIMIT_BYTES)
     try:
         writer.write(data)
@@ -25,7 +25,7 @@
 
 
 async def call(path: Path, target: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
-    """Send a POST with a body, a GET without one, and return the status and the decoded response."""
+    """Send a POST with a body or a GET without one, and return the status and the decoded response."""
     data = json.dumps(body).encode() if body is not None else b""
     method = "GET" if body is None else "POST"
     head = (
@@ -37,18 +37,18 @@
 
 
 def content_digest(content: dict[str, Any]) -> str:
-    """The digest of a configuration: of its canonical JSON (docs/fleet.md)."""
+    """Return the digest of a configuration, a hash of its canonical JSON (docs/fleet.md)."""
     canonical = json.dumps(content, sort_keys=True, separators=(",", ":")).encode()
-    return hashlib.sha256(canonical).hexdigest()[:DIGEST_LENGTH]
+    return hashlib.sha256(canonical).hexdigest()[:DIGEST_CHARACTERS]
 
 
 def apply_request(generation: int, base: str, content: dict[str, Any], **fields: Any) -> dict[str, Any]:
-    """The body of `/v1/apply`.
+    """Return the body of a request to `/v1/apply`.
 
     Args:
-        generation: Of the change.
-        base: The digest of the configuration that it changes.
-        content: Its sections; each has to be complete, as the digest is of them.
+        generation: Generation of the change.
+        base: Digest of the configuration to which the change applies.
+        content: Sections of the change; each has to be complete, as the digest covers them.
         fields: Further fields of the body.
     """
     request = {
--- a/anisespool/fakes/crashing_agent.py
+++ b/anisespool/fakes/crashing_agent.py
@@ -1,7 +1,7 @@
 """An agent that kills itself at a crash point.
 
-`python -m anisespool.fakes.crashing_agent FILE POINT COUNT`: the operator's file, the number of the
-`CrashPoint`, and at which time that it is reached.
+`python -m anisespool.fakes.crashing_agent FILE POINT COUNT` runs with the operator's file FILE, and kills
+itself the COUNTth time that it reaches the `CrashPoint` with the number POINT.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class KillAtPoint:
-    """A crash hook that sends this process SIGKILL the nth time that it reaches a point."""
+    """A crash hook that sends its own process SIGKILL the nth time that it reaches a point."""
 
     def __init__(self, point: CrashPoint, count: int) -> None:
         self._point = point
         self._remaining = count
 
     def __call__(self, point: CrashPoint) -> None:
-        """Count a point that was reached, and kill the process if it is the one."""
+        """Count the point if it is the configured one; kill the process the nth time."""
         if point is not self._point:
             return
         self._remaining -= 1
--- a/anisespool/fakes/discovery.py
+++ b/anisespool/fakes/discovery.py
@@ -1,7 +1,7 @@
 """Two fakes of the platform's discovery service, which streams the endpoint list as lines of JSON.
 
-`DiscoveryService` keeps a list and behaves as the platform's service does. `ScriptedDiscovery` sends nothing
-but what a test gives it, so that a test can choose the moment, or send what no real service would.
+`DiscoveryService` keeps a list and behaves like the platform's service. `ScriptedDiscovery` sends only the
+lines that a test passes to it, so that a test can choose the moment, or send what no real service would.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from anisespool.fakes.server import Connection, FakeServer, reset
 
 HEARTBEAT_INTERVAL_S = 2.0
-"""Between two empty lines while nothing changes."""
+"""Interval between heartbeats, which are empty lines."""
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -28,22 +28,22 @@
 
 
 class Outage(StrEnum):
-    """How a discovery service is cut off."""
+    """An outage of a discovery service."""
 
     NONE = ""
     SILENT = "silent"
-    """Connections are accepted and stay open, and nothing is sent."""
+    """Connections are accepted and stay open, but nothing is sent."""
     RESET = "reset"
-    """Connections are reset, new ones too."""
+    """Open connections and new ones are reset."""
 
 
 class DiscoveryService(FakeServer):
     """Sends each watch the complete list, and then every change to all watches.
 
     Attributes:
-        members: The entries of the list, by id.
-        revision: Of the list.
-        watch_requests: Watches requested so far, whether they were answered or not.
+        members: Entries of the list, by endpoint id.
+        revision: Revision of the list.
+        watch_requests: Number of watches requested so far, with or without a response.
     """
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
@@ -61,11 +61,11 @@
         return self._outage is not Outage.NONE
 
     def set_outage(self, outage: str) -> None:
-        """Begin or end an outage. Publish no change before it has ended.
+        """Begin or end an outage. Changes may be published only while there is none.
 
         Args:
-            outage: An `Outage`, or how the lab names the fault of a link: any that is neither `silent` nor
-                empty resets connections.
+            outage: An `Outage`, or the lab's name for a link fault. Any name but `silent` and the empty one
+                resets connections.
         """
         self._outage = Outage(outage) if outage in tuple(Outage) else Outage.RESET
         if self._outage is Outage.SILENT:
@@ -83,13 +83,13 @@
         self._send_all(member_list(self.revision, [entry], complete=False))
 
     def publish_all(self, members: list[dict[str, Any]]) -> None:
-        """Replace the list, and send it to all watches."""
+        """Replace the whole list, and send it to all watches."""
         self.revision += 1
         self.members = {entry["id"]: entry for entry in members}
         self._send_all(member_list(self.revision, members))
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one watch, until either side closes the connection."""
+        """Serve one watch until either side closes the connection."""
         if self._outage is Outage.RESET:
             reset(writer)
             return
@@ -119,10 +119,10 @@
 
 
 class ScriptedDiscovery(FakeServer):
-    """Accepts watches and sends the lines that a test gives it, valid or not.
+    """Accepts watches and sends the lines that a test passes to it, valid or not.
 
     Attributes:
-        targets: Of each watch's request, in order.
+        targets: Request targets of the watches, in order.
     """
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
         self.targets: list[bytes] = []
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Begin the response to one watch; `send` continues it."""
+        """Send the head of the response to one watch; `send` adds lines."""
         request = await http1.read_request(reader)
         self.targets.append(request.target)
         writer.write(STREAM_HEAD)
--- a/anisespool/fakes/endpoint.py
+++ b/anisespool/fakes/endpoint.py
@@ -1,8 +1,8 @@
 """Two fakes of an endpoint.
 
-`Endpoint` gives every request the response that a test chose. `CountingEndpoint` has a capacity, a queue and
-a slow start, reports its load, and counts by its own clock what it executed, so that the rules of the
-product can be checked without trusting a sidecar.
+`Endpoint` gives every request the response that a test sets. `CountingEndpoint` has a capacity, a queue and
+a slow start, reports its load, and logs by its own clock what it received and executed, so that the rules of
+the product can be checked without trusting a sidecar.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from anisespool.fakes.server import Connection, FakeServer, reset
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-INITIAL_CAPACITY = 0.15
-"""The part of its capacity that an endpoint has when it has just started."""
+INITIAL_CAPACITY_SHARE = 0.15
+"""Share of its full capacity that an endpoint has just after its start."""
 
 Responder = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-"""Responds to a request that was read, in any way that the streams allow."""
+"""Responds through the streams to a request that has been read."""
 
 
 class Endpoint(FakeServer):
-    """Responds to each request as a test chose.
+    """Gives each request the response that a test sets.
 
     Attributes:
         response: The bytes to write, or a coroutine function that uses the streams.
-        requests: All that were read, in order.
-        closed_by_peer: How many connections the client has closed.
+        requests: All requests read so far, in order.
+        closed_by_peer: Number of connections that the client has closed.
     """
 
     def __init__(self, response: bytes | Responder = OK) -> None:
@@ -52,7 +52,7 @@
                 else:
                     await self.response(reader, writer)
         self.closed_by_peer += 1
-        writer.close()  # otherwise each connection that the client closed would keep its descriptor
+        writer.close()  # frees the descriptor: the client's close alone does not
 
 
 class Execution(NamedTuple):
@@ -61,46 +61,46 @@
     trace_id: str
     request_class: str
     at_s: float
-    """Monotonic."""
+    """Start of the execution, monotonic."""
 
 
 @dataclass(slots=True)
 class EndpointFaults:
-    """Faults to inject. `every_nth` faults hit each nth request by the count of arrivals; 0: none."""
+    """Faults to inject. The `every_nth` faults affect each nth request that arrives; 0: none."""
 
     reject_every_nth: int = 0
-    """Responds 503 with X-Never-Ran, and does not execute the request."""
+    """Responds 503 with X-Never-Ran, without executing the request."""
     error_every_nth: int = 0
-    """Responds 500 after it executed the request."""
+    """Responds 500 after executing the request."""
     reset_every_nth: int = 0
-    """Resets the connection after it executed the request."""
+    """Resets the connection after executing the request."""
     is_silent: bool = False
     """Executes requests and never responds."""
 
 
 @dataclass(slots=True)
 class EndpointLog:
-    """What an endpoint received and executed, in order."""
+    """Requests that an endpoint received and executed, in order."""
 
     arrivals_s: list[float] = field(default_factory=list)
-    """When each request had been read; monotonic."""
+    """Time at which each request had been read, monotonic."""
     executions: list[Execution] = field(default_factory=list)
 
     def executions_by_trace_id(self) -> Counter[str]:
-        """How often each request was executed."""
+        """Return the number of executions of each request."""
         return Counter(execution.trace_id for execution in self.executions)
 
 
 class CountingEndpoint(FakeServer):
-    """Executes some requests at a time, queues some more, and rejects the others.
+    """Executes a limited number of requests at a time, queues some more, and rejects the others.
 
     Attributes:
-        name: Its id in the endpoint list.
-        faults: To inject from now on.
-        log: What it received and executed.
-        started_s: When it started, monotonic; its slow start begins there.
-        queued: Requests that wait to be executed.
-        in_flight: Requests that are being executed.
+        name: Id in the endpoint list.
+        faults: Faults to inject from now on.
+        log: Requests received and executed.
+        started_s: Time of the start, monotonic; the slow start begins there.
+        queued: Number of requests waiting to be executed.
+        in_flight: Number of requests being executed.
     """
 
     def __init__(
@@ -114,11 +114,11 @@
         """Create an endpoint that does not listen yet.
 
         Args:
-            name: Its id in the endpoint list.
-            slots: How many requests it executes at a time.
-            service_s: How long each takes at full capacity.
-            max_queued: How many may wait.
-            slow_start_s: From its start until it has its full capacity; 0: it has it at once.
+            name: Id in the endpoint list.
+            slots: Number of requests that are executed at a time.
+            service_s: Execution time of a request at full capacity.
+            max_queued: Maximum number of waiting requests.
+            slow_start_s: Time from the start until full capacity; 0: full capacity at once.
         """
         super().__init__()
         self.name = name
@@ -139,7 +139,7 @@
         self.started_s = time.monotonic()
 
     def kill(self) -> None:
-        """End as a process that is killed: the listener is gone, and connections are reset."""
+        """Act like a killed process: close the listener, and reset all connections."""
         if self._server:
             self._server.close()
         for connection in self.connections:
@@ -148,12 +148,12 @@
         self.connections.clear()
 
     def capacity_per_s(self, at_s: float) -> float:
-        """Requests per second that it can execute at a moment, by its slow start."""
+        """Return the capacity at a time, in requests per second. It grows during the slow start."""
         full_per_s = self._slots / self._service_s
         if not self._slow_start_s:
             return full_per_s
         progress = min(1.0, max(0.0, at_s - self.started_s) / self._slow_start_s)
-        return full_per_s * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * progress)
+        return full_per_s * (INITIAL_CAPACITY_SHARE + (1 - INITIAL_CAPACITY_SHARE) * progress)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Respond to requests until the connection ends."""
--- a/anisespool/fakes/instance.py
+++ b/anisespool/fakes/instance.py
@@ -1,7 +1,7 @@
-"""A fake of one instance's control socket, written from docs/fleet.md.
+"""A fake of an instance's control socket, written from docs/fleet.md.
 
-It keeps a generation and drains, and can be late, silent, reject changes or respond with anything at all.
-Hundreds fit into one process.
+It keeps a generation and drains, and can respond late, not at all, with errors or with arbitrary bytes.
+Hundreds of instances fit into one process.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 from anisespool.fakes import http1
 from anisespool.fakes.control_client import content_digest
 
-NO_CONTENT_DIGEST = content_digest({})
+EMPTY_CONTENT_DIGEST = content_digest({})
 CONTROL_VERSION = 1
 
 
 @dataclass(slots=True)
 class InstanceFaults:
-    """Faults to inject."""
+    """Faults to inject into the responses."""
 
     response_delay_s: float = 0.0
     is_silent: bool = False
     """Reads requests and never responds."""
     raw_response: bytes = b""
-    """In place of any response; empty: none."""
+    """Bytes that are sent in place of each response; empty: none."""
     rejection: str = ""
-    """Rejects every change with this text; empty: none."""
+    """Text with which every change is rejected; empty: none is rejected."""
     max_acknowledged: int | None = None
-    """Applies changes beyond this number too, but closes the connection in place of a response."""
+    """Number of acknowledged changes. Later ones are applied, and the connection is closed unanswered."""
 
 
 class Reply(NamedTuple):
@@ -48,27 +48,27 @@
     """The control socket of one sidecar.
 
     Attributes:
-        name: The sidecar's.
-        path: Of its socket.
-        faults: To inject from now on.
-        boot: How often it has started.
-        generation: Of the configuration that it applied last; 0: none.
-        digest: Of that configuration.
-        drained: The ids of the endpoints that the operator drains.
-        drains_revision: Of these.
-        endpoints: All ids to which it could send; empty: it does not check that one is left.
-        applied_generations: In order, each time that a change was applied.
-        received_generations: In order, each time that a change was received.
+        name: Name of the sidecar.
+        path: Path of the socket.
+        faults: Faults to inject from now on.
+        boot: Number of starts.
+        generation: Generation applied last; 0: none.
+        digest: Digest of its configuration.
+        drained: Ids of the endpoints that the operator drains.
+        drains_revision: Revision of these drains.
+        endpoints: Ids of all endpoints; empty: a drain of the last endpoint is not rejected.
+        applied_generations: Generations of the applied changes, in order.
+        received_generations: Generations of the received changes, in order.
     """
 
     def __init__(self, directory: Path, name: str) -> None:
-        """Create an instance that does not listen yet, whose socket will be in `directory`."""
+        """Create an instance that does not listen yet. Its socket will be in `directory`."""
         self.name = name
         self.path = directory / f"{name}.sock"
         self.faults = InstanceFaults()
         self.boot = 1
         self.generation = 0
-        self.digest = NO_CONTENT_DIGEST
+        self.digest = EMPTY_CONTENT_DIGEST
         self.drained: list[str] = []
         self.drains_revision = 0
         self.endpoints: list[str] = []
@@ -87,12 +87,12 @@
             self.stop()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on the socket."""
         self.path.unlink(missing_ok=True)
         self._server = await asyncio.start_unix_server(self._handle_connection, str(self.path))
 
     def stop(self, leave_file: bool = False) -> None:
-        """End as a process that exits; one that is killed leaves its socket's file behind."""
+        """Act like a process that exits, or with `leave_file` like a killed one."""
         if self._server:
             self._server.close()
         for writer in self._writers:
@@ -101,17 +101,17 @@
             self.path.unlink(missing_ok=True)
 
     async def restart(self) -> None:
-        """Start again, without a change or a drain."""
+        """Start again, without the changes and drains of the earlier run."""
         self.stop(leave_file=True)
         self.boot += 1
         self.generation = 0
-        self.digest = NO_CONTENT_DIGEST
+        self.digest = EMPTY_CONTENT_DIGEST
         self.drained = []
         self.drains_revision = 0
         await self.start()
 
     def state(self) -> dict[str, Any]:
-        """What it reports of itself."""
+        """Return what it reports about itself."""
         return {
             "name": self.name,
             "pid": os.getpid(),
@@ -146,7 +146,7 @@
         writer.close()
 
     def _reply_to(self, request: http1.Request) -> Reply | None:
-        """None: close the connection without a response."""
+        """Return the response to a request; None: close the connection without one."""
         body = json.loads(request.body) if request.body else {}
         target = request.target.decode()
         if target == "/v1/apply":
@@ -185,7 +185,7 @@
         return Reply(200, self.state())
 
     def _check_change(self, body: dict[str, Any]) -> Reply | None:
-        """The error of a change that cannot be applied."""
+        """Return the error of a change that cannot be applied; None: it can be."""
         if content_digest(body["content"]) != body["digest"]:
             return _error_reply(400, "damaged", "the content does not match its digest")
         if self.faults.rejection:
--- a/anisespool/fakes/local_fleet.py
+++ b/anisespool/fakes/local_fleet.py
@@ -1,4 +1,4 @@
-"""Many sidecar processes and an agent on loopback, for the demo, the benchmarks and the tests."""
+"""A fleet of sidecar processes and an agent on loopback, for the demo, the benchmarks and the tests."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     """Processes with their files in one directory. `close`, or the end of an `async with`, ends them all.
 
     Attributes:
-        directory: Of all files.
+        directory: Directory of all files.
         operator_file: The operator's file of the sidecars and the agent.
-        control_directory: Where the sidecars have their control sockets.
-        state_directory: The agent's.
-        sidecars: Processes, by name.
-        addresses: Where each sidecar listens, by name.
-        agent: The agent's process, once there is one.
+        control_directory: Directory of the sidecars' control sockets.
+        state_directory: Directory of the agent's state.
+        sidecars: Processes of the sidecars, by name.
+        addresses: Addresses on which the sidecars listen, by name.
+        agent: Process of the agent; None: it has not been started.
     """
 
     def __init__(
@@ -41,13 +41,13 @@
         initial_members: list[dict[str, Any]],
         agent_options: str = "",
     ) -> None:
-        """Write the operator's file; nothing is started yet.
+        """Write the operator's file, without starting a process.
 
         Args:
-            directory: For all files.
-            discovery: The discovery service's address.
-            initial_members: The endpoint list with which a sidecar starts.
-            agent_options: Lines of the file's section `agent`.
+            directory: Directory for all files.
+            discovery: Address of the discovery service.
+            initial_members: Entries of the endpoint list with which a sidecar starts.
+            agent_options: Lines of the section `agent` of the operator's file.
         """
         self.directory = directory
         self.operator_file = directory / "operator.toml"
@@ -58,7 +58,7 @@
         self.agent: asyncio.subprocess.Process | None = None
         self._discovery = discovery
         self._initial_members = initial_members
-        self._reserved_ports: dict[str, socket.socket] = {}  # by the sidecar's name
+        self._reserved_ports: dict[str, socket.socket] = {}  # keys are names of sidecars
         self.operator_file.write_text(
             f'[control]\nfolder = "{self.control_directory}"\n\n'
             f'[agent]\nstate = "{self.state_directory}"\n{agent_options}'
@@ -76,11 +76,11 @@
         await self.close()
 
     async def start_sidecar(self, name: str, fleet_size: int = 1, operator_file: Path | None = None) -> None:
-        """Start a sidecar, and return once it can serve. One that is started again keeps its address.
+        """Start a sidecar, and return once it can serve. It keeps its address when it is started again.
 
         Args:
-            name: Of the sidecar.
-            fleet_size: As its settings say.
+            name: Name of the sidecar.
+            fleet_size: Number of sidecars in its settings.
             operator_file: The operator's file in place of the fleet's.
         """
         directory = self.directory / name
@@ -108,7 +108,7 @@
         """Return once the sidecar's health check succeeds.
 
         Raises:
-            TimeoutError: It did not within READY_TIMEOUT_S.
+            TimeoutError: The health check did not succeed within READY_TIMEOUT_S.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
@@ -122,15 +122,15 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def start_agent(self, *arguments: str) -> None:
-        """Start the agent, and return once it listens or has ended.
+        """Start the agent, and return once it accepts connections or has ended.
 
         Args:
-            arguments: Of the Python interpreter, in place of those that start the project's agent.
+            arguments: Arguments for the Python interpreter, in place of those that start the project's agent.
         """
         command = arguments or ("-m", "anisespool", "agent", "--config", str(self.operator_file))
         with (self.directory / "agent.log").open("ab") as log:
             self.agent = await asyncio.create_subprocess_exec(sys.executable, *command, stderr=log)
-        # That its socket's file exists shows nothing: an agent that was killed leaves it behind.
+        # The socket's file does not prove that the agent listens: a killed agent leaves it behind.
         while self.agent.returncode is None:
             with suppress(OSError):
                 _, writer = await asyncio.open_unix_connection(str(self.state_directory / "agent.sock"))
@@ -139,9 +139,9 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def run_command(self, *arguments: str) -> tuple[int, list[Any]]:
-        """Run the project's command with `--json`, and return its exit status and its decoded lines.
+        """Run an `anisespool` command with `--json`, and return its exit status and decoded output lines.
 
-        Without a line of output the second is one text: what it wrote to its standard error.
+        Without output, the only line is what the command wrote to standard error.
         """
         options = ("--config", str(self.operator_file), "--json")
         process = await asyncio.create_subprocess_exec(
@@ -158,12 +158,12 @@
         return process.returncode or 0, lines or [stderr.decode()]
 
     async def control_state(self, name: str) -> dict[str, Any]:
-        """What a sidecar reports of itself on its control socket, without the agent between."""
+        """Return what a sidecar reports on its control socket, without the agent."""
         _, state = await control_client.call(self.control_directory / f"{name}.sock", "/v1/state")
         return state
 
     async def close(self) -> None:
-        """Kill all processes, stopped ones too."""
+        """Kill all processes, including stopped ones."""
         processes = list(self.sidecars.values())
         if self.agent:
             processes.append(self.agent)
--- a/anisespool/fakes/platform.py
+++ b/anisespool/fakes/platform.py
@@ -1,4 +1,4 @@
-"""What the platform gives a sidecar: the endpoint list's entries, the configuration file, the environment."""
+"""What the platform provides to a sidecar: endpoint list, configuration file and environment."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 
 from anisespool.config.platform import Address
 
-MS = 1_000_000
-"""Nanoseconds."""
+NS_PER_MS = 1_000_000
 
 
 class RequestClass(NamedTuple):
@@ -18,7 +17,7 @@
 
     name: str
     effect: str
-    """`repeatable`: idempotent; `once`: not."""
+    """`repeatable`: idempotent; `once`: not idempotent."""
     target_ms: int
     """The latency objective."""
     deadline_ms: int
@@ -33,18 +32,17 @@
 
 
 def free_port() -> int:
-    """A port that nobody uses at this moment."""
+    """Return a port that is not in use at this moment."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def reserve_port() -> socket.socket:
-    """Reserve a port for a process that will listen there: bind it, and never listen.
+    """Reserve a port for a process that will listen there, by a socket that is bound and never listens.
 
-    The kernel gives it to nobody else by chance, while a listener that allows reuse, as asyncio's do, may
-    bind it. A port that `free_port` found is free again at once: two of two hundred processes may get the
-    same.
+    The kernel never picks a reserved port as a free one, but a listener that allows reuse, as asyncio's do,
+    may bind it. A port from `free_port` is not reserved: two of two hundred processes may get the same.
     """
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -53,7 +51,7 @@
 
 
 def member(endpoint_id: str, address: Address, phase: str = "up", **fields: Any) -> dict[str, Any]:
-    """An entry of the endpoint list. `fields` are added to it, or replace its own."""
+    """Return an entry of the endpoint list. `fields` are added to its default fields, or replace them."""
     entry: dict[str, Any] = {
         "id": endpoint_id,
         "host_port": f"{address.host}:{address.port}",
@@ -68,12 +66,12 @@
 
 
 def member_list(revision: int, members: list[dict[str, Any]], complete: bool = True) -> dict[str, Any]:
-    """An update of the endpoint list: all its entries, or if not `complete` those that changed."""
+    """Return an update of the endpoint list: all entries if `complete`, otherwise those that changed."""
     return {"revision": revision, "complete": complete, "members": members}
 
 
 def settings(fleet_size: int = 1, self_index: int = 0) -> dict[str, Any]:
-    """Settings of a small site: three request classes, three tenants, load reports in responses."""
+    """Return settings of a small site: three request classes, three tenants, load reports in responses."""
     return {
         "allowed": _allowed(),
         "fleet-size": fleet_size,
@@ -84,13 +82,13 @@
             {
                 "name": row.name,
                 "effect": row.effect,
-                "target-ns": row.target_ms * MS,
-                "deadline-ns": row.deadline_ms * MS,
+                "target-ns": row.target_ms * NS_PER_MS,
+                "deadline-ns": row.deadline_ms * NS_PER_MS,
             }
             for row in REQUEST_CLASSES
         ],
         "tenants": [{"name": name, "share": 1 / len(TENANTS), "quota-per-s": 1000.0} for name in TENANTS],
-        "resolution-ns": MS,
+        "resolution-ns": NS_PER_MS,
         "zone": 0,
         "zones": ["east", "west"],
         "skus": ["m1"],
@@ -98,29 +96,29 @@
 
 
 def _allowed() -> dict[str, Any]:
-    """What the platform allows a sidecar to do."""
+    """Return what the platform allows a sidecar to do."""
     return {
         "attempts-cap": 3,
         "cancel": True,
-        "connect-timeout-ns": 250 * MS,
+        "connect-timeout-ns": 250 * NS_PER_MS,
         "may-duplicate": False,
         "retry-after": True,
-        "max-retry-after-ns": 1000 * MS,
+        "max-retry-after-ns": 1000 * NS_PER_MS,
         "peers": False,
         "probes": False,
-        "keepalive-ns": 15_000 * MS,
+        "keepalive-ns": 15_000 * NS_PER_MS,
     }
 
 
 def _guarantees() -> dict[str, Any]:
-    """What the platform guarantees a sidecar."""
+    """Return what the platform guarantees to a sidecar."""
     return {
-        "answer-slack-ns": 20 * MS,
-        "ask-within-ns": 10_000 * MS,
-        "cold-ns": 20_000 * MS,
-        "drain-grace-ns": 250 * MS,
+        "answer-slack-ns": 20 * NS_PER_MS,
+        "ask-within-ns": 10_000 * NS_PER_MS,
+        "cold-ns": 20_000 * NS_PER_MS,
+        "drain-grace-ns": 250 * NS_PER_MS,
         "fall-multiple": 3.0,
-        "fall-ns": 1500 * MS,
+        "fall-ns": 1500 * NS_PER_MS,
         "start-capacity": 0.15,
     }
 
@@ -137,13 +135,13 @@
     """Write the configuration file, and return the environment that names it.
 
     Args:
-        folder: Where the file goes.
-        discovery: The discovery service's address.
+        folder: Directory of the file.
+        discovery: Address of the discovery service.
         initial_members: Entries of the initial endpoint list.
-        settings: As from the function of this name.
-        listen: Where the sidecar listens.
-        name: The sidecar's.
-        sockets: File descriptors that the platform allows.
+        settings: Settings as the function of this name returns them.
+        listen: Address on which the sidecar listens.
+        name: Name of the sidecar.
+        sockets: Number of file descriptors that the platform allows.
     """
     discovery_address = f"{discovery.host}:{discovery.port}"
     raw = {
--- a/anisespool/fakes/record_soak.py
+++ b/anisespool/fakes/record_soak.py
@@ -1,7 +1,7 @@
-"""A seeded soak test of request records: what a receiver has must agree with what a recorder counted.
+"""A seeded soak test of request records, which compares what arrived with what the recorders counted.
 
 Several recorders, as of a sidecar that restarts, send by TCP to a receiver that stalls, resets its
-connections, goes away and comes back. Used by the tests and the benchmarks.
+connections, and stops and resumes listening. Used by the tests and the benchmarks.
 """
 
 from __future__ import annotations
@@ -31,26 +31,25 @@
 """The private enterprise number in SD-IDs; this one is reserved for examples (RFC 5612)."""
 FINAL_COUNTS_TIMEOUT_S = 20.0
 RECEIVE_BUFFER_BYTES = 16_384
-"""Small, so that a stall soon reaches the recorder."""
+"""SO_RCVBUF of the receiver, small so that its stalls soon block the recorder."""
 UTC_OFFSET_S = -18_000
-MS = 1_000_000
-"""Nanoseconds."""
+NS_PER_MS = 1_000_000
 ENDPOINT_COUNT = 40
 MAX_ATTEMPTS = 3
 OUTCOME_WEIGHTS = (90, 4, 3, 2, 1)
-"""In the order of `Outcome`."""
+"""Relative frequencies, in the order of `Outcome`."""
 STATUS_BY_OUTCOME = (200, 503, 502, 0, 404)
 
 
 def random_request(random: Random, number: int, tenant: bytes = b"tiendas-sol") -> RequestRecord:
-    """A request that a sidecar could have recorded, `number` milliseconds after its start."""
-    arrived_ns = number * MS
+    """Return a request that a sidecar could have recorded, `number` milliseconds after its start."""
+    arrived_ns = number * NS_PER_MS
     attempts = tuple(
         AttemptRecord(
             endpoint=f"s-{random.randrange(ENDPOINT_COUNT)}",
             status=1 if index == 0 else 2,
-            started_ns=arrived_ns + index * MS,
-            finished_ns=arrived_ns + (index + 1) * MS,
+            started_ns=arrived_ns + index * NS_PER_MS,
+            finished_ns=arrived_ns + (index + 1) * NS_PER_MS,
         )
         for index in range(random.randint(0, MAX_ATTEMPTS))
     )
@@ -64,14 +63,14 @@
         fingerprint=number,
         is_retry=False,
         arrived_ns=arrived_ns,
-        finished_ns=arrived_ns + 4 * MS,
+        finished_ns=arrived_ns + 4 * NS_PER_MS,
         retry_after_s=0.0,
         attempts=attempts,
     )
 
 
 def create_recorder(boot: int, options: RecordOptions, sampler: Sampler | None = None) -> Recorder:
-    """A recorder that is not started; `boot` is the PROCID of its messages."""
+    """Create a recorder without starting it. `boot` is the PROCID of its messages."""
     encoder = RecordEncoder.create(
         Origin(16, "lima", "anisespool", str(boot)),
         PEN,
@@ -84,7 +83,7 @@
 
 
 class NumberRange(NamedTuple):
-    """Sequence numbers of records, both ends included."""
+    """A range of sequence numbers of records, both ends included."""
 
     first: int
     last: int
@@ -92,15 +91,15 @@
 
 @dataclass(slots=True)
 class ReceivedRecords:
-    """What a receiver has of one recorder.
+    """Records and reports of one recorder that have arrived at a receiver.
 
     Attributes:
-        numbers: How often each record arrived, by its sequence number.
+        numbers: Number of arrivals of each record, by sequence number.
         reported: All ranges that were reported as dropped or unconfirmed.
-        dropped: Counts of dropped records, by range; a repeated report counts once.
-        unconfirmed: Counts of records of which the recorder cannot know, by range.
-        counts: The reports of the recorder's own counts, in order.
-        is_complete: The recorder's final report has arrived.
+        dropped: Numbers of dropped records, by range; a repeated report counts once.
+        unconfirmed: Numbers of records that were sent and may not have arrived, by range.
+        counts: Reports of the recorder's own counts, in order.
+        is_complete: Set once the recorder's final report has arrived.
     """
 
     numbers: Counter[int] = field(default_factory=Counter)
@@ -111,7 +110,7 @@
     is_complete: asyncio.Event = field(default_factory=asyncio.Event)
 
     def add(self, message: Message) -> None:
-        """Note one message, by its MSGID."""
+        """Add one message, according to its MSGID."""
         if message.msgid == "path":
             self.numbers[int(message.params("meta")["sequenceId"])] += 1
         elif message.msgid == "account":
@@ -119,14 +118,14 @@
         else:
             self._add_gap(message.params(f"gap@{PEN}"))
 
-    def unexplained(self, answered: int) -> list[int]:
-        """Numbers up to `answered` that neither arrived nor were reported."""
+    def unreported(self, answered: int) -> list[int]:
+        """Return the sequence numbers up to `answered` that neither arrived nor were reported."""
         missing = (number for number in range(1, answered + 1) if number not in self.numbers)
         return [number for number in missing if not self._is_reported(number)]
 
     @property
     def last_answered(self) -> str:
-        """How many requests the last report counts."""
+        """Number of requests in the last report of counts; "nothing": there is no report."""
         return self.counts[-1]["answered"] if self.counts else "nothing"
 
     def _add_counts(self, counts: dict[str, str]) -> None:
@@ -148,17 +147,17 @@
 
 @dataclass(slots=True)
 class SoakResult:
-    """What became of one run.
+    """The result of one run.
 
     Attributes:
-        seed: Of the run.
-        answered: Requests that were recorded.
-        received: Different records that arrived.
-        dropped: Records that the recorders dropped.
-        unconfirmed: Records of which the recorders cannot know.
-        truncated_streams: Connections that ended within a record.
-        disconnects: How often the receiver went away.
-        failures: One line for each check that did not hold.
+        seed: Seed of the run.
+        answered: Number of requests that were recorded.
+        received: Number of distinct records that arrived.
+        dropped: Number of records that the recorders dropped.
+        unconfirmed: Number of records that were sent and may not have arrived.
+        truncated_streams: Number of connections that ended within a record.
+        disconnects: Number of times that the receiver disconnected.
+        failures: One line for each check that failed.
     """
 
     seed: int
@@ -175,15 +174,15 @@
     """Run one recorder after another, with faults of the receiver in between.
 
     Args:
-        seed: Of all that is random.
-        boots: How many recorders.
-        steps: Of each: a burst of requests, and perhaps a fault.
+        seed: Seed of all random choices.
+        boots: Number of recorders.
+        steps: Number of steps of each: a burst of requests, and perhaps a fault.
     """
     return await _Soak(seed).run(boots, steps)
 
 
 class _Soak:
-    """One run. Its messages have octet counting, which shows a fragment as one."""
+    """One run. Its messages are framed by octet counting, which reveals truncated ones."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -191,7 +190,7 @@
         self._read_bytes = self._random.choice((1, 7, 4096))
         self._receiver = Receiver(ReceiverOptions(receive_buffer_bytes=RECEIVE_BUFFER_BYTES))
         self._receiver.on_message = self._on_message
-        self._received: dict[str, ReceivedRecords] = {}  # by PROCID
+        self._received: dict[str, ReceivedRecords] = {}  # keys are PROCIDs
         self._options = RecordOptions(
             destination="tcp://127.0.0.1:1",
             max_buffered_records=self._random.choice((20, 200, 4000)),
@@ -201,7 +200,7 @@
         )
 
     async def run(self, boots: int, steps: int) -> SoakResult:
-        """As `run_soak`."""
+        """Run the recorders, and return the result."""
         async with self._receiver.stream():
             for boot in range(boots):
                 await self._run_recorder(boot, steps)
@@ -223,7 +222,7 @@
             await asyncio.sleep(self._random.choice((0, 0, 0.001, 0.004)))
         await self._end_faults()
         await recorder.close()
-        # The recorder's last connection may still wait to be accepted.
+        # The receiver may not have accepted the recorder's last connection yet.
         with suppress(TimeoutError):
             async with asyncio.timeout(FINAL_COUNTS_TIMEOUT_S):
                 await received.is_complete.wait()
@@ -246,7 +245,7 @@
             await self._receiver.listen()
 
     async def _end_faults(self) -> None:
-        # At one octet at a time a slow machine would take longer than any timeout that a recorder may have.
+        # Reading one octet at a time, a slow machine would exceed any timeout that a recorder may have.
         self._receiver.options.max_read_bytes = MAX_READ_BYTES
         self._receiver.set_reading(True)
         if not self._receiver.is_listening:
@@ -259,12 +258,12 @@
         dropped = sum(recorder.queue.dropped)
         queued = len(recorder.queue)
         arrived = len(received.numbers)
-        unexplained = received.unexplained(answered)
+        unreported = received.unreported(answered)
         checks = (
             (answered == sent + dropped + queued, f"{answered} answered, {sent} sent, {dropped} dropped"),
             (not queued, f"{queued} still queued"),
             (max(received.numbers.values(), default=1) == 1, "a record arrived twice"),
-            (not unexplained, f"no report of numbers {unexplained[:5]}"),
+            (not unreported, f"neither received nor reported: {unreported[:5]}"),
             (sum(received.dropped.values()) == dropped, f"{received.dropped} reported, {dropped} dropped"),
             (0 <= sent - arrived <= unconfirmed, f"{sent} sent, {arrived} arrived"),
             (
--- a/anisespool/fakes/rule_checker.py
+++ b/anisespool/fakes/rule_checker.py
@@ -1,4 +1,4 @@
-"""Checks the four rules of the product by what clients saw and endpoints counted.
+"""Checks the four rules of the product by the logs of clients and endpoints.
 
 Nothing that a sidecar reports is used. The rules' names and figures are those of the demo's `--json` output.
 """
@@ -14,7 +14,7 @@
 from anisespool.fakes.platform import REQUEST_CLASSES
 
 DRAIN_GRACE_S = 0.25 + 0.05
-"""After the notification of a drain; the rules on sockets allow 50 ms more."""
+"""Time after the notification of a drain in which requests may arrive; on sockets, the rules add 50 ms."""
 OVERLOAD_MULTIPLE = 3.0
 OVERLOAD_WINDOW_S = 1.5
 MAX_WINDOW_ARRIVALS = 5000
@@ -22,16 +22,16 @@
 
 
 class Drain(NamedTuple):
-    """A time in which an endpoint was to receive nothing new; monotonic."""
+    """A period in which an endpoint was to receive no new requests; monotonic times."""
 
     endpoint: CountingEndpoint
     notified_s: float
-    """When all sidecars had been notified."""
+    """Time at which all sidecars had been notified."""
     ended_s: float = float("inf")
 
 
 class Verdict(NamedTuple):
-    """Whether one rule was kept, and the figures that show it."""
+    """Whether a rule was kept, and the figures that the verdict rests on."""
 
     rule: str
     kept: bool
@@ -47,10 +47,10 @@
     """Check the four rules.
 
     Args:
-        requests: Of all clients.
-        endpoints: All.
-        drains: All.
-        restarted: The endpoints that started while there was traffic.
+        requests: Requests of all clients.
+        endpoints: All endpoints.
+        drains: All drains.
+        restarted: Endpoints that were started under traffic.
     """
     all_requests = list(requests)
     return [
@@ -62,7 +62,7 @@
 
 
 def _check_responses(requests: list[ClientRequest]) -> Verdict:
-    """Each request has exactly one response, its own, before its deadline."""
+    """Check that each request got exactly one response, its own, before its deadline."""
     lost = sum(request.status == 0 or request.is_late for request in requests)
     repeated = sum(request.has_extra_bytes for request in requests)
     foreign = sum(request.status == 200 and not request.is_echoed for request in requests)
@@ -71,7 +71,7 @@
 
 
 def _check_effects(requests: list[ClientRequest], endpoints: Iterable[CountingEndpoint]) -> Verdict:
-    """No request that is not idempotent was executed twice, or was executed and then rejected."""
+    """Check that no request that is not idempotent was executed twice, or executed and then rejected."""
     executions: Counter[str] = Counter()
     for endpoint in endpoints:
         executions.update(
@@ -93,7 +93,7 @@
 
 
 def _check_drains(drains: list[Drain]) -> Verdict:
-    """Nothing arrives at a draining endpoint after the grace period."""
+    """Check that no request arrived at a draining endpoint after the grace period."""
     late = 0
     latest_s = 0.0
     for drain in drains:
@@ -107,7 +107,7 @@
 
 
 def _check_slow_starts(restarted: list[CountingEndpoint]) -> Verdict:
-    """In no window does an endpoint receive more than a multiple of its capacity when the window begins."""
+    """Check that the arrivals in a window never exceed a multiple of the capacity at its start."""
     worst = 0.0
     for endpoint in restarted:
         arrivals_s = [at_s for at_s in endpoint.log.arrivals_s if at_s >= endpoint.started_s]
--- a/anisespool/fakes/server.py
+++ b/anisespool/fakes/server.py
@@ -1,4 +1,4 @@
-"""The base of the fakes that serve HTTP on a loopback port, and what they do to a connection."""
+"""The base class of the fakes that serve HTTP on a loopback port, and their connections."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 LOOPBACK = "127.0.0.1"
 READ_LIMIT_BYTES = 2**18
 ACCEPT_BACKLOG = 1024
-LINGER_NO_TIME = struct.pack("ii", 1, 0)
-"""SO_LINGER that discards what was not sent, so that closing the socket sends a reset."""
+LINGER_ZERO_TIMEOUT = struct.pack("ii", 1, 0)
+"""The SO_LINGER value that discards unsent data, so that closing the socket sends a reset."""
 
 
 class Connection(NamedTuple):
@@ -26,18 +26,18 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection with a TCP reset in place of an orderly end."""
+    """Close a connection with a TCP reset in place of an orderly shutdown."""
     sock = writer.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NO_TIME)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO_TIMEOUT)
     writer.transport.abort()
 
 
 class FakeServer:
-    """Listens on a loopback port. A subclass says what happens on a connection.
+    """Listens on a loopback port. Subclasses implement `handle_connection`.
 
     Attributes:
-        address: Where it listens; without meaning before `start`.
-        connections: In the order in which the subclass added them.
+        address: Address on which it listens; without meaning before `start`.
+        connections: Connections that the subclass keeps, in the order in which it added them.
     """
 
     def __init__(self) -> None:
@@ -55,14 +55,14 @@
             self.stop()
 
     async def start(self, port: int = 0) -> None:
-        """Listen on `port`; 0 for any that is free."""
+        """Listen on `port`; 0: any free port."""
         self._server = await asyncio.start_server(
             self.handle_connection, LOOPBACK, port, limit=READ_LIMIT_BYTES, backlog=ACCEPT_BACKLOG
         )
         self.address = Address(*self._server.sockets[0].getsockname())
 
     def stop(self) -> None:
-        """Close the listener, and drop all connections."""
+        """Close the listener, and abort all connections."""
         if self._server:
             self._server.close()
         for connection in self.connections:
--- a/anisespool/fakes/syslog/__init__.py
+++ b/anisespool/fakes/syslog/__init__.py
@@ -1,9 +1,9 @@
-"""A strict receiver of syslog messages, written from the specifications alone.
+"""A strict receiver of syslog messages, written from the RFCs alone.
 
-`parser` reads one message by the whole ABNF of RFC 5424, section 6; `framing` divides a stream into messages
-(RFC 6587); `receiver` listens by UDP (RFC 5426), TCP (RFC 6587), TLS (RFC 5425) or at a Unix socket, and can
-stall, read a few bytes at a time and reset connections. `python -m anisespool.fakes.syslog` runs one as a
-process.
+`parser` parses one message by the whole ABNF of RFC 5424, section 6; `framing` splits a stream into messages
+(RFC 6587); `receiver` receives by UDP (RFC 5426), TCP (RFC 6587), TLS (RFC 5425) or from a Unix socket, and
+can stall, read a few bytes at a time and reset connections. `python -m anisespool.fakes.syslog` runs a
+receiver as a process.
 """
 
 from __future__ import annotations
--- a/anisespool/fakes/syslog/__main__.py
+++ b/anisespool/fakes/syslog/__main__.py
@@ -1,7 +1,7 @@
 """A receiver as a process: `python -m anisespool.fakes.syslog udp|tcp`.
 
-It prints its address as JSON. Each line that it reads is `stall`, `go on` or `count`; the last is answered
-with a line of JSON. It ends at an empty line or the end of its input.
+It prints its address as JSON, and reads one command per line: `stall` stops receiving, `go on` resumes it,
+and `count` prints the counts as a line of JSON. It ends at an empty line or the end of its input.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """Counts messages by MSGID, and adds up the numbers in gap reports.
 
     Attributes:
-        counts: By MSGID, and by `gap.` and the parameter's name.
+        counts: Messages by MSGID; sums of numbers in gap reports by `gap.` and the parameter's name.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
 
 
 def counts_report(receiver: Receiver, counter: MessageCounter) -> dict[str, Any]:
-    """The answer to `count`."""
+    """Return the object that the command `count` prints."""
     return {
         "count": receiver.message_count,
         "faults": receiver.errors[:MAX_REPORTED_ERRORS],
@@ -51,7 +51,7 @@
 
 
 async def main(transport: str) -> None:
-    """Receive by `udp` or `tcp` until there is no more command."""
+    """Receive by `udp` or `tcp`, and run commands until there are no more."""
     loop = asyncio.get_running_loop()
     counter = MessageCounter()
     receiver = Receiver()
--- a/anisespool/fakes/syslog/framing.py
+++ b/anisespool/fakes/syslog/framing.py
@@ -1,4 +1,4 @@
-"""Divides a stream into syslog messages (RFC 6587): by octet counting, or by newlines."""
+"""Splits a stream into syslog messages (RFC 6587), by octet counting or by newlines."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class FrameDecoder:
-    """Collects the octets of one connection until they are complete frames.
+    """Splits the octets of one connection into frames.
 
     Attributes:
         incomplete: Octets of a frame that is not complete yet; at the end of the stream they are no message.
     """
 
     def __init__(self, is_octet_counted: bool) -> None:
-        """Create a decoder of frames with octet counting, or of frames that newlines end."""
+        """Create a decoder of frames with octet counting, or otherwise of frames that end with a newline."""
         self.incomplete = b""
         self._next_frame = self._next_counted if is_octet_counted else self._next_line
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are complete with these octets.
+        """Add octets, and return the messages that they complete.
 
         Raises:
-            SyslogError: A length is no MSG-LEN (RFC 6587, 3.4.1).
+            SyslogError: A length is not a valid MSG-LEN (RFC 6587, 3.4.1).
         """
         self.incomplete += data
         frames = []
--- a/anisespool/fakes/syslog/parser.py
+++ b/anisespool/fakes/syslog/parser.py
@@ -1,38 +1,38 @@
-"""A parser of syslog messages: the ABNF of RFC 5424, section 6, without leniency."""
+"""A strict parser of syslog messages by the ABNF of RFC 5424, section 6, and nothing beyond it."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 REGISTERED_SD_IDS = frozenset({"timeQuality", "origin", "meta"})
-"""Those without an enterprise number (RFC 5424, 7)."""
+"""The SD-IDs without an enterprise number (RFC 5424, 7)."""
 BOM = b"\xef\xbb\xbf"
 SD_NAME_DELIMITERS = b'= ]"'
-"""Not allowed in an SD-NAME (RFC 5424, 6)."""
+"""Characters that an SD-NAME may not contain (RFC 5424, 6)."""
 MAX_SD_NAME_LENGTH = 32
 ERROR_EXCERPT_BYTES = 12
 LONG_MONTHS = (1, 3, 5, 7, 8, 10, 12)
 
 
 class SyslogError(ValueError):
-    """The input does not follow the grammar; the text says at which octet, what was found and what wanted."""
+    """The input violates the grammar; the text names the octet, what was found and what was wanted."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A parsed message. An absent field (NILVALUE) is "-".
+    """A parsed message. The value of an absent field (NILVALUE) is "-".
 
     Attributes:
-        facility: 0 to 23.
-        severity: 0 to 7.
-        timestamp: As it was sent.
-        host: HOSTNAME.
-        app: APP-NAME.
-        procid: PROCID.
-        msgid: MSGID.
-        structured_data: Parameters without their escapes, by SD-ID.
-        text: MSG without its byte order mark; None: there is none.
-        is_utf8: MSG began with a byte order mark.
+        facility: Facility, 0 to 23.
+        severity: Severity, 0 to 7.
+        timestamp: TIMESTAMP as it was sent.
+        host: The HOSTNAME.
+        app: The APP-NAME.
+        procid: The PROCID.
+        msgid: The MSGID.
+        structured_data: Names and values of parameters, without escapes, by SD-ID.
+        text: MSG without its byte order mark; None: there is no MSG.
+        is_utf8: Whether MSG began with a byte order mark.
     """
 
     facility: int
@@ -47,7 +47,7 @@
     is_utf8: bool
 
     def params(self, sd_id: str) -> dict[str, str]:
-        """The parameters of an element by name; empty if there is no such element."""
+        """Return the parameters of an element by name; empty: there is no such element."""
         return dict(self.structured_data.get(sd_id, ()))
 
 
@@ -55,7 +55,7 @@
     """Parse one SYSLOG-MSG (RFC 5424, 6).
 
     Raises:
-        SyslogError: It does not follow the grammar.
+        SyslogError: The message violates the grammar.
     """
     scanner = _Scanner(data)
     priority = _parse_priority(scanner)
@@ -90,28 +90,28 @@
         self.position = 0
 
     def error(self, wanted: str) -> SyslogError:
-        """The error of what is found here, where `wanted` is wanted."""
+        """Return the error that `wanted` was not found at this position."""
         found = self.data[self.position : self.position + ERROR_EXCERPT_BYTES]
         return SyslogError(f"octet {self.position}: found {found!r}, wanted {wanted}")
 
     def peek(self) -> bytes:
-        """The next octet; empty at the end."""
+        """Return the next octet; empty at the end."""
         return self.data[self.position : self.position + 1]
 
     def accept(self, octet: bytes) -> bool:
-        """Consume the next octet if it is this one."""
+        """Consume the next octet if it is `octet`, and return whether it is."""
         if self.peek() != octet:
             return False
         self.position += 1
         return True
 
     def expect(self, octet: bytes) -> None:
-        """Consume the next octet, which has to be this one."""
+        """Consume the next octet, which has to be `octet`."""
         if not self.accept(octet):
             raise self.error(repr(octet.decode()))
 
-    def digits(self, min_length: int, max_length: int, minimum: int, maximum: int, wanted: str) -> int:
-        """Consume a number with so many digits, in a range that includes both ends."""
+    def read_number(self, min_length: int, max_length: int, minimum: int, maximum: int, wanted: str) -> int:
+        """Consume a number within inclusive limits of length and value."""
         begin = self.position
         while self.position - begin < max_length and self.peek().isdigit():
             self.position += 1
@@ -121,8 +121,8 @@
             raise self.error(wanted)
         return int(text)
 
-    def printable(self, max_length: int, wanted: str, excluded: bytes = b"") -> str:
-        """At least one PRINTUSASCII (%d33-126) that is not excluded."""
+    def read_printable(self, max_length: int, wanted: str, excluded: bytes = b"") -> str:
+        """Consume one or more PRINTUSASCII (%d33-126) that are not `excluded`."""
         begin = self.position
         while (octet := self.peek()) and 33 <= octet[0] <= 126 and octet not in excluded:
             self.position += 1
@@ -135,7 +135,7 @@
 def _parse_priority(scanner: _Scanner) -> int:
     scanner.expect(b"<")
     begin = scanner.position
-    priority = scanner.digits(1, 3, 0, 191, "PRIVAL, 0 to 191")
+    priority = scanner.read_number(1, 3, 0, 191, "PRIVAL, 0 to 191")
     if scanner.position - begin > 1 and scanner.data[begin : begin + 1] == b"0":
         raise scanner.error("PRIVAL without a leading zero")
     scanner.expect(b">")
@@ -143,13 +143,13 @@
 
 
 def _parse_version(scanner: _Scanner) -> None:
-    if scanner.digits(1, 3, 1, 999, "VERSION") != 1:
+    if scanner.read_number(1, 3, 1, 999, "VERSION") != 1:
         raise scanner.error("VERSION 1")
     scanner.expect(b" ")
 
 
 def _parse_header_field(scanner: _Scanner, max_length: int, name: str) -> str:
-    value = scanner.printable(max_length, name)
+    value = scanner.read_printable(max_length, name)
     scanner.expect(b" ")
     return value
 
@@ -158,17 +158,17 @@
     begin = scanner.position
     if scanner.accept(b"-"):
         return "-"
-    year = scanner.digits(4, 4, 0, 9999, "DATE-FULLYEAR")
+    year = scanner.read_number(4, 4, 0, 9999, "DATE-FULLYEAR")
     scanner.expect(b"-")
-    month = scanner.digits(2, 2, 1, 12, "DATE-MONTH")
+    month = scanner.read_number(2, 2, 1, 12, "DATE-MONTH")
     scanner.expect(b"-")
-    scanner.digits(2, 2, 1, _days_in_month(year, month), "DATE-MDAY")
+    scanner.read_number(2, 2, 1, _days_in_month(year, month), "DATE-MDAY")
     scanner.expect(b"T")
     _parse_hours_and_minutes(scanner)
     scanner.expect(b":")
-    scanner.digits(2, 2, 0, 59, "TIME-SECOND")
+    scanner.read_number(2, 2, 0, 59, "TIME-SECOND")
     if scanner.accept(b"."):
-        scanner.digits(1, 6, 0, 999_999, "TIME-SECFRAC")
+        scanner.read_number(1, 6, 0, 999_999, "TIME-SECFRAC")
     if not scanner.accept(b"Z"):
         if not (scanner.accept(b"+") or scanner.accept(b"-")):
             raise scanner.error("TIME-OFFSET")
@@ -177,9 +177,9 @@
 
 
 def _parse_hours_and_minutes(scanner: _Scanner) -> None:
-    scanner.digits(2, 2, 0, 23, "TIME-HOUR")
+    scanner.read_number(2, 2, 0, 23, "TIME-HOUR")
     scanner.expect(b":")
-    scanner.digits(2, 2, 0, 59, "TIME-MINUTE")
+    scanner.read_number(2, 2, 0, 59, "TIME-MINUTE")
 
 
 def _days_in_month(year: int, month: int) -> int:
@@ -205,7 +205,7 @@
 
 
 def _parse_sd_id(scanner: _Scanner) -> str:
-    sd_id = scanner.printable(MAX_SD_NAME_LENGTH, "SD-ID", SD_NAME_DELIMITERS)
+    sd_id = scanner.read_printable(MAX_SD_NAME_LENGTH, "SD-ID", SD_NAME_DELIMITERS)
     name, at, number = sd_id.partition("@")
     if not at and sd_id not in REGISTERED_SD_IDS:
         raise scanner.error("an SD-ID that is registered, or has an enterprise number")
@@ -217,7 +217,7 @@
 def _parse_params(scanner: _Scanner) -> list[tuple[str, str]]:
     params = []
     while scanner.accept(b" "):
-        name = scanner.printable(MAX_SD_NAME_LENGTH, "PARAM-NAME", SD_NAME_DELIMITERS)
+        name = scanner.read_printable(MAX_SD_NAME_LENGTH, "PARAM-NAME", SD_NAME_DELIMITERS)
         scanner.expect(b"=")
         scanner.expect(b'"')
         params.append((name, _parse_param_value(scanner)))
@@ -225,11 +225,11 @@
 
 
 def _parse_param_value(scanner: _Scanner) -> str:
-    """A PARAM-VALUE without its escapes, and the quotation mark that ends it."""
+    """Consume a PARAM-VALUE and its closing quotation mark, and return it without escapes."""
     value = bytearray()
     while not scanner.accept(b'"'):
         if scanner.peek() in (b"", b"]"):
-            raise scanner.error("PARAM-VALUE, ']' escaped")
+            raise scanner.error("PARAM-VALUE with ']' escaped")
         if scanner.peek() == b"\\":
             following = scanner.data[scanner.position + 1 : scanner.position + 2]
             if following not in (b'"', b"\\", b"]"):
@@ -244,7 +244,7 @@
 
 
 def _parse_text(scanner: _Scanner) -> tuple[bytes | None, bool]:
-    """MSG without its byte order mark, and whether it had one."""
+    """Return MSG without its byte order mark, and whether it had one."""
     if scanner.position == len(scanner.data):
         return None, False
     scanner.expect(b" ")
@@ -255,5 +255,5 @@
     try:
         text.decode()
     except UnicodeDecodeError:
-        raise scanner.error("UTF-8-STRING behind a BOM") from None
+        raise scanner.error("UTF-8-STRING after a BOM") from None
     return text, True
--- a/anisespool/fakes/syslog/receiver.py
+++ b/anisespool/fakes/syslog/receiver.py
@@ -1,4 +1,4 @@
-"""A receiver of syslog messages that can stall, read slowly, reset connections, and go away and come back."""
+"""A receiver of syslog messages that can stall, read slowly, reset connections, and stop listening."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any, Self
 
 from anisespool.config.platform import Address
-from anisespool.fakes.server import LINGER_NO_TIME, LOOPBACK
+from anisespool.fakes.server import LINGER_ZERO_TIMEOUT, LOOPBACK
 from anisespool.fakes.syslog.framing import FrameDecoder
 from anisespool.fakes.syslog.parser import Message, SyslogError, parse
 
@@ -25,13 +25,13 @@
 
 @dataclass(slots=True)
 class ReceiverOptions:
-    """How it reads. All but the buffer and the framing may change while it runs.
+    """How a receiver reads. All options but the buffer and the framing may change while it runs.
 
     Attributes:
-        is_octet_counted: The framing of streams; otherwise newlines end messages.
-        is_reading: False: connections are accepted, and nothing is read.
-        max_read_bytes: How much it reads at a time.
-        reset_after_bytes: Of a connection; 0: never.
+        is_octet_counted: Whether streams are framed by octet counting; otherwise newlines end messages.
+        is_reading: Whether connections are read; otherwise they are only accepted.
+        max_read_bytes: Maximum number of bytes read at a time.
+        reset_after_bytes: Bytes received after which a connection is reset; 0: never.
         receive_buffer_bytes: SO_RCVBUF; 0: the default.
     """
 
@@ -43,19 +43,19 @@
 
 
 class Receiver:
-    """Receives messages by one transport, and counts what becomes of them.
+    """Receives messages by one transport, and counts them and their errors.
 
     Attributes:
         options: How it reads.
-        on_message: Called with each message; without it they are collected in `messages`.
-        messages: In order.
-        errors: One line for each message or frame that broke the grammar.
-        message_count: Valid messages.
-        connection_count: Connections that were opened.
-        truncated_streams: Connections that ended within a frame.
-        unread_messages: Complete messages that had arrived when it reset their connection, and were not read.
-        address: Where it listens.
-        path: Of its Unix socket; empty: none.
+        on_message: Called with each message; None: messages are collected in `messages`.
+        messages: Collected messages, in order.
+        errors: One line for each message or frame that violated the grammar.
+        message_count: Number of valid messages.
+        connection_count: Number of connections that were opened.
+        truncated_streams: Number of connections that ended within a frame.
+        unread_messages: Number of complete messages left unread when their connection was reset.
+        address: Address on which it listens.
+        path: Path of the Unix socket; empty: none.
     """
 
     def __init__(self, options: ReceiverOptions | None = None) -> None:
@@ -79,7 +79,7 @@
 
     @asynccontextmanager
     async def stream(self, tls: ssl.SSLContext | None = None) -> AsyncIterator[Self]:
-        """Listen by TCP, or TLS over it, until the block ends."""
+        """Listen on TCP, with TLS if `tls` is given, until the block ends."""
         self._tls = tls
         await self.listen()
         try:
@@ -89,7 +89,7 @@
 
     @asynccontextmanager
     async def datagrams(self, path: Path | None = None) -> AsyncIterator[Self]:
-        """Receive by UDP, or at a Unix socket, until the block ends."""
+        """Receive by UDP, or from a Unix socket at `path`, until the block ends."""
         sock = socket.socket(socket.AF_UNIX if path else socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         buffer_bytes = self.options.receive_buffer_bytes or DATAGRAM_BUFFER_BYTES
@@ -115,7 +115,7 @@
         return self._listener is not None
 
     async def listen(self) -> None:
-        """Accept connections, at the port that it had before if it had one."""
+        """Accept connections, each time on the same port."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if self.options.receive_buffer_bytes:
@@ -137,7 +137,7 @@
             stream.reset()
 
     def set_reading(self, is_reading: bool) -> None:
-        """Stall, or continue to read."""
+        """Stall, or resume reading."""
         self.options.is_reading = is_reading
         for stream in self._streams:
             stream.update_reading()
@@ -148,12 +148,12 @@
                 loop.add_reader(sock, self._receive_datagrams, sock)
 
     async def wait_until_disconnected(self) -> None:
-        """Return once all connections have ended, by their senders."""
+        """Return once the senders have ended all connections."""
         while self._streams:
             await self._no_streams.wait()
 
     def receive(self, data: bytes) -> None:
-        """Parse one message, and count or pass it on."""
+        """Parse one message, and count it and pass it on, or note the error."""
         try:
             message = parse(data)
         except SyslogError as error:
@@ -166,13 +166,13 @@
             self.messages.append(message)
 
     def add_stream(self, stream: _Stream) -> None:
-        """Note a connection that was opened."""
+        """Add a connection that was opened."""
         self.connection_count += 1
         self._streams.add(stream)
         self._no_streams.clear()
 
     def remove_stream(self, stream: _Stream) -> None:
-        """Note a connection that has ended."""
+        """Remove a connection that has ended."""
         self._streams.discard(stream)
         if not self._streams:
             self._no_streams.set()
@@ -191,7 +191,7 @@
     def _on_handshake_done(self, task: asyncio.Task[Any]) -> None:
         self._handshakes.discard(task)
         if not task.cancelled():
-            task.exception()  # retrieved, so that asyncio does not log it: the sender reports why it failed
+            task.exception()  # retrieved, so that asyncio does not log it: the sender reports the failure
 
     def _receive_datagrams(self, sock: socket.socket) -> None:
         for _ in range(DATAGRAMS_PER_EVENT):
@@ -202,25 +202,25 @@
 
 
 class _Stream(asyncio.BufferedProtocol):
-    """One sender's connection."""
+    """The connection of one sender."""
 
     def __init__(self, receiver: Receiver) -> None:
         self._receiver = receiver
         self._decoder = FrameDecoder(receiver.options.is_octet_counted)
-        self._buffer = memoryview(bytearray(MAX_READ_BYTES))  # asyncio's TLS slices it and writes into that
+        self._buffer = memoryview(bytearray(MAX_READ_BYTES))  # asyncio's TLS writes into slices of it
         self._transport: asyncio.Transport | None = None
         self._received_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open, after a TLS handshake if there is one."""
+        """Add the connection, which is open and past any TLS handshake."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._receiver.add_stream(self)
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Read, or pause, as the receiver's options say."""
-        if self._transport is None:  # it has ended, and is about to be removed
+        """Read, or pause, according to the receiver's options."""
+        if self._transport is None:  # the connection has ended, and is removed next
             return
         if self._receiver.options.is_reading:
             self._transport.resume_reading()
@@ -228,11 +228,11 @@
             self._transport.pause_reading()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where to read to, and so how much at most."""
+        """Return the buffer to read into; its size limits the read."""
         return self._buffer[: self._receiver.options.max_read_bytes]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take what was read; reset the connection if that is to happen now."""
+        """Process the bytes read, and reset the connection if it reached its limit."""
         self._receive(bytes(self._buffer[:nbytes]))
         self._received_bytes += nbytes
         limit_bytes = self._receiver.options.reset_after_bytes
@@ -248,7 +248,7 @@
             self.reset()
 
     def reset(self) -> None:
-        """Reset the connection. Complete messages that had arrived and were not read are counted."""
+        """Reset the connection, and count the complete messages that were not read."""
         transport = self._transport
         self._transport = None
         if transport is None:
@@ -256,7 +256,7 @@
         sock = transport.get_extra_info("socket")
         if not transport.get_extra_info("ssl_object"):
             self._count_unread(sock.fileno())
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NO_TIME)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO_TIMEOUT)
         transport.abort()
 
     def _count_unread(self, descriptor: int) -> None:
@@ -268,11 +268,11 @@
                 pass
 
     def eof_received(self) -> None:
-        """The sender has ended; asyncio closes the transport, which can no longer be paused."""
+        """Drop the transport: asyncio closes it, and it can no longer be paused."""
         self._transport = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, however it did."""
+        """Remove the connection, and count it if it ended within a frame."""
         self._transport = None
         self._receiver.remove_stream(self)
         self._receiver.truncated_streams += bool(self._decoder.incomplete)
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -1,4 +1,4 @@
-"""The fake discovery service streams the endpoint list, its changes, and its outages."""
+"""The fake discovery service streams the endpoint list and its changes, and has outages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def read_update(connection: Connection) -> Any:
-    """The line of the next chunk."""
+    """Return the decoded line of the next chunk."""
     size = int(await connection.reader.readuntil(b"\r\n"), 16)
     chunk = await connection.reader.readexactly(size + 2)
     return json.loads(chunk)
@@ -67,7 +67,7 @@
         watch.writer.close()
 
 
-@pytest.mark.parametrize("outage", [Outage.RESET, "refused"])  # the second is a word of the lab
+@pytest.mark.parametrize("outage", [Outage.RESET, "refused"])  # the lab's name for a link fault
 async def test_any_other_outage_resets_open_and_new_watches(outage: str) -> None:
     async with DiscoveryService([OLD]).serve() as service:
         watch = await open_watch(service)
--- a/tests/fakes/test_gossip_process.py
+++ b/tests/fakes/test_gossip_process.py
@@ -1,4 +1,4 @@
-"""The gossip process reads the file that the lab writes, and believes what its mutation lets it believe."""
+"""The gossip process: its configuration file, its protocol, and the effects of its mutations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from anisespool.config.platform import Address
-from anisespool.fakes.gossip_process import MUTATIONS, ROW, GossipConfig, GossipNode, Mutation
+from anisespool.fakes.gossip_process import HEARTBEAT_FORMAT, MUTATIONS, GossipConfig, GossipNode, Mutation
 
 PEERS = [["127.0.0.1", 7001], ["127.0.0.1", 7002], ["127.0.0.1", 7003]]
 RAW = {
@@ -23,7 +23,7 @@
 
 
 class RecordingTransport:
-    """Keeps the datagrams in place of sending them."""
+    """Stores datagrams in place of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[bytes, Address]] = []
@@ -40,13 +40,15 @@
 
 
 def alive_after(node: GossipNode, *datagrams: tuple[int, list[tuple[int, int, int]]]) -> list[int]:
-    """The members considered alive after datagrams, each a sender and its rows."""
-    for sender, rows in datagrams:
-        node.datagram_received(b"".join(ROW.pack(*row) for row in rows), tuple(PEERS[sender]))
+    """Return the members considered alive after datagrams, each a sender and its heartbeats."""
+    for sender, heartbeats in datagrams:
+        node.datagram_received(
+            b"".join(HEARTBEAT_FORMAT.pack(*heartbeat) for heartbeat in heartbeats), tuple(PEERS[sender])
+        )
     return node.alive_members()
 
 
-def test_the_file_is_parsed() -> None:
+def test_the_configuration_file_is_parsed() -> None:
     config = GossipConfig.from_json(json.dumps(RAW | {"spoilt": "keeps-the-dead"}))
     assert config == GossipConfig(
         number=0,
@@ -58,22 +60,22 @@
     )
 
 
-def test_an_unknown_mutation_ends_the_process_with_the_known_ones() -> None:
-    with pytest.raises(SystemExit, match=r"no mutation 'none'.*hears-only-itself, keeps-the-dead"):
+def test_an_unknown_mutation_ends_the_process_with_an_error_that_lists_the_mutations() -> None:
+    with pytest.raises(SystemExit, match=r"unknown mutation 'none'.*hears-only-itself, keeps-the-dead"):
         GossipConfig.from_json(json.dumps(RAW | {"spoilt": "none"}))
     assert MUTATIONS[0] == ""
 
 
 @pytest.mark.parametrize(("mutation", "expected"), [("", [1, 2]), ("hears-only-itself", [1])])
-def test_a_member_learns_of_others_through_a_third(mutation: str, expected: list[int]) -> None:
+def test_a_member_learns_of_others_from_relayed_heartbeats(mutation: str, expected: list[int]) -> None:
     node, _ = create_node(mutation)
     assert alive_after(node, (1, [(1, 1, 5), (2, 1, 5), (9, 1, 5)])) == expected
 
 
-def test_datagrams_from_strangers_or_of_another_length_are_ignored() -> None:
+def test_datagrams_from_unknown_senders_or_of_invalid_length_are_ignored() -> None:
     node, _ = create_node()
-    node.datagram_received(ROW.pack(1, 1, 1), ("127.0.0.1", 1))
-    node.datagram_received(ROW.pack(1, 1, 1)[:-1], tuple(PEERS[1]))
+    node.datagram_received(HEARTBEAT_FORMAT.pack(1, 1, 1), ("127.0.0.1", 1))
+    node.datagram_received(HEARTBEAT_FORMAT.pack(1, 1, 1)[:-1], tuple(PEERS[1]))
     assert node.alive_members() == []
 
 
@@ -88,23 +90,25 @@
     events = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert [event["what"] for event in events] == (["view"] if expected else ["dead", "view"])
     assert events[-1]["view"] == ("0,1" if expected else "0")
-    assert alive_after(node, (1, [(1, 1, 4)])) == expected  # an older counter shows nothing
+    assert alive_after(node, (1, [(1, 1, 4)])) == expected  # an older counter does not revive a member
     assert alive_after(node, (1, [(1, 2, 1)])) == [1]  # a later boot supersedes any counter
 
 
 @pytest.mark.parametrize(("mutation", "units"), [("", 1.0), ("splits-by-view", 1.5)])
-def test_its_share_of_the_budget_does_not_depend_on_its_view(mutation: str, units: float) -> None:
+def test_the_reserved_share_of_the_budget_does_not_depend_on_the_view(mutation: str, units: float) -> None:
     node, transport = create_node(mutation)
     alive_after(node, (1, [(1, 1, 1)]))
-    node.take_budget()
-    order: dict[str, Any] = json.loads(transport.sent[0][0])
-    assert order == {"member": 0, "units": units, "hold_s": 0.2}
+    node.reserve_budget_share()
+    reservation: dict[str, Any] = json.loads(transport.sent[0][0])
+    assert reservation == {"member": 0, "units": units, "hold_s": 0.2}
     assert transport.sent[0][1] == Address("127.0.0.1", 7010)
 
 
-def test_heartbeats_carry_its_own_counter_and_those_of_living_members() -> None:
+def test_datagrams_carry_the_own_heartbeat_and_those_of_living_members() -> None:
     node, transport = create_node()
     alive_after(node, (1, [(1, 1, 5)]))
     node.send_heartbeats()
     assert {address.port for _, address in transport.sent} == {7002, 7003}
-    assert {data for data, _ in transport.sent} == {ROW.pack(0, 1, 1) + ROW.pack(1, 1, 5)}
+    assert {data for data, _ in transport.sent} == {
+        HEARTBEAT_FORMAT.pack(0, 1, 1) + HEARTBEAT_FORMAT.pack(1, 1, 5)
+    }
--- a/tests/fakes/test_http1.py
+++ b/tests/fakes/test_http1.py
@@ -10,7 +10,7 @@
 
 
 def reader_of(data: bytes) -> asyncio.StreamReader:
-    """A reader of a connection that the peer closes after `data`."""
+    """Return a reader of a connection that the peer closes after `data`."""
     reader = asyncio.StreamReader()
     reader.feed_data(data)
     reader.feed_eof()
@@ -75,7 +75,7 @@
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
     ],
 )
-async def test_a_connection_that_ends_within_a_message_is_not_malformed(data: bytes) -> None:
+async def test_a_connection_that_ends_before_or_within_a_message_raises_eof_error(data: bytes) -> None:
     with pytest.raises(EOFError):
         await http1.read_request(reader_of(data))
 
--- a/tests/fakes/test_load.py
+++ b/tests/fakes/test_load.py
@@ -18,23 +18,23 @@
 
 
 async def run_client(endpoint: CountingEndpoint, seed: int = 1) -> ClientLog:
-    """The requests of one client to an endpoint that listens already."""
-    load = ClientLog()
-    client = Client(endpoint.address, load, seed, "c")
+    """Return the log of one client that sends to a listening endpoint."""
+    log = ClientLog()
+    client = Client(endpoint.address, log, seed, "c")
     await client.run(RATE_PER_S, time.monotonic() + DURATION_S)
-    return load
+    return log
 
 
-async def test_every_request_is_served_once_and_on_reused_connections() -> None:
+async def test_every_request_is_served_and_executed_once() -> None:
     async with CountingEndpoint("e", service_s=0.001).serve() as endpoint:
-        load = await run_client(endpoint)
-        assert len(load.requests) > 10
-        assert {request.outcome for request in load.requests} == {ClientOutcome.SERVED}
+        log = await run_client(endpoint)
+        assert len(log.requests) > 10
+        assert {request.outcome for request in log.requests} == {ClientOutcome.SERVED}
         assert set(endpoint.log.executions_by_trace_id().values()) == {1}
-        assert len(endpoint.log.arrivals_s) == len(load.requests)
-        assert all(verdict.kept for verdict in check_rules(load.requests, [endpoint], [], []))
-        assert sum(counts["served"] for counts in load.outcomes_by_class().values()) == len(load.requests)
-        assert set(load.outcomes_by_class()) == {row.name for row in REQUEST_CLASSES}
+        assert len(endpoint.log.arrivals_s) == len(log.requests)
+        assert all(verdict.kept for verdict in check_rules(log.requests, [endpoint], [], []))
+        assert sum(counts["served"] for counts in log.outcomes_by_class().values()) == len(log.requests)
+        assert set(log.outcomes_by_class()) == {row.name for row in REQUEST_CLASSES}
 
 
 @pytest.mark.parametrize(
@@ -50,23 +50,23 @@
 ) -> None:
     async with CountingEndpoint("e", service_s=0.001).serve() as endpoint:
         endpoint.faults = faults
-        load = await run_client(endpoint)
-        assert {request.outcome for request in load.requests} == {expected}
+        log = await run_client(endpoint)
+        assert {request.outcome for request in log.requests} == {expected}
         assert bool(endpoint.log.executions) == executed
 
 
 async def test_each_nth_request_is_rejected() -> None:
     async with CountingEndpoint("e", service_s=0.001).serve() as endpoint:
         endpoint.faults.reject_every_nth = 3
-        load = await run_client(endpoint)
-        rejected = sum(request.outcome is ClientOutcome.REJECTED for request in load.requests)
+        log = await run_client(endpoint)
+        rejected = sum(request.outcome is ClientOutcome.REJECTED for request in log.requests)
         assert rejected == len(endpoint.log.arrivals_s) // 3 > 0
 
 
-async def test_an_endpoint_queues_and_rejects_what_exceeds_its_slots_and_reports_its_load() -> None:
+async def test_an_endpoint_queues_and_rejects_requests_beyond_its_slots_and_reports_its_load() -> None:
     async with CountingEndpoint("e", slots=1, service_s=0.1, max_queued=1).serve() as endpoint:
         responses = []
-        writers = []  # an unused one would be closed
+        writers = []  # an unreferenced one would be closed
         for _ in range(3):
             reader, writer = await asyncio.open_connection(*endpoint.address)
             writers.append(writer)
@@ -111,5 +111,5 @@
     ("status", "expected"),
     [(200, "served"), (429, "refused"), (503, "refused"), (502, "failed"), (0, "failed")],
 )
-def test_an_outcome_follows_from_the_status(status: int, expected: str) -> None:
+def test_the_outcome_follows_from_the_status(status: int, expected: str) -> None:
     assert ClientRequest("t", "send-one", 0.0, status=status).outcome == expected
--- a/tests/fakes/test_rule_checker.py
+++ b/tests/fakes/test_rule_checker.py
@@ -50,10 +50,10 @@
         ({"status": 503, "is_echoed": False}, {EFFECTS}),  # rejected, although it had been executed
         ({"status": 429, "is_echoed": False}, {EFFECTS}),
         ({"status": 502, "is_echoed": False}, set()),
-        ({"status": 503, "is_echoed": False, "request_class": "token-lookup"}, set()),  # idempotent
+        ({"status": 503, "is_echoed": False, "request_class": "token-lookup"}, set()),  # an idempotent class
     ],
 )
-def test_a_request_that_was_executed_once(changes: dict[str, Any], expected: set[str]) -> None:
+def test_rules_for_a_request_that_was_executed_once(changes: dict[str, Any], expected: set[str]) -> None:
     request = replace(SERVED, **changes)
     endpoint = endpoint_with(executions=[Execution("t1", request.request_class, 1.0)])
     assert broken_rules(check_rules([request], [endpoint], [], [])) == expected
@@ -88,17 +88,17 @@
     assert broken_rules(check_rules([], [endpoint], [drain], [])) == expected
 
 
-def test_a_drain_that_does_not_end_has_no_last_moment() -> None:
+def test_a_drain_without_an_end_covers_all_later_arrivals() -> None:
     endpoint = endpoint_with()
     endpoint.log.arrivals_s = [1000.0]
     assert broken_rules(check_rules([], [endpoint], [Drain(endpoint, 2.0)], [])) == {DRAINS}
 
 
 @pytest.mark.parametrize(("interval_s", "expected"), [(0.3, set()), (0.01, {SLOW_STARTS})])
-def test_a_restarted_endpoint_may_not_receive_three_times_its_capacity(
+def test_a_restarted_endpoint_may_not_receive_more_than_three_times_its_capacity(
     interval_s: float, expected: set[str]
 ) -> None:
-    """It executes 10 requests per second, and 1.5 of them just after its start."""
+    """The endpoint's capacity is 10 requests per second, and 1.5 just after its start."""
     endpoint = endpoint_with(slots=1, service_s=0.1, slow_start_s=20.0)
     endpoint.log.arrivals_s = [interval_s * index for index in range(10)]
     assert broken_rules(check_rules([], [endpoint], [], [endpoint])) == expected
--- a/tests/fakes/test_syslog.py
+++ b/tests/fakes/test_syslog.py
@@ -1,4 +1,4 @@
-"""The fake syslog receiver reads what the specifications allow, and nothing else."""
+"""The fake syslog receiver accepts what the RFCs allow, and nothing else."""
 
 from __future__ import annotations
 
@@ -124,7 +124,7 @@
     [  # RFC 5424, 6.3.5
         (b'[exampleSDID@32473 iut="3" eventSource="Application" eventID="1011"]', True),
         (b'[exampleSDID@32473 iut="3"][examplePriority@32473 class="high"]', True),
-        (b'[exampleSDID@32473 iut="3"] [examplePriority@32473 class="high"]', True),  # the second is text
+        (b'[exampleSDID@32473 iut="3"] [examplePriority@32473 class="high"]', True),  # the second is in MSG
         (b'[ exampleSDID@32473 iut="3"][examplePriority@32473 class="high"]', False),
         (b"[sigSig@32473]", True),
         (b'[a@1 b="\xff"]', False),
@@ -141,7 +141,7 @@
             parse(data)
 
 
-def test_escapes_in_a_parameter_are_undone() -> None:
+def test_escapes_in_a_parameter_are_removed() -> None:
     message = parse(rb'<34>1 - - - - - [a@1 b="\"\\\]"]')
     assert message.params("a@1") == {"b": '"\\]'}
     assert message.params("none@1") == {}
@@ -149,12 +149,12 @@
 
 def test_text_with_a_byte_order_mark_has_to_be_utf_8() -> None:
     assert parse(MESSAGE + b" \xff").text == b"\xff"
-    with pytest.raises(SyslogError, match="behind a BOM"):
+    with pytest.raises(SyslogError, match="after a BOM"):
         parse(MESSAGE + b" " + BOM + b"\xff")
 
 
 @pytest.mark.parametrize("data", [b"x", b"0 ", b"012 abc", b" abc", b"1234567890", b"1234567890 a", b"-1 a"])
-def test_a_length_that_is_no_number_or_too_long_is_an_error(data: bytes) -> None:
+def test_an_invalid_or_too_long_length_is_an_error(data: bytes) -> None:
     with pytest.raises(SyslogError, match="MSG-LEN"):
         FrameDecoder(is_octet_counted=True).feed(data)
 
@@ -180,14 +180,14 @@
         assert receiver.truncated_streams == 1
 
 
-async def test_a_stalled_receiver_that_disconnects_counts_the_messages_it_never_read() -> None:
+async def test_a_stalled_receiver_that_disconnects_counts_unread_messages() -> None:
     frame = b"%d %s" % (len(MESSAGE), MESSAGE)
     async with Receiver(ReceiverOptions(is_reading=False)).stream() as receiver:
         reader, writer = await asyncio.open_connection(*receiver.address)
         await wait_until(lambda: receiver.connection_count == 1)
         writer.write(3 * frame + frame[:-1])
         await writer.drain()
-        await asyncio.sleep(0.05)  # loopback delivers at once; nothing announces that it has
+        await asyncio.sleep(0.05)  # loopback delivers at once, but nothing signals the arrival
         receiver.disconnect()
         with pytest.raises(ConnectionResetError):
             await reader.read()
@@ -199,7 +199,7 @@
         assert receiver.address == address
 
 
-async def test_the_receiver_process_prints_its_address_and_answers_with_its_counts() -> None:
+async def test_the_receiver_process_prints_its_address_and_its_counts() -> None:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
