--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -1,4 +1,4 @@
-"""The fake discovery service streams the endpoint list, its changes, and its outages."""
+"""The fake discovery service streams the endpoint list and its changes, and has outages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def read_update(connection: Connection) -> Any:
-    """The line of the next chunk."""
+    """Return the decoded line of the next chunk."""
     size = int(await connection.reader.readuntil(b"\r\n"), 16)
     chunk = await connection.reader.readexactly(size + 2)
     return json.loads(chunk)
@@ -55,27 +55,27 @@
 
 async def test_a_silent_service_responds_when_the_outage_ends() -> None:
     async with DiscoveryService([OLD]).serve() as service:
-        service.cut(Outage.SILENT)
-        assert service.is_cut
+        service.set_outage(Outage.SILENT)
+        assert service.has_outage
         watch = await open_watch(service)
         await wait_until(lambda: service.watch_requests == 1)
         assert not service.connections
-        service.cut(Outage.NONE)
-        assert not service.is_cut
+        service.set_outage(Outage.NONE)
+        assert not service.has_outage
         await read_head(watch)
         assert await read_update(watch) == member_list(1, [OLD])
         watch.writer.close()
 
 
-@pytest.mark.parametrize("outage", [Outage.RESET, "refused"])  # the second is a word of the lab
+@pytest.mark.parametrize("outage", [Outage.RESET, "refused"])  # the lab's name for a link fault
 async def test_any_other_outage_resets_open_and_new_watches(outage: str) -> None:
     async with DiscoveryService([OLD]).serve() as service:
         watch = await open_watch(service)
         await read_head(watch)
         await read_update(watch)
-        service.cut(outage)
+        service.set_outage(outage)
         for connection in (watch, await open_watch(service)):
             with pytest.raises(ConnectionResetError):
                 await connection.reader.read()
             connection.writer.close()
-        assert service.is_cut
+        assert service.has_outage
