--- a/anisespool/cli/lab/arguments.py
+++ b/anisespool/cli/lab/arguments.py
@@ -122,7 +122,7 @@
         CommandError: There is no such scenario, or a key or value is invalid.
     """
     try:
-        return experiments.vary(scenario.load(name), overrides, name)
+        return experiments.with_overrides(scenario.load(name), overrides, name)
     except ScenarioError as error:
         raise CommandError(ExitStatus.USAGE_ERROR, str(error)) from None
 
--- a/anisespool/cli/lab/live_commands.py
+++ b/anisespool/cli/lab/live_commands.py
@@ -66,7 +66,7 @@
 
     title, scenario = load_scenario(name, overrides)
     run = run_with_progress(title, scenario, seed, as_json)
-    model = experiments.one(Case(title, scenario, OUR_POLICY, seed)).figures
+    model = experiments.run_case(Case(title, scenario, OUR_POLICY, seed)).figures
     reality = run.metrics.figures()
     if as_json:
         extra = {"late_ms": run.late_ms(), "cpu_s": run.cpu_s, "broken": run.broken}
--- a/anisespool/cli/lab/report_command.py
+++ b/anisespool/cli/lab/report_command.py
@@ -51,7 +51,7 @@
     from anisespool.lab import report
 
     runs = _run_all(name, options)
-    file.write_text(report.page(f"{name}, seed {options.seed}", runs))
+    file.write_text(report.render_report(f"{name}, seed {options.seed}", runs))
     for run in runs:
         _print_run(name, run, options.as_json)
     if not options.as_json:
@@ -104,4 +104,4 @@
     from anisespool.lab import report
 
     justify: JustifyMethod = "right" if figure in RIGHT_ALIGNED_FIGURES else "left"
-    return Column(figure, lambda row: report.cell(figure, row[figure]), justify)
+    return Column(figure, lambda row: report.format_cell(figure, row[figure]), justify)
--- a/anisespool/cli/lab/search_commands.py
+++ b/anisespool/cli/lab/search_commands.py
@@ -49,9 +49,9 @@
 @expand_option_groups
 def search_faults(*, options: SearchOptions) -> None:
     """Search for scenarios that break a rule, shrink them, save them. Exit 1 if there are any."""
-    from anisespool.lab.search.mutations import BREAKS
+    from anisespool.lab.search.mutations import MUTATIONS
 
-    if options.policy not in BREAKS:
+    if options.policy not in MUTATIONS:
         check_policy(options.policy)
     runs, found = _search(options)
     options.folder.mkdir(parents=True, exist_ok=True)
@@ -92,7 +92,7 @@
     path = folder / f"{found.rule.replace(' ', '-')}-{found.seed}.json"
     found.save(path)
     faults = ", ".join(fault.kind for fault in found.scenario.faults) or "none"
-    return _Find(found.what, faults, found.scenario.seconds, f"anisespool lab replay {path}")
+    return _Find(found.description, faults, found.scenario.seconds, f"anisespool lab replay {path}")
 
 
 FIND_COLUMNS: list[Column[_Find]] = [
@@ -127,11 +127,11 @@
 def _replay(path: Path, policy: str, as_json: bool) -> bool:
     """Replay one file; return whether a rule was broken."""
     from anisespool.lab.model.world import World
-    from anisespool.lab.search.findings import load
+    from anisespool.lab.search.findings import load_finding
     from anisespool.lab.search.mutations import policy_factory
 
     try:
-        found = load(path)
+        found = load_finding(path)
     except (OSError, ValueError, KeyError) as error:
         raise CommandError(ExitStatus.USAGE_ERROR, f"{path}: {error}") from None
     world = World(found.scenario, found.seed, policy_factory(policy or found.policy))
--- a/anisespool/cli/lab/simulation_commands.py
+++ b/anisespool/cli/lab/simulation_commands.py
@@ -33,7 +33,7 @@
 from anisespool.cli.tables import Column, build_table
 from anisespool.lab import experiments, scenario
 from anisespool.lab.experiments import Case, Difference
-from anisespool.lab.results import Result, Results
+from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import Scenario
 
 COMPARED_FIGURES = (*MAIN_FIGURES, "p50_ms", "p99_ms", "attempts")
@@ -110,12 +110,12 @@
 
 def _run_cases(cases: list[Case], batch: BatchOptions) -> list[Result]:
     """Run the cases that the results file doesn't have, behind a progress bar unless JSON is printed."""
-    results = Results(batch.results_path)
+    results = ResultStore(batch.results_path)
     columns = [BarColumn(), MofNCompleteColumn(), TimeRemainingColumn()]
     try:
         with output.transient_progress(*columns, quiet=batch.as_json) as progress:
             task = progress.add_task("runs", total=len(cases))
-            return experiments.many(
+            return experiments.run_cases(
                 cases, results, batch.processes or None, lambda result: progress.advance(task)
             )
     finally:
@@ -178,7 +178,7 @@
     for name in COMPARED_FIGURES:
         first_values = [float(result.figures[name]) for result in first]
         second_values = [float(result.figures[name]) for result in second]
-        difference = experiments.difference(name, first_values, second_values)
+        difference = experiments.paired_difference(name, first_values, second_values)
         yield _ComparedFigure(name, _mean(first_values), _mean(second_values), difference)
 
 
@@ -201,7 +201,7 @@
 def _print_comparison_json(first: list[Result], second: list[Result]) -> None:
     for figure in _compare(first, second):
         means = {"first": figure.first_mean, "second": figure.second_mean}
-        output.print_json(figure.difference._asdict() | means | {"shown": figure.difference.shown})
+        output.print_json(figure.difference._asdict() | means | {"shown": figure.difference.is_significant})
 
 
 def _interval(figure: _ComparedFigure) -> str:
@@ -215,7 +215,7 @@
         Column("ours", lambda figure: f"{figure.first_mean:.4g}"),
         Column(second_title, lambda figure: f"{figure.second_mean:.4g}"),
         Column("second less first", _interval),
-        Column("shown", lambda figure: "yes" if figure.difference.shown else "no difference shown"),
+        Column("shown", lambda figure: "yes" if figure.difference.is_significant else "no difference shown"),
     ]
 
 
--- a/anisespool/lab/experiments.py
+++ b/anisespool/lab/experiments.py
@@ -20,7 +20,7 @@
 from anisespool.lab.model.policies import POLICIES
 from anisespool.lab.model.timeline import Observer, ScenarioRun, utilization
 from anisespool.lab.model.world import World
-from anisespool.lab.results import Result, Results
+from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import Scenario, ScenarioError
 
 BOOTSTRAP_DRAWS = 2000
@@ -53,7 +53,7 @@
     return hashlib.blake2b(decisive + code.encode(), digest_size=12).hexdigest()
 
 
-def one(case: Case, code: str = "") -> Result:
+def run_case(case: Case, code: str = "") -> Result:
     """Makes a run in this process."""
     world = World(case.scenario, case.seed, POLICIES[case.policy])
     metrics = world.run()
@@ -68,9 +68,9 @@
     return ScenarioRun(case.name, case.scenario, metrics, observer.samples, utilization(world), world.broken)
 
 
-def many(
+def run_cases(
     cases: Iterable[Case],
-    results: Results,
+    results: ResultStore,
     processes: int | None = None,
     on_each: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
@@ -101,10 +101,10 @@
 
 def _run_all(cases: list[Case], code: str, processes: int) -> Iterator[Result]:
     if processes == 1 or len(cases) < 2:
-        yield from (one(case, code) for case in cases)
+        yield from (run_case(case, code) for case in cases)
         return
     with ProcessPoolExecutor(min(processes, len(cases))) as pool:
-        for done in as_completed([pool.submit(one, case, code) for case in cases]):
+        for done in as_completed([pool.submit(run_case, case, code) for case in cases]):
             yield done.result()
 
 
@@ -125,12 +125,12 @@
     pairs: int
 
     @property
-    def shown(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether the interval excludes that there is no difference."""
         return self.pairs > 1 and not self.low <= 0 <= self.high
 
 
-def difference(figure: str, first: list[float], second: list[float], seed: int = 1) -> Difference:
+def paired_difference(figure: str, first: list[float], second: list[float], seed: int = 1) -> Difference:
     """Bootstraps the mean difference over the pairs.
 
     Chance makes far larger differences between days than there are between policies, so that means of each
@@ -145,7 +145,7 @@
     return Difference(figure, float(gaps.mean()), float(low), float(high), len(gaps))
 
 
-def vary(scenario: Scenario, settings: Iterable[str], source: str) -> tuple[str, Scenario]:
+def with_overrides(scenario: Scenario, settings: Iterable[str], source: str) -> tuple[str, Scenario]:
     """Changes keys of a scenario.
 
     Args:
--- a/anisespool/lab/report.py
+++ b/anisespool/lab/report.py
@@ -37,14 +37,14 @@
 Draw = Callable[[Axes, Sequence[ScenarioRun]], None]
 
 
-class Drawing(NamedTuple):
+class Diagram(NamedTuple):
     """A diagram of the report."""
 
     heading: str
     draw: Draw
 
 
-def page(title: str, runs: Sequence[ScenarioRun]) -> str:
+def render_report(title: str, runs: Sequence[ScenarioRun]) -> str:
     """The whole HTML file.
 
     Args:
@@ -55,18 +55,18 @@
     parts = [
         HEAD.format(title=html.escape(title)),
         f"<h1>{html.escape(title)}</h1>",
-        f"<p>{html.escape(scenario.question)}</p><p>{html.escape(describe(scenario))}</p>",
+        f"<p>{html.escape(scenario.question)}</p><p>{html.escape(describe_scenario(scenario))}</p>",
     ]
     for number, run in enumerate(runs):
         parts.append(f'<h2 class="run{number}">{html.escape(run.name)}</h2>{_table(run)}')
         if run.broken:
             parts.append(f'<p class="broken">{html.escape(run.broken)}</p>')
-    for heading, draw in DRAWINGS:
+    for heading, draw in DIAGRAMS:
         parts.append(f"<h2>{heading}</h2>{_picture(draw, runs)}")
     return "\n".join(parts) + "\n</html>\n"
 
 
-def describe(scenario: Scenario) -> str:
+def describe_scenario(scenario: Scenario) -> str:
     """The fleet and its faults, in a line."""
     fleet = f"{scenario.size} endpoints, {scenario.sidecars} sidecars"
     traffic = f"{scenario.traffic.per_s:g} requests a second ({scenario.capacity_per_s():.0f} can be done)"
@@ -75,7 +75,7 @@
     return text + (f" Troubles: {', '.join(faults)}." if faults else "")
 
 
-def cell(column: str, value: Any) -> str:
+def format_cell(column: str, value: Any) -> str:
     """A value of a table as text, by its column (one of COLUMNS)."""
     if column in SHOWN:
         return f"{100 * value:.2f} %"
@@ -85,7 +85,7 @@
 def _table(run: ScenarioRun) -> str:
     parts = ["<table><tr>", *(f"<th>{column.replace('_', ' ')}</th>" for column in COLUMNS), "</tr>"]
     for row in rows(run.metrics):
-        cells = (f"<td>{html.escape(cell(column, row[column]))}</td>" for column in COLUMNS)
+        cells = (f"<td>{html.escape(format_cell(column, row[column]))}</td>" for column in COLUMNS)
         parts.append("<tr>" + "".join(cells) + "</tr>")
     return "".join(parts) + f"</table><p>{_summary(run)}</p>"
 
@@ -206,10 +206,10 @@
     axes.set_ylabel("% of its time")
 
 
-DRAWINGS = (
-    Drawing("In time, by when it was asked", _by_class("in_time", "%")),
-    Drawing("Refused, by when it was asked", _by_class("refused", "%")),
-    Drawing("Latency", _latency),
-    Drawing("Requests that wait at endpoints", _queues),
-    Drawing("What each endpoint bore", _utilization),
+DIAGRAMS = (
+    Diagram("In time, by when it was asked", _by_class("in_time", "%")),
+    Diagram("Refused, by when it was asked", _by_class("refused", "%")),
+    Diagram("Latency", _latency),
+    Diagram("Requests that wait at endpoints", _queues),
+    Diagram("What each endpoint bore", _utilization),
 )
--- a/anisespool/lab/results.py
+++ b/anisespool/lab/results.py
@@ -35,7 +35,7 @@
     figures: dict[str, Any]
 
 
-class Results:
+class ResultStore:
     """A file of results, or memory alone."""
 
     def __init__(self, path: Path | None = None) -> None:
--- a/anisespool/lab/search/findings.py
+++ b/anisespool/lab/search/findings.py
@@ -17,23 +17,23 @@
         scenario: the scenario.
         seed: of the run.
         policy: the policy or mutation that was run, by name.
-        what: the rule that was broken, a colon and how; or the loss of service.
+        description: the rule that was broken, a colon and how; or the loss of service.
     """
 
     scenario: Scenario
     seed: int
     policy: str
-    what: str
+    description: str
 
     @property
     def rule(self) -> str:
         """The rule that was broken, without how."""
-        return rule_of(self.what)
+        return rule_of(self.description)
 
     def save(self, path: Path) -> None:
-        """Write the finding to a JSON file, from which `load` reads it."""
+        """Write the finding to a JSON file, from which `load_finding` reads it."""
         scenario = json.loads(scenarios.encode(self.scenario))
-        content = {"what": self.what, "policy": self.policy, "seed": self.seed, "scenario": scenario}
+        content = {"what": self.description, "policy": self.policy, "seed": self.seed, "scenario": scenario}
         path.write_text(json.dumps(content, indent=1) + "\n")
 
 
@@ -42,7 +42,7 @@
     return text.partition(":")[0]
 
 
-def load(path: Path) -> Finding:
+def load_finding(path: Path) -> Finding:
     """Read a file that `Finding.save` wrote.
 
     Raises:
--- a/anisespool/lab/search/mutations.py
+++ b/anisespool/lab/search/mutations.py
@@ -196,7 +196,7 @@
 
 
 # By the name that the command and saved finds give them.
-BREAKS: dict[str, Callable[[Settings, int, World], Any]] = {
+MUTATIONS: dict[str, Callable[[Settings, int, World], Any]] = {
     "resends-unsafe": RetriesNonIdempotent,
     "refuses-risky": RejectsPossiblyExecuted,
     "ignores-drains": IgnoresDraining,
@@ -218,4 +218,4 @@
     Raises:
         KeyError: there is no policy or mutation of that name.
     """
-    return POLICIES.get(name) or BREAKS[name]
+    return POLICIES.get(name) or MUTATIONS[name]
--- a/anisespool/lab/search/scenario_generator.py
+++ b/anisespool/lab/search/scenario_generator.py
@@ -38,7 +38,7 @@
 LATEST_START = 0.9  # share of the scenario's duration
 
 
-def draw(random: Random) -> Scenario:
+def draw_scenario(random: Random) -> Scenario:
     """Draw a scenario: a small fleet, its traffic and its faults."""
     scenario = _draw_fleet(random)
     load = random.uniform(0.1, 1.3)
@@ -54,7 +54,7 @@
     return replace(scenario, faults=faults, links=links, talk=gossip)
 
 
-def vary(random: Random, scenario: Scenario) -> Scenario:
+def vary_scenario(random: Random, scenario: Scenario) -> Scenario:
     """Add, replace or remove a fault, add a degraded link, or change the request rate."""
     faults = list(scenario.faults)
     roll = random.random()
--- a/anisespool/lab/search/search.py
+++ b/anisespool/lab/search/search.py
@@ -19,7 +19,7 @@
 from anisespool.lab.scenario import Kind, Scenario
 from anisespool.lab.search.findings import Finding
 from anisespool.lab.search.mutations import policy_factory
-from anisespool.lab.search.scenario_generator import draw, vary
+from anisespool.lab.search.scenario_generator import draw_scenario, vary_scenario
 
 FRESH_SHARE = 0.4  # of scenarios that are drawn anew; the others are variations
 MAX_CORPUS_SIZE = 200  # scenarios kept when another one is added
@@ -60,8 +60,8 @@
     def next_scenario(self, random: Random) -> Scenario:
         """Draw a scenario, or a variation of one that is kept."""
         if not self._scenarios or random.random() < FRESH_SHARE:
-            return draw(random)
-        return vary(random, random.choice(self._scenarios))
+            return draw_scenario(random)
+        return vary_scenario(random, random.choice(self._scenarios))
 
     def add_if_new(self, scenario: Scenario, observations: set[Observation]) -> None:
         """Keep the scenario, if it showed something that none before it did."""
--- a/anisespool/lab/search/shrinking.py
+++ b/anisespool/lab/search/shrinking.py
@@ -36,7 +36,7 @@
             remaining_runs -= 1
             violation = _violation(simpler, finding)
             if rule_of(violation) == finding.rule:
-                finding = finding._replace(scenario=simpler, what=violation)
+                finding = finding._replace(scenario=simpler, description=violation)
                 break
         else:
             return finding
--- a/benchmarks/fleetrig.py
+++ b/benchmarks/fleetrig.py
@@ -98,7 +98,7 @@
     rows: list[tuple[Cell, ...]] = []
     for name in COMPARED:
         loaded = scenario.load(name)
-        model = experiments.one(Case(name, loaded, "ours", SEED))
+        model = experiments.run_case(Case(name, loaded, "ours", SEED))
         played = live.play_unless_void(report, name, loaded, SEED, control=True)
         if played is None:
             continue
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from anisespool.lab.experiments import Case, many, vary
+from anisespool.lab.experiments import Case, run_cases, with_overrides
 from anisespool.lab.model.clock import Clock
 from anisespool.lab.model.random_streams import RandomStreams
 from anisespool.lab.model.world import World
-from anisespool.lab.results import Result, Results
+from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import from_raw, load
 from benchmarks.pairs import Spread, differences, pair_up
 from benchmarks.report import Cell, Report
@@ -200,7 +200,7 @@
         for policy in POLICIES
         for seed in SEEDS
     ]
-    results = many(cases, Results(None))
+    results = run_cases(cases, ResultStore(None))
     rows: list[tuple[Cell, ...]] = []
     for day in DAYS:
         service = {policy: _service_by_seed(results, day, policy) for policy in POLICIES}
@@ -217,7 +217,7 @@
 
 
 def _simulate_large_fleet(report: Report) -> None:
-    _, scenario = vary(load("big"), LARGE_FLEET, "big")
+    _, scenario = with_overrides(load("big"), LARGE_FLEET, "big")
     start = time.process_time()
     metrics = World(scenario, 1).run()
     cpu_s = time.process_time() - start
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -26,7 +26,7 @@
 
 def _load(name: str) -> Scenario:
     changes = [f"seconds={SECONDS}", f"warm_s={WARMUP_S}"]
-    _, loaded = experiments.vary(scenario.load(name), changes, name)
+    _, loaded = experiments.with_overrides(scenario.load(name), changes, name)
     return loaded
 
 
@@ -34,7 +34,7 @@
     comparison = ModelComparison(MAX_DIFFERENCE)
     for name in SCENARIOS:
         loaded = _load(name)
-        model = experiments.one(Case(name, loaded, "ours", SEED)).figures
+        model = experiments.run_case(Case(name, loaded, "ours", SEED)).figures
         played = live.play_unless_void(report, name, loaded, SEED)
         if played is None:
             continue
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -15,7 +15,7 @@
 from anisespool.lab.model.random_streams import RandomStreams
 from anisespool.lab.model.world import World
 from anisespool.lab.scenario import MS, SECOND, Link, ScenarioError, from_raw
-from anisespool.lab.search.scenario_generator import draw, vary
+from anisespool.lab.search.scenario_generator import draw_scenario, vary_scenario
 from anisespool.lab.search.shrinking import shrink_links
 
 A, B, C = (Node("sidecar", n, n % 2) for n in range(3))
@@ -305,14 +305,14 @@
 
 def test_the_search_draws_links_and_process_faults() -> None:
     random = Random(5)
-    drawn = [vary(random, draw(random)) for _ in range(300)]
+    drawn = [vary_scenario(random, draw_scenario(random)) for _ in range(300)]
     assert {"freeze", "down"} <= {fault.kind for scenario in drawn for fault in scenario.faults}
     assert sum(bool(scenario.links) for scenario in drawn) > 30
 
 
 def test_a_scenario_with_links_is_shrunk_by_them() -> None:
     random = Random(5)
-    scenario = next(drawn for _ in range(100) if len((drawn := draw(random)).links) == 3)
+    scenario = next(drawn for _ in range(100) if len((drawn := draw_scenario(random)).links) == 3)
     smaller = list(shrink_links(scenario))
     assert len(smaller) >= 4
     assert all(less.links != scenario.links or less.talk != scenario.talk for less in smaller)
--- a/tests/lab/test_live_run.py
+++ b/tests/lab/test_live_run.py
@@ -110,9 +110,9 @@
     runs = [
         experiments.run_with_timeline(Case(policy, scenario, policy, 1)) for policy in ("ours", "least-open")
     ]
-    page = report.page("busy", runs)
-    assert page == report.page("busy", runs)
-    assert page.count("<svg") == len(report.DRAWINGS)
+    page = report.render_report("busy", runs)
+    assert page == report.render_report("busy", runs)
+    assert page.count("<svg") == len(report.DIAGRAMS)
     assert "Is &lt;this&gt; escaped?" in page
     assert "src=" not in page
     assert "@import" not in page
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -15,17 +15,17 @@
 import pytest
 
 from anisespool.lab import scenario
-from anisespool.lab.experiments import Case, difference, many
+from anisespool.lab.experiments import Case, paired_difference, run_cases
 from anisespool.lab.model.clock import Clock
 from anisespool.lab.model.metrics import VoidError
 from anisespool.lab.model.policies import POLICIES
 from anisespool.lab.model.random_streams import RandomStreams
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.model.world import World
-from anisespool.lab.results import Result, Results
+from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import SECOND, Scenario, from_raw
-from anisespool.lab.search.findings import load
-from anisespool.lab.search.mutations import BREAKS
+from anisespool.lab.search.findings import load_finding
+from anisespool.lab.search.mutations import MUTATIONS
 from anisespool.lab.search.search import search
 from anisespool.lab.search.shrinking import shrink
 
@@ -239,22 +239,22 @@
 
 
 @pytest.fixture
-def results(tmp_path: Path, cases: list[Case]) -> Iterator[Results]:
+def results(tmp_path: Path, cases: list[Case]) -> Iterator[ResultStore]:
     """A file in which a sweep that was killed stored three runs."""
-    interrupted = Results(tmp_path / "r.db")
-    many(cases[:3], interrupted, 1)
+    interrupted = ResultStore(tmp_path / "r.db")
+    run_cases(cases[:3], interrupted, 1)
     interrupted.close()
-    resumed = Results(tmp_path / "r.db")
+    resumed = ResultStore(tmp_path / "r.db")
     yield resumed
     resumed.close()
 
 
-def test_a_sweep_resumes_where_it_was_killed(cases: list[Case], results: Results) -> None:
+def test_a_sweep_resumes_where_it_was_killed(cases: list[Case], results: ResultStore) -> None:
     reported: list[Result] = []
-    found = many(cases, results, 2, reported.append)
+    found = run_cases(cases, results, 2, reported.append)
     assert len(found) == len(reported) == 8
     assert [result.seed for result in found] == [*SEEDS, *SEEDS]
-    assert found == many(cases, results, 1)
+    assert found == run_cases(cases, results, 1)
 
 
 @pytest.mark.parametrize(
@@ -268,13 +268,13 @@
 def test_pairs_show_a_difference_that_means_hide(
     first: list[float], second: list[float], shown: bool
 ) -> None:
-    assert difference("x", first, second).shown is shown
+    assert paired_difference("x", first, second).is_significant is shown
 
 
 # The search ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", sorted(BREAKS))
+@pytest.mark.parametrize("name", sorted(MUTATIONS))
 def test_the_search_finds_and_shrinks_each_mutation(name: str) -> None:
     """By count, not by time: as many runs as a search of a minute makes several times over."""
     for runs, found in enumerate(search(name, 1, 1e9, clock=lambda: 0.0)):
@@ -285,15 +285,15 @@
     small = shrink(found, 120)
     assert small.rule == found.rule
     assert len(small.scenario.faults) <= 5
-    world = World(small.scenario, small.seed, BREAKS[name])
+    world = World(small.scenario, small.seed, MUTATIONS[name])
     world.run()
-    assert world.broken == small.what  # replayed to the letter
+    assert world.broken == small.description  # replayed to the letter
 
 
 def test_a_finding_is_saved_and_loaded(tmp_path: Path) -> None:
     found = next(found for found in search("refuses-risky", 1, 1e9, clock=lambda: 0.0) if found)
     found.save(tmp_path / "find.json")
-    assert load(tmp_path / "find.json") == found
+    assert load_finding(tmp_path / "find.json") == found
 
 
 def test_findings_are_stored_for_ci_to_replay() -> None:
@@ -302,7 +302,7 @@
 
 @pytest.mark.parametrize("path", sorted(FOUND.glob("*.json")), ids=lambda path: path.stem)
 def test_a_stored_finding_breaks_no_rule_any_more(path: Path) -> None:
-    found = load(path)
+    found = load_finding(path)
     world = World(found.scenario, found.seed)
     world.run()
     assert not world.broken
--- a/tests/lab/test_scenario_generator.py
+++ b/tests/lab/test_scenario_generator.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from anisespool.lab.scenario import Scenario
-from anisespool.lab.search.scenario_generator import draw, vary
+from anisespool.lab.search.scenario_generator import draw_scenario, vary_scenario
 
 SCENARIOS = 200
 DIGEST = "63eab83cb47f00f0128b931d3981a662ec8c128e578b37a2ace77c17493f4453"
@@ -29,8 +29,8 @@
     random = Random(20261201)
     digest = hashlib.sha256()
     for _ in range(SCENARIOS):
-        scenario = draw(random)
+        scenario = draw_scenario(random)
         digest.update(drawn_values(scenario).encode())
-        digest.update(drawn_values(vary(random, scenario)).encode())
+        digest.update(drawn_values(vary_scenario(random, scenario)).encode())
     assert digest.hexdigest() == DIGEST
     assert random.random() == NEXT_VALUE
