--- a/anisespool/lab/explore/__init__.py
+++ b/anisespool/lab/explore/__init__.py
@@ -1,1 +1,1 @@
-"""Can an interleaving of a small instance of a protocol violate an invariant? Explicit-state exploration."""
+"""Explicit-state exploration of small instances of a protocol, to find violated invariants."""
--- a/anisespool/lab/explore/generations.py
+++ b/anisespool/lab/explore/generations.py
@@ -1,8 +1,8 @@
-"""Can an instance's configuration go back to an older generation? `control/generations.py`, explored.
+"""Model of configuration updates, to explore whether an instance can go back to an older generation.
 
-An agent sends documents to instances over a network that delays, loses and duplicates them, and instances
-restart. The documents are A, B, A again (a rollback) and so on: where a digest recurs, a late document could
-be taken for a new one.
+The rule is that of `control/generations.py`. An agent sends documents to instances over a network that
+delays, loses and duplicates them, and instances restart. The documents are A, B, A again (a rollback) and so
+on: as digests recur, a late document could be mistaken for a new one.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from anisespool.lab.explore.network import FaultBudget, Network, possible_faults, replace_at
 from anisespool.lab.explore.state_space import Step
 
-INITIAL_CONFIG = AppliedConfig(0, "A")  # of a freshly started instance, by its own file
-MAX_MESSAGES_PER_INSTANCE = 2  # in flight: a call that was given up, and the one after it
+INITIAL_CONFIG = AppliedConfig(0, "A")  # a freshly started instance runs on its own file
+MAX_MESSAGES_PER_INSTANCE = 2  # messages in flight: a call that was given up, and the next one
 
-# Decides on an update, given the applied configuration and the digest of the content as received.
+# Decides about an update, given the applied configuration and the digest of the content as received.
 DecisionRule = Callable[[AppliedConfig, ConfigUpdate, str], ApplyDecision]
 
 
 class Instance(NamedTuple):
-    """One instance, and what the agent knows of it. Instances are ordered by these fields.
+    """One instance, and the agent's view of it. Instances are ordered by these fields.
 
     Attributes:
-        applied: the configuration that it has applied.
-        observed: the configuration that the agent believes it has applied.
-        highest_generation: the highest generation that it has applied since its start.
+        applied: The configuration that it has applied.
+        observed: The configuration that it had applied when the agent last polled it.
+        highest_generation: The highest generation that it has applied since its start.
     """
 
     applied: AppliedConfig = INITIAL_CONFIG
@@ -36,7 +36,7 @@
 
 
 class State(NamedTuple):
-    """The instances, the generation that the agent made last, the network, and the faults that are left."""
+    """The instances, the agent's newest generation, the network, and the faults that can still happen."""
 
     instances: tuple[Instance, ...]
     newest_generation: int
@@ -44,7 +44,7 @@
     budget: FaultBudget
 
     def with_instance(self, index: int, instance: Instance) -> State:
-        """Return the state with another instance at `index`."""
+        """Return the state with the instance at `index` replaced."""
         return self._replace(instances=replace_at(self.instances, index, instance))
 
 
@@ -52,10 +52,10 @@
     """An agent and its instances.
 
     Args:
-        instances: number of instances.
-        documents: number of documents that the agent makes, one after another.
-        budget: faults that can happen.
-        rule: how instances decide on updates: the real rule, or one with a defect.
+        instances: Number of instances.
+        documents: Number of documents that the agent creates, one after another.
+        budget: Faults that can happen; by default one of each kind.
+        rule: How instances decide about updates: the real rule, or one with a defect.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         self._rule = rule
 
     def initial_state(self) -> State:
-        """Return the state of freshly started instances, without any document."""
+        """Return the state in which all instances are freshly started and there is no document yet."""
         return State((Instance(),) * self._instances, 0, Network(), self._budget)
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Yield what agent, instances and network can do next."""
+        """Yield the possible steps of agent, instances and network."""
         if state.newest_generation < self._documents:
             created = state._replace(newest_generation=state.newest_generation + 1)
             yield Step("a new document", created, is_fault=True)
@@ -91,7 +91,7 @@
             yield Step(fault.label, after, is_fault=True)
 
     def violation(self, state: State) -> str:
-        """Describe an instance that went back, or has a document under another one's generation."""
+        """Describe an instance that went back, or whose document is not the one of its generation."""
         for index, instance in enumerate(state.instances):
             generation = instance.applied.generation
             highest = instance.highest_generation
@@ -106,7 +106,7 @@
         return all(instance.applied.generation == state.newest_generation for instance in state.instances)
 
     def canonical(self, state: State) -> State:
-        """Renumber the instances, which are interchangeable, by what they have and are sent."""
+        """Renumber the interchangeable instances in the order of their fields and updates in flight."""
         order = sorted(
             range(len(state.instances)),
             key=lambda index: (state.instances[index], _updates_in_flight(state.network, index)),
@@ -117,7 +117,7 @@
         return state._replace(instances=instances, network=Network(tuple(messages)))
 
     def _apply(self, instance: Instance, update: ConfigUpdate) -> Instance:
-        """Return the instance after it received `update`."""
+        """Return the instance after it has received `update`."""
         if self._rule(instance.applied, update, update.digest) is not ApplyDecision.APPLY:
             return instance
         highest = max(instance.highest_generation, update.generation)
@@ -126,7 +126,7 @@
 
 
 def _instance_steps(state: State, index: int) -> Iterator[Step]:
-    """Yield the agent's calls to one instance, and the instance's restart."""
+    """Yield the agent's calls to one instance, and a restart of the instance."""
     instance = state.instances[index]
     newest = state.newest_generation
     in_flight = len(_updates_in_flight(state.network, index))
--- a/anisespool/lab/explore/network.py
+++ b/anisespool/lab/explore/network.py
@@ -1,4 +1,4 @@
-"""What can a network do to messages in flight? An unordered network that loses and duplicates, as a value."""
+"""Model of a network that reorders, loses and duplicates messages, as an immutable value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FaultBudget(NamedTuple):
-    """How many faults of each kind can still happen. It keeps the state space finite."""
+    """The number of faults of each kind that can still happen. It keeps the state space finite."""
 
     losses: int = 1
     duplicates: int = 1
@@ -20,8 +20,8 @@
     """A message in flight.
 
     Attributes:
-        to: number of its recipient.
-        payload: what it carries; hashable, comparable with the other payloads to the same recipient.
+        to: Number of the recipient.
+        payload: Content; hashable, and comparable with other payloads to the same recipient.
     """
 
     to: int
@@ -31,28 +31,28 @@
 class Network(NamedTuple):
     """The messages in flight; any of them can be delivered next.
 
-    A multiset, kept sorted so that equal multisets are equal states.
+    The messages are a multiset. They are kept sorted so that equal multisets are equal states.
     """
 
     messages: tuple[Message, ...] = ()
 
     def send(self, to: int, payload: Any) -> Network:
-        """Return the network with one message more."""
+        """Return the network with one more message in flight."""
         return Network(tuple(sorted((*self.messages, Message(to, payload)))))
 
     def remove(self, message: Message) -> Network:
-        """Return the network with one copy of `message` less."""
+        """Return the network without one copy of `message`."""
         messages = list(self.messages)
         messages.remove(message)
         return Network(tuple(messages))
 
     def distinct(self) -> Iterator[Message]:
-        """Yield each message once, however many copies of it are in flight."""
+        """Yield each message once, regardless of the number of copies in flight."""
         yield from dict.fromkeys(self.messages)
 
 
 class NetworkFault(NamedTuple):
-    """A loss or a duplication that is possible, and what it leaves behind."""
+    """A possible loss or duplication of a message, with the network and the budget after it."""
 
     label: str
     network: Network
@@ -77,5 +77,5 @@
 
 
 def replace_at(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
-    """Return `items` with `item` at `index`."""
+    """Return `items` with the one at `index` replaced by `item`."""
     return (*items[:index], item, *items[index + 1 :])
--- a/anisespool/lab/explore/rollout.py
+++ b/anisespool/lab/explore/rollout.py
@@ -1,6 +1,6 @@
-"""Are there ever more instances in flight than a rollout's wave allows? `agent/rollout/planner.py`, explored.
+"""Model of a rollout in waves, to explore whether more instances than a wave allows can be in flight.
 
-Answers to the agent are late, lost or duplicated.
+The planner is that of `agent/rollout/planner.py`. Answers to the agent can be late, lost or duplicated.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from anisespool.lab.explore.network import FaultBudget, Network, possible_faults, replace_at
 from anisespool.lab.explore.state_space import Step
 
-AGENT = -1  # as a recipient of messages
+AGENT = -1  # recipient number of the agent
 
 
 class ApplyRequest(NamedTuple):
-    """The agent's request to apply the change."""
+    """The agent's request to an instance to apply the change."""
 
     def __str__(self) -> str:
-        return "take"  # as traces show it
+        return "take"  # shown in traces
 
 
 class Acknowledgement(NamedTuple):
-    """An instance's answer: it has applied the change."""
+    """An instance's answer that it has applied the change."""
 
     instance: int
 
     def __str__(self) -> str:
-        return f"('done', {self.instance})"  # as traces show it
+        return f"('done', {self.instance})"  # shown in traces
 
 
 class State(NamedTuple):
-    """The instances as they are and as the agent sees them.
+    """The actual state of the instances, and the agent's view of them.
 
     Attributes:
-        applied: by instance, whether it has applied the change.
-        in_flight: by instance, whether the agent has sent the change and has no answer yet.
-        acknowledged: by instance, whether the agent knows that it has applied the change.
-        surplus_answers: answers that were counted beyond those awaited; only with the defect.
-        network: the messages in flight.
-        budget: faults that can still happen.
+        applied: Whether each instance has applied the change.
+        in_flight: Whether the agent has sent the change to each instance and has no answer yet.
+        acknowledged: Whether the agent has learned that each instance has applied the change.
+        surplus_answers: Number of repeated acknowledgements, which only the defect counts.
+        network: The messages in flight.
+        budget: Faults that can still happen.
     """
 
     applied: tuple[bool, ...]
@@ -57,10 +57,10 @@
     """An agent that rolls a change out in waves.
 
     Args:
-        instances: number of instances.
-        wave_size: instances that may be in flight at a time.
-        budget: faults that can happen; by default one loss and one duplicate.
-        by_name: whether answers are matched to instances by name. If not they are only counted, as a defect.
+        instances: Number of instances.
+        wave_size: Number of instances that may be in flight at a time.
+        budget: Faults that can happen; by default one loss and one duplicate.
+        by_name: Whether answers are matched to instances by name. False is a defect: they are only counted.
     """
 
     def __init__(
@@ -76,12 +76,12 @@
         self._by_name = by_name
 
     def initial_state(self) -> State:
-        """Return the state in which no instance has the change."""
+        """Return the state in which no instance has applied the change."""
         none = (False,) * self._instances
         return State(none, none, none, 0, Network(), self._budget)
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Yield what agent, instances and network can do next."""
+        """Yield the possible steps of agent, instances and network."""
         for index in self._next_wave(state):
             sent = state._replace(
                 in_flight=replace_at(state.in_flight, index, True),
@@ -97,13 +97,13 @@
             yield Step(fault.label, after, is_fault=True)
 
     def violation(self, state: State) -> str:
-        """Describe a wave that is exceeded."""
+        """Describe the excess if more instances are in flight than the wave size allows."""
         in_flight = sum(state.in_flight)
         bound = self._policy.wave_size
         return f"{in_flight} at work at once, {bound} may be" if in_flight > bound else ""
 
     def is_converged(self, state: State) -> bool:
-        """Return whether the agent knows that every instance has the change."""
+        """Return whether the agent has learned that every instance has applied the change."""
         return all(state.acknowledged)
 
     def canonical(self, state: State) -> State:
@@ -111,14 +111,14 @@
         return state
 
     def _next_wave(self, state: State) -> tuple[int, ...]:
-        """Return the instances to which the planner sends the change next."""
+        """Return the instances to which the planner sends the change next, if any."""
         step = next_step(self._statuses(state), self._policy)
         if step.decision is not Decision.CONTINUE:
             return ()
         return tuple(int(name) for name in step.send)
 
     def _statuses(self, state: State) -> dict[str, RolloutStatus]:
-        """Return the instances' statuses as the agent sees them, by name."""
+        """Return the statuses of the instances in the agent's view, by name."""
         statuses: dict[str, RolloutStatus] = {}
         surplus = state.surplus_answers
         for index in range(self._instances):
@@ -134,7 +134,7 @@
         return statuses
 
     def _deliveries(self, state: State) -> Iterator[Step]:
-        """Yield the arrival of each message in flight."""
+        """Yield the delivery of each message in flight."""
         for message in state.network.distinct():
             remaining = state._replace(network=state.network.remove(message))
             if isinstance(message.payload, Acknowledgement):
@@ -144,7 +144,7 @@
                 yield Step(f"{message.to} takes it", _apply_change(remaining, message.to))
 
     def _acknowledge(self, state: State, index: int) -> State:
-        """Return the state after the agent learned that an instance has the change."""
+        """Return the state after the agent learned that an instance applied the change."""
         if not state.acknowledged[index]:
             return state._replace(
                 acknowledged=replace_at(state.acknowledged, index, True),
@@ -155,7 +155,7 @@
         return state._replace(surplus_answers=state.surplus_answers + 1)
 
     def _poll(self, state: State, index: int) -> State:
-        """Return the state after the agent polled an instance, its call having failed."""
+        """Return the state after the agent polled an instance whose request or answer was lost."""
         if state.applied[index]:
             return self._acknowledge(state, index)
         return state._replace(in_flight=replace_at(state.in_flight, index, False))
@@ -170,6 +170,6 @@
 
 
 def _has_message(network: Network, index: int) -> bool:
-    """Return whether a request to an instance, or its answer, is in flight."""
+    """Return whether a request to an instance or its answer is in flight."""
     answer = Acknowledgement(index)
     return any(message.to == index or message.payload == answer for message in network.messages)
--- a/anisespool/lab/explore/state_space.py
+++ b/anisespool/lab/explore/state_space.py
@@ -1,10 +1,10 @@
-"""Which states can a protocol reach, and is each of them allowed? Breadth-first exploration of all states.
+"""Breadth-first exploration of all states that a protocol can reach.
 
-A model is pure: hashable states, and labelled steps. A step is either one of the protocol's own or a fault;
-the state itself bounds how many faults can happen. Two things are checked: whether a state violates an
-invariant, and whether the protocol's own steps alone still lead from it to convergence ("always able to
-recover"). As states are visited breadth first, the trace to a violation is a shortest one. Explicit-state
-model checking as in SPIN (Holzmann 1997).
+A model is pure: it has hashable states and labelled steps. A step is either one of the protocol's own or a
+fault; the state itself bounds the number of faults. Each state is checked for two properties: it violates no
+invariant, and the protocol's own steps alone can lead from it to convergence ("always able to recover"). As
+states are visited breadth first, the trace to a violation is a shortest one. This is explicit-state model
+checking as in SPIN (Holzmann 1997).
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 DEFAULT_MAX_STATES = 200_000
-NOT_RECOVERABLE = "it can't come to rest by its own steps from here"  # read by scripts
+NOT_RECOVERABLE = "it can't come to rest by its own steps from here"  # scripts match this text
 
 
 class Step(NamedTuple):
-    """A step that is possible in some state.
+    """A possible step from a state to another.
 
     Attributes:
-        label: names the step in traces; unique among the steps of one state.
-        state: the state after it.
-        is_fault: whether it is a fault rather than one of the protocol's own steps.
+        label: Name of the step in traces; unique among the steps from one state.
+        state: The state after the step.
+        is_fault: Whether the step is a fault rather than one of the protocol's own steps.
     """
 
     label: str
@@ -40,33 +40,33 @@
     """A protocol together with its environment."""
 
     def initial_state(self) -> State:
-        """Return the state in which the exploration starts."""
+        """Return the state from which the exploration starts."""
 
     def steps(self, state: State) -> Iterable[Step]:
-        """Return all steps that are possible in `state`."""
+        """Return all possible steps from `state`."""
 
     def violation(self, state: State) -> str:
         """Describe the invariant that `state` violates; empty if it violates none."""
 
     def is_converged(self, state: State) -> bool:
-        """Return whether `state` is one that the protocol should lead to."""
+        """Return whether the protocol has reached its goal in `state`."""
 
     def canonical(self, state: State) -> State:
-        """Return the representative of all states that differ from `state` only in who is who."""
+        """Return the representative of all states that equal `state` after renumbering its parts."""
 
 
 class ExplorationResult(NamedTuple):
-    """What an exploration found.
+    """The result of an exploration.
 
     Attributes:
-        states: number of different states visited.
-        steps: number of steps taken.
-        depth: steps from the initial state to the last expanded one.
-        complete: whether every reachable state was visited; otherwise the exploration ended at a violation
+        states: Number of different states visited.
+        steps: Number of steps taken.
+        depth: Number of steps from the initial state to the last expanded one.
+        complete: Whether every reachable state was visited; otherwise the exploration ended at a violation
             or at the bound on states.
-        seconds: duration.
-        violation: what was violated; empty if nothing was.
-        trace: labels of the steps that lead to the violation; empty if there is none.
+        seconds: Duration of the exploration.
+        violation: Description of the violation; empty if there is none.
+        trace: Labels of the steps that lead to the violation; empty if there is none.
     """
 
     states: int
@@ -79,7 +79,7 @@
 
     @property
     def states_per_second(self) -> float:
-        """Speed of the exploration."""
+        """Number of states visited per second."""
         return self.states / max(self.seconds, 1e-9)
 
     def to_json_object(self) -> dict[str, Any]:
@@ -96,7 +96,7 @@
 
 
 def explore(model: ProtocolModel[Any], max_states: int = DEFAULT_MAX_STATES) -> ExplorationResult:
-    """Visit every reachable state, until one violates an invariant or there are more than `max_states`."""
+    """Visit every reachable state; stop at a violated invariant, or at more than `max_states` states."""
     started = time.perf_counter()
     exploration = _Exploration(model, max_states)
     ending = exploration.run()
@@ -113,10 +113,10 @@
 
 
 def replay(model: ProtocolModel[Any], trace: Iterable[str]) -> Any:
-    """Return the state at the end of `trace`.
+    """Take the steps of `trace` from the initial state, and return the last state.
 
     Raises:
-        ValueError: a step of the trace is not possible where it would be taken.
+        ValueError: A step of the trace is not possible in the state before it.
     """
     state = model.canonical(model.initial_state())
     for number, label in enumerate(trace, 1):
@@ -136,7 +136,7 @@
 
 
 class _Ending(NamedTuple):
-    """Why an exploration ended."""
+    """How an exploration ended."""
 
     complete: bool
     violation: str = ""
@@ -145,19 +145,19 @@
 
 @dataclass(slots=True)
 class _Exploration:
-    """One exploration in progress."""
+    """A running exploration."""
 
     model: ProtocolModel[Any]
     max_states: int
     discovered: dict[Any, _Discovery] = field(default_factory=dict)
-    # By state: the states from which one of the protocol's own steps leads to it.
+    # The states from which one of the protocol's own steps leads to the state in the key.
     predecessors: dict[Any, list[Any]] = field(default_factory=dict)
     queue: deque[Any] = field(default_factory=deque)
     steps: int = 0
     depth: int = 0
 
     def run(self) -> _Ending:
-        """Explore until the end."""
+        """Run the exploration until it ends."""
         initial = self.model.canonical(self.model.initial_state())
         self.discovered[initial] = _Discovery(None, "", 0)
         if violation := self.model.violation(initial):
@@ -181,7 +181,7 @@
         return tuple(reversed(labels))
 
     def _expand(self, state: Any) -> _Ending | None:
-        """Take every step from `state`; return the ending, if one of them ends the exploration."""
+        """Take every step from `state`; return an ending if one of them ends the exploration."""
         self.depth = self.discovered[state].depth
         for step in self.model.steps(state):
             self.steps += 1
@@ -199,7 +199,7 @@
         return None
 
     def _first_unrecoverable_state(self) -> Any:
-        """Return the first state from which the protocol alone reaches no converged state, or None."""
+        """Return the first state from which the protocol's own steps reach no converged state, or None."""
         recoverable = {state for state in self.discovered if self.model.is_converged(state)}
         queue = deque(recoverable)
         while queue:
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -1,4 +1,4 @@
-"""The explorer: which states it visits, and that it finds defects put into the protocols it is for."""
+"""Exploration of protocols: the states that it visits, and the deliberate defects that it has to find."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def ignore_generation(applied: AppliedConfig, update: ConfigUpdate, digest: str) -> ApplyDecision:
-    """The rule without its check of the generation."""
+    """The rule of instances without its check of the generation."""
     return ApplyDecision.APPLY if update.base == applied.digest else ApplyDecision.BASE_MISMATCH
 
 
@@ -29,8 +29,8 @@
     return ApplyDecision.APPLY
 
 
-class Counter:
-    """Counts to `end` by ones and twos. `forbidden` violates an invariant; nothing leads on from `trap`."""
+class CountingModel:
+    """A model that counts to `end` by 1 or 2. `forbidden` violates an invariant; `trap` has no next state."""
 
     def __init__(self, end: int, forbidden: int = -1, trap: int = -1) -> None:
         self._end = end
@@ -47,7 +47,7 @@
                 yield Step(f"add {increment}", after, is_fault=after == self._trap)
 
     def violation(self, state: int) -> str:
-        return "it is forbidden" if state == self._forbidden else ""
+        return "forbidden state" if state == self._forbidden else ""
 
     def is_converged(self, state: int) -> bool:
         return state == self._end
@@ -57,46 +57,46 @@
 
 
 def test_the_trace_to_a_violation_is_a_shortest_one() -> None:
-    result = explore(Counter(10, forbidden=7))
-    assert result.violation == "it is forbidden"
+    result = explore(CountingModel(10, forbidden=7))
+    assert result.violation == "forbidden state"
     assert len(result.trace) == 4
 
 
 def test_a_trace_can_be_replayed() -> None:
-    counter = Counter(10, forbidden=7)
-    assert replay(counter, explore(counter).trace) == 7
+    model = CountingModel(10, forbidden=7)
+    assert replay(model, explore(model).trace) == 7
 
 
 def test_a_trace_with_an_impossible_step_is_rejected() -> None:
     with pytest.raises(ValueError, match="step 1: found 'add 3', wanted one of add 1, add 2"):
-        replay(Counter(10, forbidden=7), ["add 3"])
+        replay(CountingModel(10, forbidden=7), ["add 3"])
 
 
 def test_a_protocol_that_always_recovers_has_no_violation() -> None:
-    assert explore(Counter(10)).violation == ""
+    assert explore(CountingModel(10)).violation == ""
 
 
 @pytest.mark.parametrize(
     ("trap", "trace_length"),
     [
         pytest.param(6, 3, id="after-a-fault"),
-        pytest.param(0, 0, id="initial-state-that-is-falsy"),
+        pytest.param(0, 0, id="falsy-initial-state"),
     ],
 )
-def test_a_state_without_recovery_is_found(trap: int, trace_length: int) -> None:
-    result = explore(Counter(10, trap=trap))
+def test_a_state_from_which_the_protocol_cannot_recover_is_found(trap: int, trace_length: int) -> None:
+    result = explore(CountingModel(10, trap=trap))
     assert "rest" in result.violation
     assert len(result.trace) == trace_length
 
 
 def test_an_exploration_ended_by_the_bound_on_states_is_reported_as_incomplete() -> None:
-    result = explore(Counter(1000), max_states=50)
+    result = explore(CountingModel(1000), max_states=50)
     assert not result.complete
     assert result.states == 51
 
 
 def test_an_exploration_within_the_bound_on_states_is_reported_as_complete() -> None:
-    assert explore(Counter(1000)).complete
+    assert explore(CountingModel(1000)).complete
 
 
 @pytest.fixture
@@ -137,7 +137,7 @@
     ],
 )
 def test_no_reachable_state_of_a_protocol_violates_an_invariant(model: Any, states: int | None) -> None:
-    """The states are counted: fewer would mean that the exploration misses some."""
+    """The number of states is checked too, as an exploration that misses some could miss a violation."""
     result = explore(model)
     assert result.complete
     assert not result.violation
@@ -152,7 +152,7 @@
         pytest.param(RolloutModel(3, 1, by_name=False), "2 at work at once", id="answers-only-counted"),
     ],
 )
-def test_a_defect_put_into_a_protocol_is_found_with_a_trace_that_reproduces_it(
+def test_a_deliberate_defect_in_a_protocol_is_found_with_a_trace_that_reproduces_it(
     model: Any, violation: str
 ) -> None:
     result = explore(model, max_states=20_000)
