--- a/anisespool/lab/search/__init__.py
+++ b/anisespool/lab/search/__init__.py
@@ -1,1 +1,1 @@
-"""Which scenarios break a rule or lose much service? A seeded search, deliberate mutations, shrinking."""
+"""A random search for scenarios that break a rule or lose much service, and mutations that verify it."""
--- a/anisespool/lab/search/findings.py
+++ b/anisespool/lab/search/findings.py
@@ -1,4 +1,4 @@
-"""What did a search find? A scenario that breaks a rule or loses service, and its file."""
+"""Findings of the search, scenarios that break a rule or lose service, and the files that store them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Finding(NamedTuple):
-    """A scenario that broke a rule, or lost service against what was possible.
+    """A scenario in which a run broke a rule, or lost service compared with the reference policy.
 
     Attributes:
-        scenario: the scenario.
-        seed: of the run.
-        policy: the policy or mutation that was run, by name.
-        description: the rule that was broken, a colon and how; or the loss of service.
+        scenario: The scenario.
+        seed: Seed of the run.
+        policy: Name of the policy or mutation that was run.
+        description: The broken rule or `loss`, a colon, and the details.
     """
 
     scenario: Scenario
@@ -27,18 +27,18 @@
 
     @property
     def rule(self) -> str:
-        """The rule that was broken, without how."""
+        """The broken rule, or `loss`."""
         return rule_of(self.description)
 
     def save(self, path: Path) -> None:
-        """Write the finding to a JSON file, from which `load_finding` reads it."""
+        """Write the finding to a JSON file, which `load_finding` reads."""
         scenario = json.loads(scenarios.encode(self.scenario))
         content = {"what": self.description, "policy": self.policy, "seed": self.seed, "scenario": scenario}
         path.write_text(json.dumps(content, indent=1) + "\n")
 
 
 def rule_of(text: str) -> str:
-    """Return the rule that a violation's text names."""
+    """Return the rule with which the text of a violation begins."""
     return text.partition(":")[0]
 
 
@@ -46,8 +46,8 @@
     """Read a file that `Finding.save` wrote.
 
     Raises:
-        ScenarioError: its scenario is invalid.
-        KeyError: it lacks a key.
+        ScenarioError: The scenario is invalid.
+        KeyError: A key is missing.
     """
     content = json.loads(path.read_text())
     scenario = scenarios.from_raw(content["scenario"], str(path))
--- a/anisespool/lab/search/mutations.py
+++ b/anisespool/lab/search/mutations.py
@@ -1,7 +1,7 @@
-"""Would the search notice if the decision module broke a rule? Deliberate defects that it must find.
+"""Mutations of the decision module: deliberate defects, each of which the search has to find.
 
-A mutation stands between the simulation and the real module, and alters the events that the module gets or
-the actions that it returns.
+A mutation wraps the real module. It alters the events that the module receives or the actions that it
+returns.
 """
 
 from __future__ import annotations
@@ -21,15 +21,19 @@
 from anisespool.lab.model.policies import POLICIES
 from anisespool.lab.model.world import World
 
-HEDGED_REQUEST_INTERVAL = 40  # of so many requests one is hedged
+HEDGED_REQUEST_INTERVAL = 40  # one in this many requests is hedged
 
 
 class Mutation:
-    """The real module unaltered; subclasses override `alter_event` or `alter_actions`."""
+    """The real module without a defect; subclasses override `alter_event` or `alter_actions`.
+
+    Attributes:
+        attempted_endpoints: Endpoints to which a request was sent, in order, by request.
+    """
 
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
         self.balancer = Balancer(settings, seed)
-        self.attempts: dict[int, list[int]] = {}  # endpoints of the attempts, by request
+        self.attempted_endpoints: dict[int, list[int]] = {}
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Handle an event as the decision module does."""
@@ -37,15 +41,15 @@
         actions = self.balancer.handle(now, altered) if altered is not None else []
         for action in actions:
             if isinstance(action, api.Send):
-                self.attempts.setdefault(action.request, []).append(action.endpoint)
+                self.attempted_endpoints.setdefault(action.request, []).append(action.endpoint)
         return self.alter_actions(event, list(actions))
 
     def alter_event(self, event: api.Event) -> api.Event | None:
-        """Return the event that the module gets in place of `event`; None: it gets none."""
+        """Return the event to pass to the module in place of `event`, or None to drop it."""
         return event
 
     def alter_actions(self, event: api.Event, actions: list[api.Action]) -> list[api.Action]:
-        """Return the actions that are carried out in place of the module's."""
+        """Return the actions to carry out in place of the module's."""
         return actions
 
 
@@ -57,7 +61,7 @@
         if not isinstance(event, api.AttemptOutcome) or event.status is not AttemptStatus.RESET:
             return actions
         return [
-            api.Send(action.request, self.attempts[action.request][-1])
+            api.Send(action.request, self.attempted_endpoints[action.request][-1])
             if isinstance(action, api.Fail)
             else action
             for action in actions
@@ -87,10 +91,10 @@
 
 
 class IgnoresRemovedEndpoints(Mutation):
-    """Endpoints that a delta removes stay in the list."""
+    """Endpoints that a delta removes remain in the list."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
-        """Leave out what a delta removes."""
+        """Drop the entries by which a delta removes endpoints."""
         if isinstance(event, api.EndpointListUpdate) and event.kind is EndpointListKind.DELTA:
             entries = tuple(entry for entry in event.entries if entry.state != EndpointState.GONE)
             return event._replace(entries=entries)
@@ -98,7 +102,7 @@
 
 
 class TreatsFullListAsDelta(Mutation):
-    """A full list only adds: endpoints that it lacks are still sent to."""
+    """A full list removes no endpoints: requests are still sent to endpoints that it lacks."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         """Turn full lists into deltas."""
@@ -108,17 +112,17 @@
 
 
 class NoSlowStart(Mutation):
-    """Every endpoint is treated as warm."""
+    """No endpoint is treated as warming up."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
-        """List every endpoint as started long ago."""
+        """Set the start time of every endpoint to 0, long ago."""
         if isinstance(event, api.EndpointListUpdate):
             return event._replace(entries=tuple(entry._replace(started_ns=0) for entry in event.entries))
         return event
 
 
 class PrefersNewestEndpoint(Mutation):
-    """Half of the attempts go to the endpoint that started last."""
+    """The attempts of every second event go to the endpoint that started last."""
 
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
         super().__init__(settings, seed, world)
@@ -127,7 +131,7 @@
         self.event_count = 0
 
     def alter_event(self, event: api.Event) -> api.Event | None:
-        """Note the endpoint that started last."""
+        """Record the endpoint that started last."""
         if isinstance(event, api.EndpointListUpdate):
             for entry in event.entries:
                 if entry.started_ns > self.newest_started_ns and entry.state == EndpointState.READY:
@@ -147,7 +151,7 @@
 
 
 class RejectsTwice(Mutation):
-    """Each rejection is given twice."""
+    """Every rejected request is rejected twice."""
 
     def alter_actions(self, event: api.Event, actions: list[api.Action]) -> list[api.Action]:
         """Repeat each `Reject`."""
@@ -163,7 +167,7 @@
 
 
 class DropsTimeouts(Mutation):
-    """The module never learns that an attempt timed out."""
+    """The module receives no event when an attempt times out."""
 
     def alter_event(self, event: api.Event) -> api.Event | None:
         """Drop the outcomes of attempts that timed out."""
@@ -172,7 +176,7 @@
 
 
 class ExceedsMaxAttempts(Mutation):
-    """Attempts go on beyond the allowed number."""
+    """Requests are retried beyond the maximum number of attempts."""
 
     def alter_actions(self, event: api.Event, actions: list[api.Action]) -> list[api.Action]:
         """Turn each final response to an attempt that was not executed into another attempt."""
@@ -191,11 +195,11 @@
         return actions + hedged
 
     def _is_hedged(self, send: api.Send) -> bool:
-        is_first_attempt = len(self.attempts[send.request]) == 1
+        is_first_attempt = len(self.attempted_endpoints[send.request]) == 1
         return is_first_attempt and send.request % HEDGED_REQUEST_INTERVAL == 0
 
 
-# By the name that the command and saved finds give them.
+# The keys are the mutations' names on the command line and in saved findings.
 MUTATIONS: dict[str, Callable[[Settings, int, World], Any]] = {
     "resends-unsafe": RetriesNonIdempotent,
     "refuses-risky": RejectsPossiblyExecuted,
@@ -216,6 +220,6 @@
     """Return the factory of a policy or mutation.
 
     Raises:
-        KeyError: there is no policy or mutation of that name.
+        KeyError: There is no policy or mutation with that name.
     """
     return POLICIES.get(name) or MUTATIONS[name]
--- a/anisespool/lab/search/parallel_search.py
+++ b/anisespool/lab/search/parallel_search.py
@@ -1,4 +1,4 @@
-"""What do several searches on all cores find together? One shrunk finding of each kind."""
+"""Searches with several processes at once, and shrinks one finding of each kind."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from anisespool.lab.search.search import search
 from anisespool.lab.search.shrinking import shrink
 
-ROUND_S = 5.0  # a worker reports what it has that often
+ROUND_S = 5.0  # a worker returns its findings after each round
 MIN_ROUND_S = 0.5
 PROGRESS_INTERVAL_S = 0.5
-MAX_FINDINGS = 20  # of each round, and of the whole search
+MAX_FINDINGS = 20  # limit for each round and for the whole search
 SEED_STEP = 7919
 
-# Called with the seconds that have passed, the runs made, and the number of findings.
+# Called with the elapsed seconds, the number of runs and the number of findings.
 ProgressCallback = Callable[[float, int, int], None]
 
 
 class SearchResult(NamedTuple):
-    """The number of runs made, and what they found."""
+    """The number of runs, and their findings."""
 
     runs: int
     findings: list[Finding]
 
 
 class FindingKind(NamedTuple):
-    """The rule that was broken, and the kinds of faults under which it was."""
+    """The rule that was broken, and the kinds of faults in the scenario that broke it."""
 
     rule: str
     fault_kinds: frozenset[str]
@@ -48,12 +48,12 @@
     """Search with several processes, then shrink one finding of each kind.
 
     Args:
-        policy: the policy or mutation to run, by name.
-        seed: of the search; each round gets another one derived from it.
-        seconds: duration, without the shrinking.
-        max_loss: loss of service beyond which a run is a finding (see `search`).
-        processes: number of processes; None: one for each core.
-        on_progress: called about twice a second.
+        policy: Name of the policy or mutation to run.
+        seed: Seed of the search; the seed of each round is derived from it.
+        seconds: Duration of the search, without shrinking.
+        max_loss: Loss of service above which a run is a finding (see `search`).
+        processes: Number of worker processes; None: one for each core.
+        on_progress: Called about twice a second.
     """
     workers = processes or os.cpu_count() or 1
     with ProcessPoolExecutor(workers) as pool:
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class _SearchRounds:
-    """Short searches, as many at a time as there are workers."""
+    """A search divided into short rounds, of which each worker runs one at a time."""
 
     pool: ProcessPoolExecutor
     workers: int
@@ -80,14 +80,14 @@
     findings: list[Finding] = field(default_factory=list)
 
     def run(self, on_progress: ProgressCallback) -> None:
-        """Search until the time is over and every round has ended."""
+        """Start rounds until `seconds` have passed, and wait until all have ended."""
         while (elapsed_s := time.monotonic() - self.started) < self.seconds or self.pending:
             self._submit(self.seconds - elapsed_s)
             self._collect()
             on_progress(min(elapsed_s, self.seconds), self.runs, len(self.findings))
 
     def _submit(self, remaining_s: float) -> None:
-        """Give every idle worker a round, if there is time left."""
+        """Start a round for every idle worker, if there is time left."""
         if remaining_s <= 0:
             return
         round_s = min(ROUND_S, max(MIN_ROUND_S, remaining_s))
@@ -97,7 +97,7 @@
             self.pending.add(self.pool.submit(_search_round, self.policy, seed, round_s, self.max_loss))
 
     def _collect(self) -> None:
-        """Wait for a round to end, not longer than the progress interval, and add up what ended."""
+        """Wait up to PROGRESS_INTERVAL_S for a round to end, and add the results of those that did."""
         done, self.pending = wait(self.pending, timeout=PROGRESS_INTERVAL_S, return_when=FIRST_COMPLETED)
         for future in done:
             result = future.result()
@@ -106,7 +106,7 @@
 
 
 def _search_round(policy: str, seed: int, seconds: float, max_loss: float) -> SearchResult:
-    """Run one search in a worker process."""
+    """Run one round in a worker process."""
     runs = 0
     findings: list[Finding] = []
     for finding in search(policy, seed, seconds, max_loss):
@@ -117,11 +117,11 @@
 
 
 def _smallest_of_each_kind(findings: Iterable[Finding]) -> list[Finding]:
-    """Return the finding with the fewest faults of each kind; the first one, if several are as small."""
+    """Return, for each kind, the finding with the fewest faults; on a tie the first one."""
     smallest: dict[FindingKind, Finding] = {}
     for finding in findings:
         kind = FindingKind(finding.rule, frozenset(fault.kind for fault in finding.scenario.faults))
-        known = smallest.get(kind)
-        if known is None or len(finding.scenario.faults) < len(known.scenario.faults):
+        previous = smallest.get(kind)
+        if previous is None or len(finding.scenario.faults) < len(previous.scenario.faults):
             smallest[kind] = finding
     return list(smallest.values())[:MAX_FINDINGS]
--- a/anisespool/lab/search/scenario_generator.py
+++ b/anisespool/lab/search/scenario_generator.py
@@ -1,6 +1,7 @@
-"""Which scenarios does the search try? Random small fleets with random faults, and variations of them.
+"""Generates scenarios for the search: random small fleets with random faults, and variations of them.
 
-Saved seeds have to give the same scenarios again: the order in which values are drawn must not change.
+A seed has to give the same scenarios in every version, so that a search can be repeated: the order in which
+values are drawn must not change.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     Traffic,
 )
 
-# Kinds that need tenants, which no drawn scenario has, or that the simulation does not model.
+# Kinds that need tenants, which no generated scenario has, or that the simulation does not model.
 EXCLUDED_KINDS = frozenset({"tenant", "starve", "descriptors", "memory", "clock"})
 KINDS: tuple[Kind, ...] = tuple(kind for kind in get_args(Kind) if kind not in EXCLUDED_KINDS)
 MAX_FAULTS = 6
@@ -34,8 +35,8 @@
 LINKS_PROBABILITY = 0.35
 BURST_PROBABILITY = 0.3
 GOSSIP_PROBABILITY = 0.3
-PARTIAL_FAULT_PROBABILITY = 0.3  # of a fault that hits a share of the endpoints, not endpoints by number
-LATEST_START = 0.9  # share of the scenario's duration
+PARTIAL_FAULT_PROBABILITY = 0.3  # the fault hits a share of the endpoints, not endpoints listed by number
+LATEST_START_SHARE = 0.9  # faults and links start within this share of the scenario's duration
 
 
 def draw_scenario(random: Random) -> Scenario:
@@ -61,7 +62,7 @@
     if roll < 0.4 and len(faults) < MAX_FAULTS:
         faults.append(_draw_fault(random, scenario))
     elif roll < 0.7 and faults:
-        fault = _draw_fault(random, scenario)  # drawn before its place is
+        fault = _draw_fault(random, scenario)  # drawn before the index, to keep the order
         faults[random.randrange(len(faults))] = fault
     elif roll < 0.8 and len(faults) > 1:
         del faults[random.randrange(len(faults))]
@@ -93,7 +94,7 @@
 
 
 def _draw_endpoints(random: Random, zone: int) -> Endpoints:
-    """Draw the endpoints of one zone."""
+    """Draw a group of endpoints in one zone."""
     return Endpoints(
         count=random.randint(1, 4),
         cores=random.choice((1, 2, 3, 8)),
@@ -112,11 +113,11 @@
 
 
 def _draw_link(random: Random, scenario: Scenario) -> Link:
-    """Draw a degraded link between any two parts of the fleet."""
+    """Draw a degraded link between two parts of the fleet."""
     selectors = ["all", "sidecars", "endpoints", "discovery", "half:0", "half:1", "sidecar:0", "endpoint:0"]
     selectors += [f"zone:{zone}" for zone in scenario.zones()]
     return Link(
-        at_s=random.uniform(0, scenario.seconds * LATEST_START),
+        at_s=random.uniform(0, scenario.seconds * LATEST_START_SHARE),
         for_s=random.uniform(0.05, scenario.seconds),
         from_=random.choice(selectors),
         to=random.choice([*selectors, "!zone:0"]),
@@ -132,10 +133,10 @@
 
 
 def _draw_fault(random: Random, scenario: Scenario) -> Fault:
-    """Draw a fault of a zone, of a share of the fleet, or of endpoints by number, as its kind allows."""
+    """Draw a fault that hits a zone, a share of the fleet or endpoints by number, as its kind allows."""
     kind = random.choice(KINDS)
     size = random.uniform(0.2, 1.0) if kind in SHARES else random.choice((1.5, 3.0, 10.0, 40.0))
-    at_s = random.uniform(0, scenario.seconds * LATEST_START)
+    at_s = random.uniform(0, scenario.seconds * LATEST_START_SHARE)
     for_s = random.uniform(0.05, scenario.seconds)
     fault = Fault(kind=kind, at_s=at_s, for_s=for_s, size=size)
     if kind in OF_A_ZONE:
--- a/anisespool/lab/search/search.py
+++ b/anisespool/lab/search/search.py
@@ -1,7 +1,7 @@
-"""Which scenarios break a rule or lose much service? A random search, guided by what runs have shown.
+"""Searches for scenarios that break a rule or lose much service: a random search guided by observations.
 
-Scenarios that showed something new (an outcome of an attempt under a kind of fault) are kept and varied, as
-coverage-guided fuzzers do with inputs that reach new code.
+A scenario that led to a new observation (an outcome of an attempt under a kind of fault) is kept and varied,
+as a coverage-guided fuzzer keeps inputs that reach new code.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from anisespool.lab.search.mutations import policy_factory
 from anisespool.lab.search.scenario_generator import draw_scenario, vary_scenario
 
-FRESH_SHARE = 0.4  # of scenarios that are drawn anew; the others are variations
+NEW_SCENARIO_SHARE = 0.4  # the other scenarios are variations of kept ones
 MAX_CORPUS_SIZE = 200  # scenarios kept when another one is added
 MAX_RUN_SEED = 1_000_000
-MAX_MEASURED_LOSS = 1.0  # service is a share: a bound beyond it is never exceeded
+MAX_MEASURED_LOSS = 1.0  # service is a share between 0 and 1, so no loss exceeds this
 REFERENCE_POLICY = "sees-all"
 
 
 class Observation(NamedTuple):
-    """An attempt ended with `status` in a scenario that has a fault of kind `fault`."""
+    """An attempt ended with `status` in a scenario that contains a fault of kind `fault`."""
 
     fault: Kind
     status: AttemptStatus
@@ -44,27 +44,27 @@
         self._fault_kinds = sorted({fault.kind for fault in scenario.faults})
 
     def handle(self, sidecar: Any, event: api.Event) -> None:
-        """Observe an event, then let the sidecar handle it."""
+        """Record the observations that an event gives, then let the sidecar handle the event."""
         if isinstance(event, api.AttemptOutcome):
             self.observations.update(Observation(kind, event.status) for kind in self._fault_kinds)
         super().handle(sidecar, event)
 
 
 class Corpus:
-    """The scenarios that showed something new."""
+    """The scenarios that led to new observations."""
 
     def __init__(self) -> None:
         self._scenarios: list[Scenario] = []
         self._observations: set[Observation] = set()
 
     def next_scenario(self, random: Random) -> Scenario:
-        """Draw a scenario, or a variation of one that is kept."""
-        if not self._scenarios or random.random() < FRESH_SHARE:
+        """Draw a new scenario, or a variation of a kept one."""
+        if not self._scenarios or random.random() < NEW_SCENARIO_SHARE:
             return draw_scenario(random)
         return vary_scenario(random, random.choice(self._scenarios))
 
     def add_if_new(self, scenario: Scenario, observations: set[Observation]) -> None:
-        """Keep the scenario, if it showed something that none before it did."""
+        """Keep the scenario if one of its observations is new."""
         if observations <= self._observations:
             return
         self._observations |= observations
@@ -78,15 +78,15 @@
     max_loss: float = 2.0,
     clock: Callable[[], float] = time.monotonic,
 ) -> Iterator[Finding | None]:
-    """Run scenarios until the time is over; yield each run's finding, or None.
+    """Run scenarios until `seconds` have passed; yield each run's finding, or None.
 
     Args:
-        policy: the policy or mutation to run, by name.
-        seed: of the search.
-        seconds: its duration on `clock`.
-        max_loss: a run that serves less than one that sees all, by more than this, is a finding too. Over 1:
-            never.
-        clock: gives the time in seconds.
+        policy: Name of the policy or mutation to run.
+        seed: Seed of the search.
+        seconds: Duration of the search, by `clock`.
+        max_loss: A run whose service is lower than the reference policy's by more than this is a finding too.
+            Above 1 service is not compared.
+        clock: Returns the time in seconds.
     """
     random = Random(seed)
     corpus = Corpus()
@@ -98,12 +98,12 @@
         metrics = world.run()
         if not world.broken:
             corpus.add_if_new(scenario, world.observations)
-        what = world.broken or _describe_loss(scenario, run_seed, metrics, max_loss)
-        yield Finding(scenario, run_seed, policy, what) if what else None
+        description = world.broken or _describe_loss(scenario, run_seed, metrics, max_loss)
+        yield Finding(scenario, run_seed, policy, description) if description else None
 
 
 def _describe_loss(scenario: Scenario, seed: int, metrics: RunMetrics, max_loss: float) -> str:
-    """Describe the loss of service against the reference policy, if it exceeds `max_loss`."""
+    """Describe the loss of service compared with the reference policy; empty unless it exceeds `max_loss`."""
     if max_loss > MAX_MEASURED_LOSS:
         return ""
     reference = World(scenario, seed, POLICIES[REFERENCE_POLICY])
--- a/anisespool/lab/search/shrinking.py
+++ b/anisespool/lab/search/shrinking.py
@@ -1,4 +1,4 @@
-"""What is the smallest scenario that still breaks the rule? Greedy shrinking of a finding."""
+"""Shrinks a finding greedily to a small scenario that still breaks the same rule."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from anisespool.lab.search.findings import Finding, rule_of
 from anisespool.lab.search.mutations import policy_factory
 
-MAX_SHRINK_RUNS = 400  # for one finding
+MAX_SHRINK_RUNS = 400  # limit for one finding
 MIN_SECONDS = 0.5
 MIN_WARM_UP_S = 0.2
 MIN_START_S = 0.1
 MIN_RATE_PER_S = 20
-# The values of a link's fields that make it do one thing less, in the order in which they are tried.
+# Values that simplify a link, by field. They are applied in this order.
 NEUTRAL_LINK_VALUES: dict[str, float | bool | None] = {
     "flap_s": None,
     "loss": 0.0,
@@ -27,7 +27,7 @@
 
 
 def shrink(finding: Finding, max_runs: int = MAX_SHRINK_RUNS) -> Finding:
-    """Simplify a finding's scenario greedily for as long as it still breaks the same rule."""
+    """Simplify a finding's scenario greedily, as long as it still breaks the same rule."""
     remaining_runs = max_runs
     while remaining_runs > 0:
         for simpler in _simpler_scenarios(finding.scenario):
@@ -44,7 +44,7 @@
 
 
 def shrink_links(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield the scenario with fewer degraded links, with links that do one thing less, and without gossip."""
+    """Yield the scenario with fewer degraded links, with one of them simplified, and without gossip."""
     if scenario.links:
         yield replace(scenario, links=[])
     for index, link in enumerate(scenario.links):
@@ -60,14 +60,14 @@
 
 
 def _violation(scenario: Scenario, finding: Finding) -> str:
-    """Run a scenario as a finding's was run; return what it violated, or an empty text."""
+    """Run a scenario with a finding's seed and policy; return the violation, or an empty string."""
     world = World(scenario, finding.seed, policy_factory(finding.policy))
     world.run()
     return world.broken
 
 
 def _simpler_scenarios(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield simpler scenarios, those that are simpler by most first."""
+    """Yield simpler scenarios, with the largest simplifications first."""
     for index in range(len(scenario.faults)):
         yield replace(scenario, faults=scenario.faults[:index] + scenario.faults[index + 1 :])
     yield from shrink_links(scenario)
@@ -79,7 +79,7 @@
 
 
 def _shrink_load_and_time(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield scenarios without bursts or retries, with one sidecar, or shorter."""
+    """Yield scenarios without bursts, without client retries, with one sidecar, or with a shorter run."""
     if scenario.bursts:
         yield replace(scenario, bursts=[])
     if scenario.clients.max_attempts > 1:
@@ -93,7 +93,7 @@
 
 
 def _shrink_faults(scenario: Scenario) -> Iterator[Scenario]:
-    """Yield scenarios with one fault that hits fewer endpoints, or starts sooner."""
+    """Yield scenarios in which one fault hits fewer endpoints or starts earlier."""
     for index, fault in enumerate(scenario.faults):
         for simpler in _simpler_faults(fault):
             faults = [*scenario.faults[:index], simpler, *scenario.faults[index + 1 :]]
