--- a/anisespool/lab/__init__.py
+++ b/anisespool/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a simulated fleet in virtual time, scenarios, experiments, and a search for broken rules."""
+"""The lab: runs scenarios on a simulated fleet or on real processes, and searches for rule violations."""
--- a/anisespool/lab/experiments.py
+++ b/anisespool/lab/experiments.py
@@ -1,6 +1,6 @@
-"""Runs, sweeps and comparisons, in several processes; comparisons are paired by seed.
+"""Runs scenarios in parallel processes, stores the results, and compares them in pairs of equal seed.
 
-A run is decided by its scenario, its policy, its seed and the code itself: its key is a digest of these.
+A run is determined by its scenario, its policy, its seed and the code. Its key is a digest of all four.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import Scenario, ScenarioError
 
-BOOTSTRAP_DRAWS = 2000
-CONFIDENCE = 0.95
+BOOTSTRAP_SAMPLES = 2000
+CONFIDENCE_LEVEL = 0.95
 LAB = Path(__file__).parent
 CODE_FOLDERS = (Path(balancer.__file__).parent, LAB, LAB / "model", LAB / "scenario")
 
 
 class Case(NamedTuple):
-    """One run to be made."""
+    """One run: a scenario with a policy and a seed."""
 
     name: str
     scenario: Scenario
@@ -39,7 +39,7 @@
 
 
 def code_digest() -> str:
-    """A digest of the code that decides a run, so that results of other code are not taken for this one's."""
+    """Return a digest of the code that runs depend on, so that results of other code are not reused."""
     digest = hashlib.blake2b(digest_size=8)
     for folder in CODE_FOLDERS:
         for path in sorted(folder.glob("*.py")):
@@ -48,20 +48,20 @@
 
 
 def run_key(case: Case, code: str) -> str:
-    """A digest of all that decides a run; `code` is `code_digest`'s."""
-    decisive = b"\0".join((scenarios.encode(case.scenario), case.policy.encode(), str(case.seed).encode()))
-    return hashlib.blake2b(decisive + code.encode(), digest_size=12).hexdigest()
+    """Return the key of a run; `code` is the result of `code_digest`."""
+    inputs = b"\0".join((scenarios.encode(case.scenario), case.policy.encode(), str(case.seed).encode()))
+    return hashlib.blake2b(inputs + code.encode(), digest_size=12).hexdigest()
 
 
 def run_case(case: Case, code: str = "") -> Result:
-    """Makes a run in this process."""
+    """Run a case in this process."""
     world = World(case.scenario, case.seed, POLICIES[case.policy])
     metrics = world.run()
     return Result(run_key(case, code), case.name, case.policy, case.seed, world.broken, metrics.figures())
 
 
 def run_with_timeline(case: Case) -> ScenarioRun:
-    """Makes a run in this process, sampled over time for a report."""
+    """Run a case in this process, and sample its queues over time for a report."""
     world = World(case.scenario, case.seed, POLICIES[case.policy])
     observer = Observer(world, world.begin, world.end)
     metrics = world.run()
@@ -74,16 +74,16 @@
     processes: int | None = None,
     on_each: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
-    """Makes all runs that `results` does not have, and stores them there.
+    """Run all cases whose result `results` lacks, and store the new results.
 
     Args:
-        cases: The runs.
-        results: Takes each result as soon as it is known.
-        processes: How many run at a time; None: one for each core.
-        on_each: Called with each result, stored or new.
+        cases: The cases to run.
+        results: Stored results; each new result is added as soon as its run ends.
+        processes: Number of worker processes; None: one for each core.
+        on_each: Called with each result, whether stored or new.
 
     Returns:
-        Results in the order of the cases.
+        The results in the order of the cases.
     """
     cases = list(cases)
     code = code_digest()
@@ -109,13 +109,13 @@
 
 
 class Difference(NamedTuple):
-    """Difference of a figure between two policies or scenarios, paired by seed.
+    """The difference in a figure between two policies or scenarios, paired by seed.
 
     Attributes:
-        mean: Of the second less the first.
-        low: Lower end of the confidence interval.
-        high: Upper end.
-        pairs: How many there were.
+        mean: Mean difference: the second value minus the first.
+        low: Lower end of the confidence interval of the mean.
+        high: Upper end of the interval.
+        pairs: Number of pairs.
     """
 
     figure: str
@@ -126,63 +126,63 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval excludes that there is no difference."""
+        """Whether the confidence interval excludes zero."""
         return self.pairs > 1 and not self.low <= 0 <= self.high
 
 
 def paired_difference(figure: str, first: list[float], second: list[float], seed: int = 1) -> Difference:
-    """Bootstraps the mean difference over the pairs.
+    """Return the mean difference over the pairs, with a bootstrap confidence interval.
 
-    Chance makes far larger differences between days than there are between policies, so that means of each
-    would hide what pairs show.
+    Results vary far more between seeds than between policies: comparing the two means would hide an effect
+    that the pairs show.
     """
-    gaps = np.asarray(second) - np.asarray(first)
-    if len(gaps) < 2:
-        return Difference(figure, float(gaps.mean()), float("-inf"), float("inf"), len(gaps))
-    draws = np.random.default_rng(seed).integers(0, len(gaps), (BOOTSTRAP_DRAWS, len(gaps)))
-    means = gaps[draws].mean(axis=1)
-    low, high = np.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
-    return Difference(figure, float(gaps.mean()), float(low), float(high), len(gaps))
+    differences = np.asarray(second) - np.asarray(first)
+    if len(differences) < 2:
+        return Difference(figure, float(differences.mean()), float("-inf"), float("inf"), len(differences))
+    samples = np.random.default_rng(seed).integers(0, len(differences), (BOOTSTRAP_SAMPLES, len(differences)))
+    means = differences[samples].mean(axis=1)
+    low, high = np.quantile(means, [(1 - CONFIDENCE_LEVEL) / 2, (1 + CONFIDENCE_LEVEL) / 2])
+    return Difference(figure, float(differences.mean()), float(low), float(high), len(differences))
 
 
-def with_overrides(scenario: Scenario, settings: Iterable[str], source: str) -> tuple[str, Scenario]:
-    """Changes keys of a scenario.
+def with_overrides(scenario: Scenario, overrides: Iterable[str], source: str) -> tuple[str, Scenario]:
+    """Return a copy of a scenario with some keys set to other values.
 
     Args:
-        scenario: Stays as it is.
-        settings: `KEY=VALUE` each; dots lead into tables, numbers pick from lists.
-        source: Named in errors.
+        scenario: The scenario; it is not modified.
+        overrides: `KEY=VALUE` each; dots in a key separate nested tables, and a number is an index of a list.
+        source: Name of the scenario in error messages.
 
     Returns:
         A name for the variant, and the variant.
 
     Raises:
-        ScenarioError: A key is not there, or its value is wrong.
+        ScenarioError: A key does not exist, or its value is invalid.
     """
     raw: dict[str, Any] = json.loads(scenarios.encode(scenario))
-    settings = list(settings)
-    for setting in settings:
-        path, equals, value = setting.partition("=")
+    overrides = list(overrides)
+    for override in overrides:
+        path, equals, value = override.partition("=")
         if not equals:
-            raise ScenarioError(f"{setting!r}: found no =, wanted KEY=VALUE")
+            raise ScenarioError(f"{override!r}: found no =, wanted KEY=VALUE")
         try:
             _assign(raw, path.split("."), value)
         except (KeyError, IndexError, ValueError, TypeError):
-            raise ScenarioError(f"{path}: found nothing there, wanted a key of the scenario") from None
-    return " ".join(settings) or "as it is", scenarios.from_raw(raw, source)
+            raise ScenarioError(f"{path}: found no such key, wanted a key of the scenario") from None
+    return " ".join(overrides) or "as it is", scenarios.from_raw(raw, source)
 
 
 def _assign(raw: dict[str, Any], path: list[str], value: str) -> None:
-    """Sets a key to a JSON value; what is no JSON is a string."""
+    """Set the key at `path` to a JSON value; a value that is not valid JSON is taken as a string."""
     try:
         parsed = json.loads(value)
     except ValueError:
         parsed = value
-    place: Any = raw
+    container: Any = raw
     for part in path[:-1]:
-        place = place[_key_in(place, part)]
-    place[_key_in(place, path[-1])] = parsed
+        container = container[_container_key(container, part)]
+    container[_container_key(container, path[-1])] = parsed
 
 
-def _key_in(place: Any, part: str) -> str | int:
-    return int(part) if isinstance(place, list) else part
+def _container_key(container: Any, part: str) -> str | int:
+    return int(part) if isinstance(container, list) else part
--- a/anisespool/lab/results.py
+++ b/anisespool/lab/results.py
@@ -1,4 +1,4 @@
-"""Results of experiments in SQLite, so that a sweep that was killed resumes where it stopped."""
+"""Stores the results of experiments in SQLite, so that an interrupted sweep resumes where it stopped."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     """The result of one run.
 
     Attributes:
-        key: Digest of all that decides the run.
-        case: Name of the scenario.
-        broken: The rule that was broken, if any.
-        figures: What `RunMetrics.figures` returned.
+        key: Digest of the run's scenario, policy, seed and code.
+        case: Name of the scenario or its variant.
+        broken: The rule that was broken; empty if none was.
+        figures: The figures that `RunMetrics.figures` returned.
     """
 
     key: str
@@ -36,7 +36,7 @@
 
 
 class ResultStore:
-    """A file of results, or memory alone."""
+    """Results by the key of their run, in a file or, without a path, in memory."""
 
     def __init__(self, path: Path | None = None) -> None:
         self._db = sqlite3.connect(path or ":memory:")
@@ -44,18 +44,18 @@
         self._db.executescript(SCHEMA)
 
     def find(self, keys: Iterable[str]) -> dict[str, Result]:
-        """Stored results with one of the keys, by key."""
+        """Return the stored results that have one of `keys`, by key."""
         wanted = set(keys)
         return {row[0]: _from_row(row) for row in self._db.execute(SELECT) if row[0] in wanted}
 
     def store(self, result: Result) -> None:
-        """Stores a result, and commits it."""
+        """Store a result and commit it."""
         row = (*result[:5], json.dumps(result.figures))
         self._db.execute(INSERT, row)
         self._db.commit()
 
     def close(self) -> None:
-        """Closes the file."""
+        """Close the database."""
         self._db.close()
 
 
