--- a/anisespool/cli/lab/search_commands.py
+++ b/anisespool/cli/lab/search_commands.py
@@ -49,9 +49,9 @@
 @expand_option_groups
 def search_faults(*, options: SearchOptions) -> None:
     """Search for scenarios that break a rule, shrink them and save them. Exit 1 if any were found."""
-    from anisespool.lab.search.mutations import BREAKS
+    from anisespool.lab.search.mutations import MUTATIONS
 
-    if options.policy not in BREAKS:
+    if options.policy not in MUTATIONS:
         check_policy(options.policy)
     runs, findings = _search(options)
     options.folder.mkdir(parents=True, exist_ok=True)
@@ -92,7 +92,7 @@
     path = folder / f"{finding.rule.replace(' ', '-')}-{finding.seed}.json"
     finding.save(path)
     faults = ", ".join(fault.kind for fault in finding.scenario.faults) or "none"
-    return _FindingRow(finding.what, faults, finding.scenario.seconds, f"anisespool lab replay {path}")
+    return _FindingRow(finding.description, faults, finding.scenario.seconds, f"anisespool lab replay {path}")
 
 
 FINDING_COLUMNS: list[Column[_FindingRow]] = [
@@ -127,11 +127,11 @@
 def _replay(path: Path, policy: str, as_json: bool) -> bool:
     """Replay the finding in a file, and return whether a rule was broken."""
     from anisespool.lab.model.world import World
-    from anisespool.lab.search.findings import load
+    from anisespool.lab.search.findings import load_finding
     from anisespool.lab.search.mutations import policy_factory
 
     try:
-        finding = load(path)
+        finding = load_finding(path)
     except (OSError, ValueError, KeyError) as error:
         raise CommandError(ExitStatus.USAGE_ERROR, f"{path}: {error}") from None
     world = World(finding.scenario, finding.seed, policy_factory(policy or finding.policy))
