--- a/anisespool/lab/live/backend_client.py
+++ b/anisespool/lab/live/backend_client.py
@@ -29,11 +29,11 @@
         self._stdin = process.stdin
         self._stdout = process.stdout
 
-    def order(self, order: RunOrder) -> None:
+    def send_order(self, order: RunOrder) -> None:
         """Say what is to be played."""
         self._write(msgspec.json.encode(order))
 
-    async def ready(self) -> BackendReady:
+    async def wait_ready(self) -> BackendReady:
         """Wait until its sockets are open."""
         return await self._read(BackendReady)
 
--- a/anisespool/lab/live/backend_messages.py
+++ b/anisespool/lab/live/backend_messages.py
@@ -13,7 +13,7 @@
 from anisespool.config.platform import Address
 from anisespool.lab.live.arrival_log import Arrival, FaultNote, Stall
 from anisespool.lab.live.budget_server import BudgetPeak
-from anisespool.lab.live.datagram_network import DatagramCounts, HeardSlot, PeerAddress
+from anisespool.lab.live.datagram_network import DatagramCounts, DeliverySlot, PeerAddress
 from anisespool.lab.model.links import Counts as LinkCounts
 from anisespool.lab.model.timeline import TimelineSample
 from anisespool.lab.scenario import Scenario
@@ -58,7 +58,7 @@
     timeline: list[TimelineSample] = []
     links: LinkCounts = msgspec.field(default_factory=LinkCounts)
     datagrams: DatagramCounts = msgspec.field(default_factory=lambda: DatagramCounts([], []))
-    heard: list[HeardSlot] = []
+    heard: list[DeliverySlot] = []
     budget_peaks: list[BudgetPeak] = []
     arrival_count: int = 0
     arrivals: list[Arrival] = []
--- a/anisespool/lab/live/backend_process.py
+++ b/anisespool/lab/live/backend_process.py
@@ -33,11 +33,11 @@
     backend = LiveBackend(order.scenario, order.seed)
     asyncio.get_running_loop().set_exception_handler(backend.clock.handle_exception)
     async with AsyncExitStack() as stack:
-        rosters = await backend.open()
+        discoveries = await backend.open()
         stack.callback(backend.close)
-        for roster in rosters:
-            await stack.enter_async_context(roster.serve())
-        _write_message(backend.describe(rosters))
+        for discovery in discoveries:
+            await stack.enter_async_context(discovery.serve())
+        _write_message(backend.describe(discoveries))
         backend.start(int(await _read_line()))
         while line := await _read_line():
             backend.add_link(msgspec.json.decode(line, type=Link))
--- a/anisespool/lab/live/cpu_contention.py
+++ b/anisespool/lab/live/cpu_contention.py
@@ -7,7 +7,7 @@
 import sys
 from contextlib import suppress
 
-BURNERS = 3
+BUSY_PROCESSES = 3
 
 
 def core_for(number: int) -> int:
@@ -20,21 +20,21 @@
     """Burns a core from `start` until `stop`."""
 
     def __init__(self) -> None:
-        self._burners: list[asyncio.subprocess.Process] = []
+        self._busy_processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, core: int, env: dict[str, str]) -> None:
         """Start the burners, with `env` added to their environment."""
-        for _ in range(BURNERS):
-            burner = await asyncio.create_subprocess_exec(
+        for _ in range(BUSY_PROCESSES):
+            process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", "while True: pass", env=os.environ | env
             )
-            os.sched_setaffinity(burner.pid, {core})
-            self._burners.append(burner)
+            os.sched_setaffinity(process.pid, {core})
+            self._busy_processes.append(process)
 
     async def stop(self) -> None:
         """End the burners, if any run."""
-        for burner in self._burners:
+        for process in self._busy_processes:
             with suppress(ProcessLookupError):
-                burner.kill()
-            await burner.wait()
-        self._burners.clear()
+                process.kill()
+            await process.wait()
+        self._busy_processes.clear()
--- a/anisespool/lab/live/datagram_network.py
+++ b/anisespool/lab/live/datagram_network.py
@@ -51,7 +51,7 @@
     listen: Address  # its `peer_listen`
 
 
-class HeardSlot(NamedTuple):
+class DeliverySlot(NamedTuple):
     """A slot of 100 ms in which a datagram of `sender` was delivered to another sidecar."""
 
     slot: int
@@ -66,7 +66,7 @@
     bytes: list[int]  # by sender
     delivered: int = 0
     oversized: int = 0
-    strangers: int = 0  # from an address that is nobody's `peer_listen`
+    unknown_senders: int = 0  # from an address that is nobody's `peer_listen`
     unsent: int = 0  # the receiver's buffer, or this process's, was full
 
 
@@ -78,12 +78,12 @@
         self.counts = DatagramCounts([0] * len(zones), [0] * len(zones))
         self.peers: list[PeerAddress] = []
         self.broadcast = Address("", 0)  # `peers_all`
-        self.heard: deque[HeardSlot] = deque(maxlen=MAX_SLOTS)
+        self.delivery_slots: deque[DeliverySlot] = deque(maxlen=MAX_SLOTS)
         self._links = links
         self._clock = clock
         self._sockets: list[socket.socket] = []  # by receiver, the broadcast's last
         self._senders: dict[Address, int] = {}  # by `peer_listen`
-        self._last_heard: dict[int, int] = {}  # slot, by sender
+        self._last_delivery_slots: dict[int, int] = {}  # slot, by sender
         self._ports = _PortReservations()
 
     @property
@@ -124,7 +124,7 @@
                 continue  # an ICMP answer to what was sent before: the receiver is not there
             sender = self._senders.get(source)
             if sender is None:
-                self.counts.strangers += 1
+                self.counts.unknown_senders += 1
             elif len(data) > MAX_DATAGRAM_BYTES:
                 self.counts.oversized += 1
             else:
@@ -156,9 +156,9 @@
             return
         self.counts.delivered += 1
         slot = self._clock.now // SLOT_NS
-        if self._last_heard.get(sender) != slot and sender != receiver:
-            self._last_heard[sender] = slot
-            self.heard.append(HeardSlot(slot, sender))
+        if self._last_delivery_slots.get(sender) != slot and sender != receiver:
+            self._last_delivery_slots[sender] = slot
+            self.delivery_slots.append(DeliverySlot(slot, sender))
 
 
 class _PortReservations:
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -38,7 +38,7 @@
 class _Feed:
     """Of one sidecar. Its discovery is opened when the run's listeners are."""
 
-    roster: DiscoveryService
+    discovery: DiscoveryService
     pending: deque[_Update] = field(default_factory=deque)  # in order
     known_starts: dict[int, int] = field(default_factory=dict)  # by endpoint, as its list has them
     not_ready_since: dict[int, int] = field(default_factory=dict)  # by endpoint, as it was notified
@@ -64,9 +64,9 @@
             entries = [self._build_entry(endpoint, node.number) for endpoint in endpoints]
             known_starts = {endpoint.id: endpoint.started for endpoint in endpoints}
             self._feeds.append(_Feed(DiscoveryService(entries), known_starts=known_starts))
-        return [feed.roster for feed in self._feeds]
+        return [feed.discovery for feed in self._feeds]
 
-    def knows_start(self, sidecar: int, endpoint: Endpoint) -> bool:
+    def was_notified_of_start(self, sidecar: int, endpoint: Endpoint) -> bool:
         """Return whether the sidecar was notified of the endpoint's last start."""
         return self._feeds[sidecar].known_starts.get(endpoint.id) == endpoint.started
 
@@ -90,14 +90,14 @@
                 state = EndpointState.GONE if is_empty else endpoint.listed
                 self._note_state(feed, endpoint.id, state, endpoint.started)
             remaining: Iterable[Endpoint] = () if is_empty else listed(endpoints)
-            feed.roster.publish_all([self._build_entry(endpoint, sidecar) for endpoint in remaining])
+            feed.discovery.publish_all([self._build_entry(endpoint, sidecar) for endpoint in remaining])
 
     def apply_links(self, now: int) -> None:
         """Cut discoveries off as the links demand now, and deliver what is due at the others."""
         for sidecar, feed in enumerate(self._feeds):
             cut = self._links.is_cut(now, self._nodes[sidecar], DISCOVERY, "lists")
-            if cut or feed.roster.is_cut:
-                feed.roster.cut(cut)
+            if cut or feed.discovery.is_cut:
+                feed.discovery.cut(cut)
             self._deliver_due(sidecar)
 
     def _deliver_due(self, sidecar: int) -> None:
@@ -108,7 +108,7 @@
         """
         feed = self._feeds[sidecar]
         now = self._clock.now
-        while feed.pending and feed.pending[0].due_at <= now and not feed.roster.is_cut:
+        while feed.pending and feed.pending[0].due_at <= now and not feed.discovery.is_cut:
             update = feed.pending[0]
             delay = self._link_delay(sidecar, update, now)
             if delay:
@@ -119,7 +119,7 @@
             feed.pending.popleft()
             if self._watch_delay.takes(sidecar, update.revision):
                 self._note_state(feed, update.endpoint, update.state, update.started)
-                feed.roster.publish(update.entry)
+                feed.discovery.publish(update.entry)
 
     def _link_delay(self, sidecar: int, update: _Update, now: int) -> int:
         """Return by how much the link delays an update, ns. It does so once."""
--- a/anisespool/lab/live/fault_injection.py
+++ b/anisespool/lab/live/fault_injection.py
@@ -7,7 +7,7 @@
 
 from anisespool.lab.live.background_tasks import BackgroundTasks
 from anisespool.lab.live.process_handle import MAX_STARTING, ProcessHandle
-from anisespool.lab.live.process_stats import LimitKind, lift_limit, limit_to_present
+from anisespool.lab.live.process_stats import LimitKind, lift_limit, limit_to_current_use
 from anisespool.lab.live.timing import RunSpan, sleep_until
 from anisespool.lab.model.faults import ProcessFault, process_faults
 from anisespool.lab.model.random_streams import RandomStreams
@@ -81,6 +81,6 @@
         await self._limit(member, "memory", fault.fault.size, until)
 
     async def _limit(self, member: ProcessHandle, kind: LimitKind, extra: float, until: int) -> None:
-        limit_to_present(member.pid, kind, extra)
+        limit_to_current_use(member.pid, kind, extra)
         await sleep_until(until)
         lift_limit(member.pid, kind)
--- a/anisespool/lab/live/history.py
+++ b/anisespool/lab/live/history.py
@@ -14,13 +14,13 @@
 
 from anisespool.lab.live.arrival_log import Arrival
 from anisespool.lab.live.budget_server import SLOT_NS as BUDGET_SLOT_NS
-from anisespool.lab.live.datagram_network import SLOT_NS as HEARD_SLOT_NS
-from anisespool.lab.live.datagram_network import HeardSlot
+from anisespool.lab.live.datagram_network import SLOT_NS as DELIVERY_SLOT_NS
+from anisespool.lab.live.datagram_network import DeliverySlot
 from anisespool.lab.live.process_account import Outage
 from anisespool.lab.live.run_result import LiveRunResult
 from anisespool.lab.scenario import SECOND, Fault, Link, Scenario, Statement
 
-HEARD_SLOT_S = HEARD_SLOT_NS / SECOND
+DELIVERY_SLOT_S = DELIVERY_SLOT_NS / SECOND
 LINK_FAULTS = ("loss", "delay_ms", "spread_ms", "duplicate", "reorder", "corrupt", "rate_kb_s")
 
 
@@ -65,7 +65,7 @@
         arrivals: requests as they reached endpoints.
         begin: of the scenario's own time, monotonic ns.
         outages: by member.
-        heard: slots in which the network delivered something of a member to another.
+        delivery_slots: slots in which the network delivered something of a member to another.
         budget_use: by the budget server's clock.
         served: by second.
     """
@@ -75,7 +75,7 @@
     arrivals: list[Arrival] = field(default_factory=list)
     begin: int = 0
     outages: list[list[Outage]] = field(default_factory=list)
-    heard: set[HeardSlot] = field(default_factory=set)
+    delivery_slots: set[DeliverySlot] = field(default_factory=set)
     budget_use: list[BudgetUse] = field(default_factory=list)
     served: list[ServedSecond] = field(default_factory=list)
 
@@ -90,13 +90,13 @@
             for outage in self.outages[member]
         )
 
-    def was_heard(self, member: int, from_s: float, to_s: float) -> bool:
+    def had_delivery(self, member: int, from_s: float, to_s: float) -> bool:
         """Return whether the network delivered something of that member's in that span."""
-        slots = range(self._heard_slot(from_s), self._heard_slot(to_s) + 1)
-        return any(HeardSlot(slot, member) in self.heard for slot in slots)
+        slots = range(self._delivery_slot(from_s), self._delivery_slot(to_s) + 1)
+        return any(DeliverySlot(slot, member) in self.delivery_slots for slot in slots)
 
-    def _heard_slot(self, second: float) -> int:
-        return int((self.begin + second * SECOND) // HEARD_SLOT_NS)
+    def _delivery_slot(self, second: float) -> int:
+        return int((self.begin + second * SECOND) // DELIVERY_SLOT_NS)
 
     def faults(self) -> list[FaultSpan]:
         """Return the faults of the scenario, in order."""
@@ -160,7 +160,7 @@
             for event in account.events
         ]
     history.events.sort(key=lambda event: event.at_s)
-    history.heard = set(result.backend.heard)
+    history.delivery_slots = set(result.backend.heard)
     history.budget_use = [
         BudgetUse(history.second(peak.slot * BUDGET_SLOT_NS), peak.units)
         for peak in result.backend.budget_peaks
--- a/anisespool/lab/live/live_backend.py
+++ b/anisespool/lab/live/live_backend.py
@@ -23,7 +23,7 @@
 )
 from anisespool.lab.live.datagram_network import DatagramNetwork
 from anisespool.lab.live.endpoint_list_feeds import EndpointListFeeds
-from anisespool.lab.live.fault_stage import FaultStage
+from anisespool.lab.live.live_fault_target import LiveFaultTarget
 from anisespool.lab.live.proxy_table import ProxyTable, proxy_groups
 from anisespool.lab.live.request_target import RequestTarget
 from anisespool.lab.live.wall_clock import WallClock
@@ -38,7 +38,7 @@
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import MS, SECOND, Link, Scenario
 
-LOOPBACK_NS = MS  # hops below this are left to the loopback itself: timers are no finer
+MIN_TIMER_NS = MS  # hops below this are left to the loopback itself: timers are no finer
 DRAIN_SLACK_NS = 50 * MS  # of a drain's grace, on sockets
 HEARTBEAT_NS = 10 * MS
 MESSAGE_BYTES = 600  # of a request or an answer, where a link's rate is bounded
@@ -76,15 +76,16 @@
     async def open(self) -> list[DiscoveryService]:
         """Open all listeners, and return a discovery for each sidecar, which the caller serves."""
         self.proxies.open_all()
-        rosters = self.feeds.open(self.nodes, self.endpoints)
+        discoveries = self.feeds.open(self.nodes, self.endpoints)
         self.datagrams.open()
         await self.budget_server.open()
-        return rosters
+        return discoveries
 
-    def describe(self, rosters: list[DiscoveryService]) -> BackendReady:
+    def describe(self, services: list[DiscoveryService]) -> BackendReady:
         """Return where sidecars find their discoveries and one another."""
         discoveries = [
-            SidecarDiscovery(Address(*roster.address), list(roster.members.values())) for roster in rosters
+            SidecarDiscovery(Address(*service.address), list(service.members.values()))
+            for service in services
         ]
         peers = PeerNetwork(self.datagrams.peers, self.datagrams.broadcast, self.budget_server.address)
         return BackendReady(discoveries, peers)
@@ -94,8 +95,8 @@
         self.begin, end = span_ns(self.scenario, first)
         self.links.start(self.begin)
         edges(self.links, lambda when, fault, begins: self.clock.at(when, self.apply_links))
-        stage = FaultStage(self, self._streams.named("machines"))
-        schedule(stage, self._streams.named("troubles"), self._streams.named("processes"))
+        target = LiveFaultTarget(self, self._streams.named("machines"))
+        schedule(target, self._streams.named("troubles"), self._streams.named("processes"))
         self.observer = Observer(self, self.begin, end)
         self._heartbeat(self.clock.now)
 
@@ -127,7 +128,7 @@
             timeline=self.observer.samples if self.observer else [],
             links=self.links.counts,
             datagrams=self.datagrams.counts,
-            heard=list(self.datagrams.heard),
+            heard=list(self.datagrams.delivery_slots),
             budget_peaks=self.budget_server.peaks,
             arrival_count=log.arrival_count,
             arrivals=log.arrivals,
@@ -176,7 +177,7 @@
         spread = self._hop_draws.uniform(1 - width, 1 + width) if width else 1.0
         is_same_zone = self.zones[job.sidecar] == endpoint.spec.zone
         delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.faults.delay)
-        if delay < LOOPBACK_NS:
+        if delay < MIN_TIMER_NS:
             self.clock.call(callback, arguments)  # so that a broken rule is noted, however short the way
         else:
             self.clock.after(delay, callback, *arguments)
@@ -282,7 +283,7 @@
 
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Return whether the job's sidecar was notified of the endpoint's last start."""
-        return self.feeds.knows_start(job.sidecar, endpoint)
+        return self.feeds.was_notified_of_start(job.sidecar, endpoint)
 
     def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
         """Send an answer through the network; an endpoint may lose it."""
--- a/anisespool/lab/live/fault_stage.py
+++ b/anisespool/lab/live/live_fault_target.py
@@ -21,7 +21,7 @@
 MIN_CUT_S = 0.001
 
 
-class FaultTarget(Protocol):
+class FaultBackend(Protocol):
     """What the faults act on (live_backend.py)."""
 
     scenario: Scenario
@@ -44,10 +44,10 @@
         """Let the connections follow the faults that are in effect."""
 
 
-class FaultStage:
+class LiveFaultTarget:
     """The run as the model's schedule of faults sees it (`lab/model/faults.py`, `Stage`)."""
 
-    def __init__(self, backend: FaultTarget, machine_draws: RandomStream) -> None:
+    def __init__(self, backend: FaultBackend, machine_draws: RandomStream) -> None:
         self.scenario: Scenario = backend.scenario
         self.begin: int = backend.begin
         self.endpoints: list[Endpoint] = backend.endpoints
--- a/anisespool/lab/live/live_run.py
+++ b/anisespool/lab/live/live_run.py
@@ -34,17 +34,17 @@
 from anisespool.lab.model.arrivals import plan
 from anisespool.lab.scenario import SECOND, Link, Scenario, ScenarioError
 
-__all__ = ["LiveRunResult", "Progress", "Rig", "check_limits", "play"]
+__all__ = ["LiveRunResult", "Progress", "RunHandle", "check_limits", "play"]
 
 MAX_SIDECARS = 200
 MAX_ENDPOINTS = 200
 MAX_GOSSIP_PROCESSES = 64  # in one datagram's table
 COLLECT_INTERVAL_NS = 4 * SECOND  # between two collections of members' events
-LEAD_NS = SECOND // 2  # from the order to begin until the first request may be due
+START_DELAY_NS = SECOND // 2  # from the order to begin until the first request may be due
 UNCHANGED = "sound"  # the mutation that breaks nothing, but whose wall clock can be shifted
 
 Progress = Callable[[str, int], None]
-LiveCallback = Callable[["Rig"], Coroutine[Any, Any, None]]
+RunCallback = Callable[["RunHandle"], Coroutine[Any, Any, None]]
 
 
 def ignore_progress(stage: str, count: int) -> None:
@@ -68,7 +68,7 @@
         raise ScenarioError(f"{source}: {key}: {wanted}: their processes and ports are real")
 
 
-class Rig:
+class RunHandle:
     """What a run offers while it is played."""
 
     def __init__(self, backend: BackendClient, members: Sequence[ProcessHandle], span: RunSpan) -> None:
@@ -80,7 +80,7 @@
         """Wait for a second of the scenario's own time."""
         await sleep_until(self._span.at(second))
 
-    def fail(self, link: dict[str, Any]) -> None:
+    def add_link(self, link: dict[str, Any]) -> None:
         """Add a faulty link, in the form of a scenario's; its `at_s` is counted from now.
 
         Raises:
@@ -96,7 +96,7 @@
     control: bool = False,
     mutation: str = "",
     progress: Progress = ignore_progress,
-    live: LiveCallback | None = None,
+    during_run: RunCallback | None = None,
 ) -> LiveRunResult:
     """Run a scenario once, in real time.
 
@@ -107,7 +107,7 @@
         control: sidecars report events through their control sockets.
         mutation: a deliberate break of the program (`mutated_sidecar`); empty for none.
         progress: called with a stage's name and how much of it is done.
-        live: run as a task beside the clients.
+        during_run: run as a task beside the clients.
 
     Raises:
         VoidError: The run gives no verdict.
@@ -115,10 +115,10 @@
         RuntimeError: The process of the endpoints failed.
     """
     async with _supervised_folder() as (folder, supervisor), backend_process(supervisor.env) as backend:
-        backend.order(RunOrder(scenario, seed))
+        backend.send_order(RunOrder(scenario, seed))
         factory = _MemberFactory(folder, supervisor, scenario, control, mutation, source)
-        members = factory.build_all(await backend.ready())
-        return await _LiveRun(scenario, seed, backend, members).play(progress, live, control)
+        members = factory.build_all(await backend.wait_ready())
+        return await _LiveRun(scenario, seed, backend, members).play(progress, during_run, control)
 
 
 @asynccontextmanager
@@ -178,7 +178,7 @@
         self._members = members
         self._tasks = BackgroundTasks()
 
-    async def play(self, progress: Progress, live: LiveCallback | None, control: bool) -> LiveRunResult:
+    async def play(self, progress: Progress, during_run: RunCallback | None, control: bool) -> LiveRunResult:
         """Start the members, play, end them, and return the judged result."""
         started = time.monotonic()
         try:
@@ -186,15 +186,15 @@
             # Before the clock starts, as a long plan takes its time.
             client_requests = plan(self._scenario, self._seed) if self._scenario.plays == "sidecars" else []
             start_s = time.monotonic() - started
-            span = RunSpan.of(self._scenario, time.monotonic_ns() + LEAD_NS)
+            span = RunSpan.of(self._scenario, time.monotonic_ns() + START_DELAY_NS)
             self._backend.begin(span.first)
             self.result = LiveRunResult.of(self._scenario, span.begin)
             self.result.start_s = start_s
             clients = Clients(self._scenario, self._members, self.result)
-            self._start_tasks(span, live, control)
+            self._start_tasks(span, during_run, control)
             await clients.run(client_requests, span.first)
             await self._tasks.wait_all()
-            await self._take_stock()
+            await self._record_final_figures()
         finally:
             await wait_bounded(asyncio.gather(*(member.dispose() for member in self._members)))
         report = await self._backend.finish()
@@ -202,15 +202,15 @@
         judge_run(self.result, report, accounts, clients.unsafe_rejections)
         return self.result
 
-    def _start_tasks(self, span: RunSpan, live: LiveCallback | None, control: bool) -> None:
+    def _start_tasks(self, span: RunSpan, during_run: RunCallback | None, control: bool) -> None:
         """Start what runs beside the clients."""
         injector = ProcessFaultInjector(self._scenario, self._seed, self._members, span)
         self.result.process_faults = injector.faults
         injector.schedule(self._tasks)
         if control:
             self._tasks.spawn(self._collect_events(span))
-        if live:
-            self._tasks.spawn(live(Rig(self._backend, self._members, span)))
+        if during_run:
+            self._tasks.spawn(during_run(RunHandle(self._backend, self._members, span)))
 
     async def _collect_events(self, span: RunSpan) -> None:
         """Collect what members report, until the end: each keeps only the last of it."""
@@ -220,7 +220,7 @@
                 if member.up and not member.account.had_outage_at(time.monotonic_ns()):
                     await member.collect_events()
 
-    async def _take_stock(self) -> None:
+    async def _record_final_figures(self) -> None:
         """Note what members have reported and used, before they are ended."""
         for member in self._members:
             member.check_running()
--- a/anisespool/lab/live/process_stats.py
+++ b/anisespool/lab/live/process_stats.py
@@ -37,10 +37,10 @@
 LIMITS = {"descriptors": resource.RLIMIT_NOFILE, "memory": resource.RLIMIT_AS}
 
 
-def limit_to_present(pid: int, kind: LimitKind, extra: float) -> None:
+def limit_to_current_use(pid: int, kind: LimitKind, extra: float) -> None:
     """Allow a process what it has now and `extra` descriptors, or MB of address space, and no more."""
     with suppress(OSError, ValueError):
-        _set_soft_limit(pid, kind, _present_use(pid, kind) + int(extra * (MIB if kind == "memory" else 1)))
+        _set_soft_limit(pid, kind, _current_use(pid, kind) + int(extra * (MIB if kind == "memory" else 1)))
 
 
 def lift_limit(pid: int, kind: LimitKind) -> None:
@@ -50,7 +50,7 @@
         _set_soft_limit(pid, kind, soft)
 
 
-def _present_use(pid: int, kind: LimitKind) -> int:
+def _current_use(pid: int, kind: LimitKind) -> int:
     folder = Path(f"/proc/{pid}")
     if kind == "descriptors":
         return len(list((folder / "fd").iterdir()))
--- a/anisespool/lab/live/proxy_table.py
+++ b/anisespool/lab/live/proxy_table.py
@@ -43,7 +43,7 @@
         proxies = {group: ConnectionProxy(self._handler, endpoint, group) for group in set(self._groups)}
         self._by_endpoint[endpoint.id] = proxies
 
-    def of(self, endpoint: Endpoint) -> list[ConnectionProxy]:
+    def listeners_of(self, endpoint: Endpoint) -> list[ConnectionProxy]:
         """Return the listeners of an endpoint."""
         return list(self._by_endpoint[endpoint.id].values())
 
@@ -57,7 +57,7 @@
 
     def open(self, endpoint: Endpoint) -> None:
         """Open the listeners of an endpoint."""
-        for proxy in self.of(endpoint):
+        for proxy in self.listeners_of(endpoint):
             proxy.open()
 
     def open_all(self) -> None:
@@ -67,12 +67,12 @@
 
     def shut(self, endpoint: Endpoint, state: ListenerState) -> None:
         """Shut the listeners of an endpoint; open connections stay."""
-        for proxy in self.of(endpoint):
+        for proxy in self.listeners_of(endpoint):
             proxy.shut(state)
 
     def drop_connections(self, endpoint: Endpoint) -> None:
         """Reset the connections of an endpoint; one that is dead refuses new ones."""
-        for proxy in self.of(endpoint):
+        for proxy in self.listeners_of(endpoint):
             proxy.drop_connections()
             if endpoint.faults.dead:
                 proxy.shut(ListenerState.REFUSED)
--- a/anisespool/lab/live/run_judgement.py
+++ b/anisespool/lab/live/run_judgement.py
@@ -77,7 +77,7 @@
     for arrival in result.arrivals:
         if arrival.received_at <= arrival.deadline + MAX_FORWARD_DELAY_NS:
             continue
-        if _lay_unread(arrival, result.accounts[arrival.sidecar]):
+        if _may_have_been_unread(arrival, result.accounts[arrival.sidecar]):
             result.excused += 1
         else:
             after_ms = (arrival.received_at - arrival.deadline) // MS
@@ -86,7 +86,7 @@
             )
 
 
-def _lay_unread(arrival: Arrival, account: ProcessAccount) -> bool:
+def _may_have_been_unread(arrival: Arrival, account: ProcessAccount) -> bool:
     begin = arrival.started_at
     return account.had_outage_at(begin) or account.reported_stall(begin, begin + MS)
 
--- a/anisespool/lab/live/sidecar_process.py
+++ b/anisespool/lab/live/sidecar_process.py
@@ -66,12 +66,12 @@
         else:
             self.command = ["-m", "anisespool"]
         if options.control:
-            self._switch_control_on(run_folder / "ctl", scenario)
+            self._enable_control_socket(run_folder / "ctl", scenario)
         self._write_configuration(scenario, discovery)
         if scenario.talk:
             self._add_peers(peers)
 
-    def _switch_control_on(self, control_folder: Path, scenario: Scenario) -> None:
+    def _enable_control_socket(self, control_folder: Path, scenario: Scenario) -> None:
         operator_file = self.folder / "operator.toml"
         has_membership = scenario.talk if scenario.peers is None else scenario.peers
         membership = "\n[peers]\n" if has_membership else ""
--- a/anisespool/lab/live/statements.py
+++ b/anisespool/lab/live/statements.py
@@ -11,15 +11,15 @@
 from typing import Any, NamedTuple
 
 from anisespool.lab.live.arrival_log import Arrival
-from anisespool.lab.live.history import HEARD_SLOT_S, History, MemberEvent
+from anisespool.lab.live.history import DELIVERY_SLOT_S, History, MemberEvent
 from anisespool.lab.live.process_account import EventKind, OutageCause
 from anisespool.lab.scenario import SECOND, Statement
 
 RECOVERY_S = 1.0  # how long a member that had an outage has to see what the others see
-HEARD_S = 1.0  # whoever was heard within that span before it was declared dead was not dead
+LAST_DELIVERY_S = 1.0  # whoever was heard within that span before it was declared dead was not dead
 MIN_ARRIVALS = 20  # a share of fewer is no proof
 MAX_LISTED = 3  # of what is wrong, in a verdict's figure
-ROUNDING = 1 + 1e-9  # of sums of parts of a budget
+ROUNDING_FACTOR = 1 + 1e-9  # of sums of parts of a budget
 
 
 class Verdict(NamedTuple):
@@ -55,7 +55,7 @@
     total: int  # of all that they sent
 
     @property
-    def is_proof(self) -> bool:
+    def has_enough_arrivals(self) -> bool:
         """Whether they were enough to say anything."""
         return self.total >= MIN_ARRIVALS
 
@@ -75,14 +75,14 @@
 
 def _judge_share_below(history: History, statement: Statement) -> Verdict:
     found = _zone_share(history, statement)
-    holds = found.is_proof and found.share <= statement.share
+    holds = found.has_enough_arrivals and found.share <= statement.share
     figure = f"{found.share:.3f} of {found.total}, at most {statement.share:g} wanted"
     return _verdict(history, statement, holds, figure)
 
 
 def _judge_share_above(history: History, statement: Statement) -> Verdict:
     found = _zone_share(history, statement)
-    holds = found.is_proof and found.share >= statement.share
+    holds = found.has_enough_arrivals and found.share >= statement.share
     figure = f"{found.share:.3f} of {found.total}, at least {statement.share:g} wanted"
     return _verdict(history, statement, holds, figure)
 
@@ -107,7 +107,7 @@
     else:
         peaks = _endpoint_peaks(history, statement)
     highest = max(peaks, default=0.0)
-    holds = bool(peaks) and highest <= statement.limit * ROUNDING
+    holds = bool(peaks) and highest <= statement.limit * ROUNDING_FACTOR
     figure = f"{highest:g} at the most, {statement.limit:g} allowed"
     return _verdict(history, statement, holds, figure)
 
@@ -238,7 +238,7 @@
     wrong = []
     for death in deaths:
         member = int(death.fields["member"])
-        if history.was_heard(member, death.at_s - HEARD_S, death.at_s - HEARD_SLOT_S):
+        if history.had_delivery(member, death.at_s - LAST_DELIVERY_S, death.at_s - DELIVERY_SLOT_S):
             wrong.append(f"{member} by {death.member} at {death.at_s:.2f} s")
     listed = f": {', '.join(wrong[:MAX_LISTED])}" if wrong else ""
     figure = f"{len(wrong)} of {len(deaths)} accusations wrong{listed}"
--- a/tests/faults/test_datagram_network.py
+++ b/tests/faults/test_datagram_network.py
@@ -95,10 +95,10 @@
         assert received[2] == [Datagram(b"all", network.peers[1].address)]
         assert sorted(datagram.data for datagram in received[0]) == [b"all", b"back"]
         counts = network.counts
-        assert (counts.oversized, counts.strangers, counts.delivered) == (1, 1, 5)
+        assert (counts.oversized, counts.unknown_senders, counts.delivered) == (1, 1, 5)
         assert counts.sent == [3, 1, 1]
         assert counts.bytes[0] == 256 + 7
-        assert {slot.sender for slot in network.heard} == {0, 1, 2}
+        assert {slot.sender for slot in network.delivery_slots} == {0, 1, 2}
         assert network.socket_count == 4
 
 
@@ -121,7 +121,7 @@
 async def test_the_log_of_who_was_heard_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(datagram_network, "MAX_SLOTS", 5)
     async with three_members() as members:
-        assert members.network.heard.maxlen == 5
+        assert members.network.delivery_slots.maxlen == 5
 
 
 class ManualClock:
--- a/tests/faults/test_live_faults.py
+++ b/tests/faults/test_live_faults.py
@@ -16,7 +16,7 @@
 from anisespool.lab.live import live_run, process_account, timeline_svg
 from anisespool.lab.live.arrival_log import Arrival
 from anisespool.lab.live.history import History, join
-from anisespool.lab.live.live_run import Rig
+from anisespool.lab.live.live_run import RunHandle
 from anisespool.lab.live.process_account import OutageCause, ProcessAccount, ReportedEvent
 from anisespool.lab.scenario import ScenarioError, from_raw
 from tests.harness.void_runs import play_undisturbed
@@ -92,13 +92,13 @@
     made = from_raw(SMALL | changes, "x")
     seen: list[Descriptors] = []
 
-    async def look_and_cut(rig: Rig) -> None:
-        await rig.until(1.0)
+    async def look_and_cut(run: RunHandle) -> None:
+        await run.until(1.0)
         seen.clear()  # of a run that was void
-        seen.append(Descriptors.of(rig.members[0].pid))
-        rig.fail({"at_s": 0, "for_s": 0.8, "from": "sidecar:1", "to": "endpoints", "cut": "refused"})
+        seen.append(Descriptors.of(run.members[0].pid))
+        run.add_link({"at_s": 0, "for_s": 0.8, "from": "sidecar:1", "to": "endpoints", "cut": "refused"})
 
-    result = await play_undisturbed(partial(live_run.play, made, 2, control=True, live=look_and_cut))
+    result = await play_undisturbed(partial(live_run.play, made, 2, control=True, during_run=look_and_cut))
     assert not result.broken
     assert [descriptors.is_at_limit for descriptors in seen] == [True], seen
     assert result.accounts[3].outages[0].cause is OutageCause.STARVED
--- a/tests/faults/test_membership.py
+++ b/tests/faults/test_membership.py
@@ -23,7 +23,7 @@
 from anisespool.fakes import control_client
 from anisespool.lab.live import live_run, statements
 from anisespool.lab.live.history import History, join
-from anisespool.lab.live.live_run import LiveRunResult, Rig
+from anisespool.lab.live.live_run import LiveRunResult, RunHandle
 from anisespool.lab.live.sidecar_process import SidecarProcess
 from anisespool.lab.scenario import from_raw
 from anisespool.membership.service import MembershipService
@@ -151,8 +151,8 @@
     assert any(event.kind == "left" for event in events)
 
 
-def first_sidecar(rig: Rig) -> SidecarProcess:
-    sidecar = rig.members[0]
+def first_sidecar(run: RunHandle) -> SidecarProcess:
+    sidecar = run.members[0]
     assert isinstance(sidecar, SidecarProcess)
     return sidecar
 
@@ -161,9 +161,9 @@
     """The operator's file asks for it."""
     looked = False
 
-    async def look(rig: Rig) -> None:
+    async def look(run: RunHandle) -> None:
         nonlocal looked
-        sidecar = first_sidecar(rig)
+        sidecar = first_sidecar(run)
         assert "membership_disabled setting=allowed.peers" in sidecar.log_path.read_text()
         udp_sockets = Path(f"/proc/{sidecar.pid}/net/udp").read_text()
         assert f":{sidecar.address.port:04X} " not in udp_sockets
@@ -176,7 +176,7 @@
     scenario = from_raw(
         BASE | {"seconds": 1, "warm_s": 0.2, "sidecars": 1, "talk": False, "peers": True}, "x"
     )
-    result = await play_undisturbed(partial(live_run.play, scenario, 1, control=True, live=look))
+    result = await play_undisturbed(partial(live_run.play, scenario, 1, control=True, during_run=look))
     assert looked
     assert result.backend.datagrams.sent == [0]
 
@@ -221,16 +221,18 @@
     """Through control sockets, agent and command."""
     printed: list[tuple[int | None, str]] = []
 
-    async def call_commands(rig: Rig) -> None:
-        async with running_agent(first_sidecar(rig)) as file:
-            await rig.until(2.5)  # every other member has been probed since the cut
+    async def call_commands(run: RunHandle) -> None:
+        async with running_agent(first_sidecar(run)) as file:
+            await run.until(2.5)  # every other member has been probed since the cut
             printed.clear()  # of a run that was void
             printed.append(await run_command("peers", "--config", file))
             printed.append(await run_command("peers", "--config", file, "--json"))
 
     cut = GOSSIP_LINK | {"for_s": 6, "at_s": 0, "from": "sidecar:0", "to": "sidecar:1", "cut": "silent"}
     scenario = from_raw(BASE | {"sidecars": 4, "seconds": 6, "links": [cut]}, "x")
-    result = await play_undisturbed(partial(live_run.play, scenario, 2, control=True, live=call_commands))
+    result = await play_undisturbed(
+        partial(live_run.play, scenario, 2, control=True, during_run=call_commands)
+    )
     assert not result.broken
     (status, table), (_, json_lines) = printed
     assert status == 0
--- a/tests/lab/test_statements.py
+++ b/tests/lab/test_statements.py
@@ -8,7 +8,7 @@
 import pytest
 
 from anisespool.lab.live.arrival_log import Arrival
-from anisespool.lab.live.datagram_network import SLOT_NS, HeardSlot
+from anisespool.lab.live.datagram_network import SLOT_NS, DeliverySlot
 from anisespool.lab.live.history import BudgetUse, History, MemberEvent, ServedSecond
 from anisespool.lab.live.process_account import UNTIL_READY, Outage, OutageCause
 from anisespool.lab.live.statements import judge
@@ -60,8 +60,8 @@
     ]
 
 
-def heard(second: float, member: int) -> HeardSlot:
-    return HeardSlot(at(second) // SLOT_NS, member)
+def delivery(second: float, member: int) -> DeliverySlot:
+    return DeliverySlot(at(second) // SLOT_NS, member)
 
 
 ALL_SEE_ALL = views(*((0.5, member, "0,1,2,3") for member in range(4)))
@@ -203,19 +203,19 @@
         "a member that was heard is declared dead",
         {"says": "none-dead-that-answers"},
         False,
-        {"events": LAST_DECLARED_DEAD, "heard": {heard(4.5, 3)}},
+        {"events": LAST_DECLARED_DEAD, "delivery_slots": {delivery(4.5, 3)}},
     ),
     Case(
         "a member that was not heard is declared dead",
         {"says": "none-dead-that-answers"},
         True,
-        {"events": LAST_DECLARED_DEAD, "heard": {heard(3.0, 3)}},
+        {"events": LAST_DECLARED_DEAD, "delivery_slots": {delivery(3.0, 3)}},
     ),
     Case(
         "a declaration outside the span does not count",
         {"says": "none-dead-that-answers", "from_s": 6},
         True,
-        {"events": LAST_DECLARED_DEAD, "heard": {heard(4.5, 3)}},
+        {"events": LAST_DECLARED_DEAD, "delivery_slots": {delivery(4.5, 3)}},
     ),
 ]
 
