--- a/anisespool/lab/live/backend_client.py
+++ b/anisespool/lab/live/backend_client.py
@@ -1,4 +1,4 @@
-"""The run's end of the process of its endpoints."""
+"""Starts and controls the process of a run's endpoints, over its standard input and output."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class BackendClient:
-    """Writes orders to the process and reads what it reports."""
+    """Sends messages to the endpoints' process and reads its replies."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdin
@@ -30,19 +30,19 @@
         self._stdout = process.stdout
 
     def send_order(self, order: RunOrder) -> None:
-        """Say what is to be played."""
+        """Send the scenario and the seed of the run."""
         self._write(msgspec.json.encode(order))
 
     async def wait_ready(self) -> BackendReady:
-        """Wait until its sockets are open."""
+        """Wait until the process has opened its sockets."""
         return await self._read(BackendReady)
 
     def begin(self, first: int) -> None:
-        """Begin the run; `first` is its first moment, monotonic ns."""
+        """Start the run; `first` is its first moment, monotonic ns."""
         self._write(b"%d" % first)
 
     def add_link(self, link: Link) -> None:
-        """Add a faulty link; its `at_s` is counted from now."""
+        """Add a faulty link; its `at_s` counts from now."""
         self._write(msgspec.json.encode(link))
 
     async def finish(self) -> BackendReport:
@@ -56,13 +56,13 @@
     async def _read(self, message: type[MessageT]) -> MessageT:
         line = await self._stdout.readline()
         if not line:
-            raise RuntimeError("the endpoints' process ended before its time; its error stands above")
+            raise RuntimeError("the endpoints' process ended early; see its error above")
         return msgspec.json.decode(line, type=message)
 
 
 @asynccontextmanager
 async def backend_process(env: dict[str, str]) -> AsyncIterator[BackendClient]:
-    """Start the process with `env` added to its environment; it is killed at the end if it still runs."""
+    """Start the process with `env` added to its environment, and kill it on exit if it still runs."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/anisespool/lab/live/backend_messages.py
+++ b/anisespool/lab/live/backend_messages.py
@@ -1,7 +1,7 @@
 """Messages between a run and the process of its endpoints, each a line of JSON.
 
-To the process: `RunOrder`, then the run's first moment as a number, then any number of scenario links. From
-it: `BackendReady` once its sockets are open, `BackendReport` after its input has ended.
+The run sends a `RunOrder`, then its first moment as a number, then any number of scenario links. The process
+sends `BackendReady` once its sockets are open, and `BackendReport` after its input has ended.
 """
 
 from __future__ import annotations
@@ -20,41 +20,41 @@
 
 
 class RunOrder(msgspec.Struct, frozen=True):
-    """What is to be played."""
+    """The scenario to run, and the seed of its random numbers."""
 
     scenario: Scenario
     seed: int
 
 
 class SidecarDiscovery(msgspec.Struct, frozen=True):
-    """Where one sidecar finds its discovery, and what that lists at first."""
+    """The address of one sidecar's discovery service, and its initial endpoint list."""
 
     address: Address
-    entries: list[dict[str, Any]]  # in the platform's JSON
+    entries: list[dict[str, Any]]  # the platform's JSON
 
 
 class PeerNetwork(msgspec.Struct, frozen=True):
-    """Where sidecars find one another."""
+    """The addresses at which sidecars reach one another and the budget server."""
 
-    peers: list[PeerAddress]  # by sidecar
+    peers: list[PeerAddress]  # one for each sidecar
     broadcast: Address
     budget_server: Address
 
 
 class BackendReady(msgspec.Struct, frozen=True):
-    """The endpoints' process is ready."""
+    """Reports that the endpoints' process is ready."""
 
-    discoveries: list[SidecarDiscovery]  # by sidecar
+    discoveries: list[SidecarDiscovery]  # one for each sidecar
     peer_network: PeerNetwork
 
 
 class BackendReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What the endpoints and the network counted over a whole run."""
+    """The counts of the endpoints and the network over a whole run."""
 
-    rule_violation: str = ""  # the first rule that was seen to be broken
-    internal_error: str = ""  # the first error of the process's own
-    executions: dict[int, int] = {}  # by client request: how often endpoints began it
-    utilization: list[float] = []  # by endpoint, share of its cores' time
+    rule_violation: str = ""  # the first rule that was broken
+    internal_error: str = ""  # the first error of the endpoints' process itself
+    executions: dict[int, int] = {}  # how often endpoints began each client request
+    utilization: list[float] = []  # busy share of each endpoint's cores
     timeline: list[TimelineSample] = []
     links: LinkCounts = msgspec.field(default_factory=LinkCounts)
     datagrams: DatagramCounts = msgspec.field(default_factory=lambda: DatagramCounts([], []))
--- a/anisespool/lab/live/backend_process.py
+++ b/anisespool/lab/live/backend_process.py
@@ -1,8 +1,8 @@
 """The process of a run's endpoints, discoveries and network: `python -m anisespool.lab.live.backend_process`.
 
-Its messages, on standard input and output, are those of `backend_messages`. It plays from the run's first
-moment until its input ends. Each sidecar, or in large fleets each zone, meets every endpoint at an address
-of its own, so that what lies between the two is known without a word from the sidecar.
+It exchanges the messages of `backend_messages` on standard input and output, and runs from the run's first
+moment until its input ends. Each sidecar, or in large fleets each zone, reaches every endpoint at an address
+of its own. The address identifies the link between the two, so the sidecar does not have to name itself.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 async def _read_line() -> str:
-    """Return the next line of standard input; empty at its end."""
+    """Return the next line of standard input, or an empty string at its end."""
     return await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
 
 
@@ -28,7 +28,7 @@
 
 
 async def serve() -> None:
-    """Play one run."""
+    """Serve one run, from its order to its report."""
     order: RunOrder = msgspec.json.decode(await _read_line(), type=RunOrder)
     backend = LiveBackend(order.scenario, order.seed)
     asyncio.get_running_loop().set_exception_handler(backend.clock.handle_exception)
--- a/anisespool/lab/live/background_tasks.py
+++ b/anisespool/lab/live/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside their owner, which waits for all of them in the end."""
+"""Runs tasks in the background and waits for all of them at the end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BackgroundTasks:
-    """Holds tasks until they have succeeded, or until their error was raised by `wait_all`."""
+    """A set of tasks. A failed task stays in it until `wait_all` raises its error."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -24,10 +24,10 @@
             self._tasks.discard(task)
 
     async def wait_all(self) -> None:
-        """Wait until every task is done, those included that are started meanwhile.
+        """Wait until every task is done, including those that are started meanwhile.
 
         Raises:
-            Exception: The first error of a task that is found; the other tasks go on.
+            Exception: A task failed; this is the first error found. The other tasks continue.
         """
         while self._tasks:
             done, _ = await asyncio.wait(self._tasks)
--- a/anisespool/lab/live/budget_server.py
+++ b/anisespool/lab/live/budget_server.py
@@ -1,6 +1,6 @@
-"""Where members reserve parts of a budget that all share.
+"""A server at which members reserve units of a budget that all of them share.
 
-The server counts by its own clock, whatever members report of themselves.
+It measures by its own clock and ignores what members report about themselves.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class BudgetPeak(NamedTuple):
-    """The most units that were reserved at one moment of a slot of 100 ms."""
+    """The most units that were reserved at any one moment of a 100 ms slot."""
 
     slot: int
     units: float
@@ -37,18 +37,18 @@
 
 
 class BudgetServer(asyncio.DatagramProtocol):
-    """Takes datagrams `{"member", "units", "hold_s"}`; a member's newer one replaces its older one."""
+    """Accepts datagrams `{"member", "units", "hold_s"}`; a member's newer one replaces its older one."""
 
     def __init__(self, clock: Clock) -> None:
         self.peaks: list[BudgetPeak] = []
         self.address = Address("", 0)
         self._clock = clock
-        self._reservations: dict[int, _Reservation] = {}  # by member
-        self._expiries: list[_Expiry] = []  # a heap
+        self._reservations: dict[int, _Reservation] = {}  # keyed by member
+        self._expiries: list[_Expiry] = []  # heap, earliest first
         self._transport: asyncio.BaseTransport | None = None
 
     async def open(self) -> None:
-        """Bind a port of its own on loopback."""
+        """Bind a free port on loopback."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(HOST, 0))
         self._transport = transport
@@ -60,7 +60,7 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a reservation; a datagram of another form is ignored."""
+        """Record a reservation; ignore datagrams of another form."""
         try:
             order = json.loads(data)
             member = int(order["member"])
--- a/anisespool/lab/live/clients.py
+++ b/anisespool/lab/live/clients.py
@@ -1,6 +1,6 @@
 """The clients of a run with real processes: open loop, with the same requests as the model's.
 
-A request's latency counts from the moment at which it was *due*, whenever this process sent it.
+A request's latency counts from the moment at which it was *due*, even if this process sent it later.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from anisespool.lab.model.metrics import LONGEST_US, ClientRequest
 from anisespool.lab.scenario import MS, SECOND, Class, Scenario
 
-RESPONSE_SLACK_NS = 100 * MS  # past its deadline: the rule's 50 ms, and as much for this process
+RESPONSE_SLACK_NS = 100 * MS  # allowed past the deadline: the rule's 50 ms, and as much for this process
 REJECTIONS = (429, 503)
 
 
 class ClientTarget(Protocol):
-    """What a client needs of its sidecar."""
+    """The interface of a sidecar that clients use."""
 
     @property
     def up(self) -> bool:
@@ -34,17 +34,17 @@
 
     @property
     def account(self) -> ProcessAccount:
-        """What happened to it."""
+        """Its outages and reported events."""
 
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
         """Send a request; return none if no complete response came."""
 
 
 class Clients:
-    """Sends the requests of a plan, each with its retries, and judges what comes back.
+    """Sends the requests of a plan, each with its retries, and judges the responses.
 
     Attributes:
-        unsafe_rejections: requests that were finally rejected, of classes that must not run twice.
+        unsafe_rejections: requests of non-idempotent classes whose last attempt was rejected.
     """
 
     def __init__(self, scenario: Scenario, sidecars: Sequence[ClientTarget], result: LiveRunResult) -> None:
@@ -60,8 +60,8 @@
         """Send all requests, each when it is due, and wait until all have ended.
 
         Args:
-            client_requests: in the order of their `arrived_at`, which is counted from `first`.
-            first: the run's first moment, monotonic ns.
+            client_requests: ordered by `arrived_at`, which counts from `first`.
+            first: first moment of the run, monotonic ns.
         """
         detector = asyncio.get_running_loop().create_task(self._stalls.run())
         try:
@@ -83,7 +83,7 @@
             self._tasks.spawn(self._send_with_retries(client_request))
 
     async def _send_with_retries(self, client_request: ClientRequest) -> None:
-        """Send attempts until one is the last, as the model's clients do."""
+        """Send attempts until one succeeds or may not be retried, as the model's clients do."""
         due = client_request.arrived_at
         while True:
             client_request.attempts_made += 1
@@ -92,12 +92,12 @@
                 return
             due = time.monotonic_ns() + max(backoff_ns, MS)
             await sleep_until(due)
-            if not self._sidecars[client_request.sidecar].up:  # its application ended with it
+            if not self._sidecars[client_request.sidecar].up:  # the application ends with its sidecar
                 self._metrics.end(client_request, time.monotonic_ns(), "gone")
                 return
 
     async def _attempt(self, client_request: ClientRequest, due: int) -> int | None:
-        """Make one attempt; return how long to wait before the next, ns, or none if there is no other."""
+        """Make one attempt; return how many ns to wait before the next one, or none if it was the last."""
         spec = self._scenario.classes[client_request.class_index]
         timeout_ns = int(spec.deadline_ms * MS * client_request.patience)
         started = time.monotonic_ns()
@@ -109,11 +109,11 @@
         if response is None and now - started >= timeout_ns + RESPONSE_SLACK_NS:
             self._judge_unanswered(client_request, started, now)
         if response is not None and response.status == 200:
-            self._succeed(client_request, response, now)
+            self._record_success(client_request, response, now)
             return None
         is_rejected = response is not None and response.status in REJECTIONS
         if response is not None and is_rejected:
-            self._note_rejection(client_request, response, started, now)
+            self._record_rejection(client_request, response, started, now)
         if self._may_retry(client_request, spec, is_rejected):
             return self._backoff_ns(client_request, is_rejected)
         if is_rejected and spec.effect == "once":
@@ -137,12 +137,12 @@
 
     def _judge_unanswered(self, client_request: ClientRequest, started: int, now: int) -> None:
         if self._stalls.stalled_since(started):
-            self._result.excused += 1  # this process, not the sidecar: the response may have lain unread
+            self._result.excused += 1  # this process stalled: the response may have arrived in time, unread
         elif not self._sidecars[client_request.sidecar].account.had_outage(started, now):
             text = f"rule 1: wish {client_request.number} was not answered in time"
             self._result.add_violation(text)
 
-    def _succeed(self, client_request: ClientRequest, response: ClientResponse, now: int) -> None:
+    def _record_success(self, client_request: ClientRequest, response: ClientResponse, now: int) -> None:
         if not response.is_own:
             text = f"rule 1: wish {client_request.number} was answered with another's body"
             self._result.add_violation(text)
@@ -150,7 +150,7 @@
             self._metrics.retry_after_outcomes[True] += 1
         self._metrics.end(client_request, now, "served")
 
-    def _note_rejection(
+    def _record_rejection(
         self, client_request: ClientRequest, response: ClientResponse, started: int, now: int
     ) -> None:
         self._result.rejections.record_value(_histogram_us(now - started))
@@ -159,8 +159,8 @@
         client_request.last_rejection = (now, int(response.retry_after_s * SECOND))
 
     def _may_retry(self, client_request: ClientRequest, spec: Class, is_rejected: bool) -> bool:
-        is_harmless = is_rejected or spec.effect == "repeatable"
-        return is_harmless and client_request.attempts_made < self._scenario.clients.max_attempts
+        is_safe = is_rejected or spec.effect == "repeatable"
+        return is_safe and client_request.attempts_made < self._scenario.clients.max_attempts
 
     def _backoff_ns(self, client_request: ClientRequest, is_rejected: bool) -> int:
         if is_rejected and _had_retry_after(client_request) and client_request.honors_retry_after:
@@ -170,12 +170,12 @@
 
 
 def _histogram_us(duration_ns: int) -> int:
-    """Return a duration as a histogram takes it."""
+    """Return a duration in us, limited to the range of the histograms."""
     return max(1, min(LONGEST_US, duration_ns // 1000))
 
 
 def _had_retry_after(client_request: ClientRequest) -> bool:
-    """Return whether its last rejection said when to come back."""
+    """Return whether its last rejection had a Retry-After."""
     _, retry_after_ns = client_request.last_rejection
     return retry_after_ns > 0
 
@@ -183,7 +183,7 @@
 def _encode_request(
     client_request: ClientRequest, spec: Class, trace: bytes, tenant: bytes, started: int, timeout_ns: int
 ) -> bytes:
-    """Return the bytes of an attempt that starts at `started` (monotonic ns)."""
+    """Return the HTTP request of an attempt that starts at `started` (monotonic ns)."""
     target = RequestTarget(
         class_name=spec.name,
         client_request=client_request.number,
--- a/anisespool/lab/live/connection_proxy.py
+++ b/anisespool/lab/live/connection_proxy.py
@@ -1,8 +1,9 @@
-"""Where sidecars find endpoints: TCP listeners that can be shut in the ways in which networks fail.
+"""TCP listeners through which sidecars reach endpoints, and which fail in the ways in which networks fail.
 
-A listener is used by one sidecar, or (in fleets of which each pair would need thousands of listeners) by all
-sidecars of a zone. Shut `SILENT`, new connections never come up: the kernel drops a SYN whose listener's
-backlog is full, and sends it again itself (listen(2), tcp(7)). Open connections stay open and hear nothing.
+A listener is used by one sidecar, or by all sidecars of a zone where a fleet would need thousands of
+listeners otherwise. With a `SILENT` listener new connections are never established: the kernel drops a SYN
+to a listener whose backlog is full, and the sender's kernel repeats it (listen(2), tcp(7)). Connections that
+are open stay open, without traffic.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
-CLOSE_WITH_RESET = struct.pack("ii", 1, 0)  # a value of SO_LINGER
-MAX_HEAD_BYTES = 64 * 1024  # of a request; a sidecar that sends more is cut off
+CLOSE_WITH_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s
+MAX_HEAD_BYTES = 64 * 1024  # connections with a longer request head are aborted
 MAX_BIND_ATTEMPTS = 50
 STATUS_LINES = {
     AttemptStatus.OK: b"200 OK",
@@ -33,7 +34,7 @@
 
 
 class ListenerState(StrEnum):
-    """What a new connection meets. SILENT and REFUSED are also what a scenario calls a cut link."""
+    """What happens to new connections. SILENT and REFUSED are also the `cut` of a scenario's link."""
 
     CLOSED = "closed"  # not opened yet
     OPEN = "open"
@@ -43,32 +44,32 @@
 
 @dataclass(slots=True)
 class InFlightAttempt(Job):
-    """An attempt at an endpoint, and the connection its answer goes to."""
+    """An attempt at an endpoint, and the connection of its response."""
 
     connection: SidecarConnection | None = None
     trace: bytes = b""
-    delivered_at: int = 0  # when the network has delivered it
-    is_delayed: bool = False  # by the network: it arrives even if its sidecar gave up meanwhile
+    delivered_at: int = 0  # when the network delivers it
+    is_delayed: bool = False  # the network delays it: it arrives even if its sidecar gives up meanwhile
 
 
 class RequestHandler(Protocol):
-    """Whoever runs the endpoints behind the listeners."""
+    """Runs the endpoints behind the listeners."""
 
     def request_received(
         self, proxy: ConnectionProxy, connection: SidecarConnection, path: bytes, trace: bytes, is_first: bool
     ) -> InFlightAttempt | None:
-        """Take a complete request; return none if the network resets its connection.
+        """Handle a complete request; return none if the network resets its connection.
 
         Args:
             proxy: the listener of its endpoint.
-            connection: where it came from.
-            path: its target.
-            trace: the trace id, to be sent back in the body.
-            is_first: whether it is the first on its connection.
+            connection: the connection on which it was received.
+            path: the request target.
+            trace: the trace id, which the body of the response repeats.
+            is_first: whether it is the first request on its connection.
         """
 
     def connection_closed(self, attempt: InFlightAttempt) -> None:
-        """Take the end of a connection whose attempt is in flight."""
+        """Handle the end of a connection whose attempt is in flight."""
 
 
 class SidecarConnection(asyncio.Protocol):
@@ -78,12 +79,12 @@
         self._proxy = proxy
         self._received = b""
         self._is_first_request = True
-        self._dropped = False  # by the endpoint
+        self._dropped = False  # whether the endpoint ended it
         self._attempt: InFlightAttempt | None = None
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close the connection at once if the endpoint has too many."""
+        """Abort the connection if the endpoint has too many."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if not self._proxy.admit(self):
@@ -102,7 +103,7 @@
             self._proxy.endpoint.connections -= 1
 
     def data_received(self, data: bytes) -> None:
-        """Hand a request on once it is complete."""
+        """Pass on a request once it is complete."""
         self._received += data
         head, end, body = self._received.partition(b"\r\n\r\n")
         if not end or len(body) < int(header_value(head, b"content-length") or b"0"):
@@ -117,7 +118,7 @@
         self._is_first_request = False
 
     def respond(self, attempt: InFlightAttempt, status: AttemptStatus, load_header: bytes) -> None:
-        """Send the answer of an attempt, unless that is over. `load_header`: a header line, or empty."""
+        """Send the response of an attempt that is not over. `load_header` is a header line, or empty."""
         if attempt.over or attempt is not self._attempt:
             return
         attempt.over = True
@@ -128,7 +129,7 @@
         self._transport.write(b"HTTP/1.1 %s\r\n%s%s" % (STATUS_LINES[status], headers, body))
 
     def reset(self) -> None:
-        """Reset the connection as a network does: the sidecar sees its end, and so does the endpoint."""
+        """Reset the connection as a network does: both the sidecar and the endpoint notice."""
         sock = self._transport.get_extra_info("socket")
         if sock is not None:
             with suppress(OSError):
@@ -136,7 +137,7 @@
         self._transport.abort()
 
     def drop(self) -> None:
-        """Reset the connection as when the endpoint's process dies."""
+        """Reset the connection as a crash of the endpoint's process does."""
         self._dropped = True
         if self._attempt:
             self._attempt.over = True
@@ -144,7 +145,7 @@
 
 
 class ConnectionProxy:
-    """The listener at which the sidecars of one group find one endpoint. It keeps its port in any state."""
+    """The listener through which one group of sidecars reaches one endpoint. It always keeps its port."""
 
     def __init__(self, handler: RequestHandler, endpoint: Endpoint, group: int) -> None:
         self.handler = handler
@@ -153,7 +154,7 @@
         self.connections: set[SidecarConnection] = set()
         self.state = ListenerState.CLOSED
         self._socket, self.port = _bind_port()
-        self._fillers: list[socket.socket] = []  # our own connections that fill the backlog
+        self._fillers: list[socket.socket] = []  # own connections that fill the backlog
         self._tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
@@ -170,12 +171,12 @@
         self.state = ListenerState.OPEN
 
     def shut(self, state: ListenerState) -> None:
-        """Refuse new connections, or leave them hanging; those that are open stay as they are."""
+        """Refuse new connections or leave them hanging; open connections stay as they are."""
         if self.state is state:
             return
         asyncio.get_running_loop().remove_reader(self._socket)
         if state is ListenerState.REFUSED:
-            # The socket stays bound, so that nobody takes its port (shutdown(2) ends listening alone).
+            # shutdown(2) ends only the listening: the socket stays bound, so no other process takes its port.
             with suppress(OSError):
                 self._socket.shutdown(socket.SHUT_RD)
         else:
@@ -184,7 +185,7 @@
         self.state = state
 
     def _fill_backlog(self) -> None:
-        """A backlog of 0 still takes one connection: our own."""
+        """Fill the backlog with an own connection: a backlog of 0 still accepts one."""
         filler = socket.socket()
         filler.setblocking(False)
         with suppress(BlockingIOError):
@@ -192,9 +193,9 @@
         self._fillers.append(filler)
 
     def _reset_queued(self) -> None:
-        """Reset connections that the kernel took as the listener was shut, now that the machine is back.
+        """Reset connections that the kernel accepted while the listener was shut.
 
-        What was written to them long ago would otherwise pass for sent just now.
+        Data that was written to them during the cut would otherwise look as if it had just been sent.
         """
         while True:
             try:
@@ -209,20 +210,20 @@
         while self.state is ListenerState.OPEN:
             try:
                 sock, _ = self._socket.accept()
-            except OSError:  # BlockingIOError: no more wait
+            except OSError:  # BlockingIOError: no connection is waiting
                 return
             task = loop.create_task(loop.connect_accepted_socket(lambda: SidecarConnection(self), sock))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def admit(self, connection: SidecarConnection) -> bool:
-        """Count a connection that came up, and return whether it may stay."""
+        """Count a new connection, and return whether the endpoint can hold it."""
         self.endpoint.connections += 1
         self.connections.add(connection)
         return self.endpoint.connections <= self.endpoint.spec.connections
 
     def drop_connections(self) -> None:
-        """Reset all connections as when the endpoint's process dies."""
+        """Reset all connections as a crash of the endpoint's process does."""
         for connection in list(self.connections):
             connection.drop()
 
@@ -241,7 +242,7 @@
 
 
 def _bind_port() -> tuple[socket.socket, int]:
-    """Return a socket bound to a port by number: only so does it keep the port when it stops listening."""
+    """Return a socket that is explicitly bound: otherwise it would lose its port when it stops listening."""
     for _ in range(MAX_BIND_ATTEMPTS):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -249,7 +250,7 @@
         port = free_port()
         try:
             sock.bind((HOST, port))
-        except OSError:  # taken meanwhile
+        except OSError:  # another process has taken it meanwhile
             sock.close()
             continue
         return sock, port
--- a/anisespool/lab/live/cpu_contention.py
+++ b/anisespool/lab/live/cpu_contention.py
@@ -1,4 +1,4 @@
-"""Processes that burn one core beside a process that is to be starved."""
+"""Starves a process of CPU time by keeping the core that it runs on busy."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def core_for(number: int) -> int:
-    """Return the core on which the member of that number is starved."""
+    """Return the core on which the member with that number is starved."""
     cores = sorted(os.sched_getaffinity(0))
     return cores[number % len(cores)]
 
 
 class CpuContention:
-    """Burns a core from `start` until `stop`."""
+    """Keeps a core busy from `start` until `stop`."""
 
     def __init__(self) -> None:
         self._busy_processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, core: int, env: dict[str, str]) -> None:
-        """Start the burners, with `env` added to their environment."""
+        """Start busy processes on `core`, with `env` added to their environment."""
         for _ in range(BUSY_PROCESSES):
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", "while True: pass", env=os.environ | env
@@ -32,7 +32,7 @@
             self._busy_processes.append(process)
 
     async def stop(self) -> None:
-        """End the burners, if any run."""
+        """End the busy processes, if there are any."""
         for process in self._busy_processes:
             with suppress(ProcessLookupError):
                 process.kill()
--- a/anisespool/lab/live/datagram_network.py
+++ b/anisespool/lab/live/datagram_network.py
@@ -1,9 +1,10 @@
-"""The network between sidecars: UDP on loopback, one address for each that the others have in `peers`.
+"""The network between sidecars: UDP on loopback, with one address in `peers` for each sidecar.
 
-By the protocol's section "Between sidecars": a datagram of up to 256 bytes goes to an address of `peers`,
-or to `peers_all` for every sidecar; it arrives at `peer_listen` from the sender's own address in `peers`,
-late or not at all. This process owns those addresses (one socket each, so 200 sidecars need 201, not
-40,000): the socket it came in on tells the receiver, the address it came from the sender.
+As the protocol's section "Between sidecars" has it, a sidecar sends datagrams of up to 256 bytes to an
+address in `peers`, or to `peers_all` for every sidecar. A datagram arrives at `peer_listen` from the sender's
+own address in `peers`, late or not at all. This process owns those addresses. It needs one socket for each,
+so 201 sockets for 200 sidecars and not 40,000: the socket that receives a datagram identifies the receiver,
+and the source address identifies the sender.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 
 HOST = "127.0.0.1"
 MAX_DATAGRAM_BYTES = 256
-RECEIVE_BYTES = 65536  # the largest datagram there is
-PORT_RANGE = (12_000, 32_000)  # below the kernel's ephemeral ports (32768 and above, unless changed)
+RECEIVE_BYTES = 65536  # the largest possible datagram
+PORT_RANGE = (12_000, 32_000)  # below the kernel's ephemeral ports (32768 and above by default)
 MAX_PORT_DRAWS = 1000
-READ_BATCH = 16  # datagrams read before other work gets its turn
-BROADCAST = -1  # the receiver that stands for all sidecars
-SOCKET_BUFFER_BYTES = 2**21  # what the kernel drops unseen would be taken for the scenario's loss
-SLOT_NS = 100_000_000  # of the log of who was heard
+READ_BATCH = 16  # datagrams read before the event loop runs other callbacks
+BROADCAST = -1  # receiver number that stands for all sidecars
+SOCKET_BUFFER_BYTES = 2**21  # drops by the kernel would be mistaken for the scenario's loss
+SLOT_NS = 100_000_000  # resolution of the delivery log
 MAX_SLOTS = 100_000
 
 
@@ -45,9 +46,9 @@
 
 
 class PeerAddress(NamedTuple):
-    """Of one sidecar: where the others send for it, and where it listens."""
+    """The addresses of one sidecar: the one that others send to, and the one that it listens on."""
 
-    address: Address  # in `peers`
+    address: Address  # its entry in `peers`
     listen: Address  # its `peer_listen`
 
 
@@ -60,39 +61,39 @@
 
 @dataclass
 class DatagramCounts:
-    """What passed the network, by this process's count."""
+    """Counts of the datagrams that passed through the network."""
 
-    sent: list[int]  # datagrams, by sender
-    bytes: list[int]  # by sender
+    sent: list[int]  # datagrams of each sender
+    bytes: list[int]  # payload bytes of each sender
     delivered: int = 0
     oversized: int = 0
-    unknown_senders: int = 0  # from an address that is nobody's `peer_listen`
-    unsent: int = 0  # the receiver's buffer, or this process's, was full
+    unknown_senders: int = 0  # datagrams from an address that is no sidecar's `peer_listen`
+    unsent: int = 0  # a send buffer or the receiver's buffer was full
 
 
 class DatagramNetwork:
-    """Opened once, before any sidecar starts; `listen` addresses are reserved for sidecars until then."""
+    """Forwards datagrams between sidecars. It opens before they start, and reserves their `listen` ports."""
 
     def __init__(self, links: Links, clock: Clock, zones: list[int]) -> None:
         self.nodes = [Node("sidecar", number, zone) for number, zone in enumerate(zones)]
         self.counts = DatagramCounts([0] * len(zones), [0] * len(zones))
         self.peers: list[PeerAddress] = []
-        self.broadcast = Address("", 0)  # `peers_all`
+        self.broadcast = Address("", 0)  # the address in `peers_all`
         self.delivery_slots: deque[DeliverySlot] = deque(maxlen=MAX_SLOTS)
         self._links = links
         self._clock = clock
-        self._sockets: list[socket.socket] = []  # by receiver, the broadcast's last
-        self._senders: dict[Address, int] = {}  # by `peer_listen`
-        self._last_delivery_slots: dict[int, int] = {}  # slot, by sender
+        self._sockets: list[socket.socket] = []  # one for each receiver, then the broadcast's
+        self._senders: dict[Address, int] = {}  # keyed by `peer_listen`
+        self._last_delivery_slots: dict[int, int] = {}  # keyed by sender
         self._ports = _PortReservations()
 
     @property
     def socket_count(self) -> int:
-        """How many sockets the network has open for datagrams."""
+        """The number of sockets that the network has open for datagrams."""
         return len(self._sockets)
 
     def open(self) -> None:
-        """Bind all addresses and begin to read."""
+        """Bind all addresses and start reading."""
         for number in range(len(self.nodes)):
             sock = _bind_udp()
             peer = PeerAddress(Address(*sock.getsockname()), Address(HOST, self._ports.reserve()))
@@ -108,7 +109,7 @@
         asyncio.get_running_loop().add_reader(sock, self._read, sock, receiver)
 
     def close(self) -> None:
-        """Close all sockets and give the reserved ports back."""
+        """Close all sockets and release the reserved ports."""
         for sock in self._sockets:
             asyncio.get_running_loop().remove_reader(sock)
             sock.close()
@@ -121,7 +122,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # an ICMP answer to what was sent before: the receiver is not there
+                continue  # ICMP error for an earlier datagram: its receiver is down
             sender = self._senders.get(source)
             if sender is None:
                 self.counts.unknown_senders += 1
@@ -162,11 +163,11 @@
 
 
 class _PortReservations:
-    """UDP ports for processes that are started later.
+    """Reserves UDP ports for processes that are started later.
 
-    A free ephemeral port could be given to another process before it is bound; below the ephemeral range
-    nobody gets a port without naming it. Other runs on this machine are kept off by an abstract Unix socket
-    for each port, which ends with this process.
+    The kernel could assign a free ephemeral port to another process before it is bound. It never assigns
+    ports below the ephemeral range. An abstract Unix socket for each port, which ends with this process,
+    keeps other runs on this machine from using it.
     """
 
     def __init__(self) -> None:
@@ -178,7 +179,7 @@
         """Return a port that is free and that no other run reserves.
 
         Raises:
-            OSError: None was found.
+            OSError: No such port was found.
         """
         for _ in range(MAX_PORT_DRAWS):
             port = self._random.randrange(*PORT_RANGE)
@@ -201,7 +202,7 @@
         return True
 
     def close(self) -> None:
-        """Give all ports back."""
+        """Release all ports."""
         for lock in self._locks:
             lock.close()
 
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -1,4 +1,4 @@
-"""The endpoint list on its way to each sidecar: late, cut off or complete, as scenario and links say."""
+"""Delivers the endpoint list to each sidecar, delayed or cut off as scenario and links demand."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 from anisespool.lab.model.links import Links
 from anisespool.lab.model.watch_delay import WatchDelay, listed
 
-UPDATE_BYTES = 200  # of a change of the list, where a link's rate is bounded
+UPDATE_BYTES = 200  # assumed size of an update, for links with a limited rate
 
-Entry = dict[str, Any]  # of discovery's list, in the platform's JSON
-EntryBuilder = Callable[[Endpoint, int], Entry]  # of an endpoint, as a sidecar's discovery lists it
+Entry = dict[str, Any]  # an entry of a discovery's list, in the platform's JSON
+EntryBuilder = Callable[[Endpoint, int], Entry]  # called with an endpoint and a sidecar's number
 
 
 @dataclass(slots=True)
 class _Update:
-    """A change of one entry, on its way to one sidecar."""
+    """A change of one entry that is still to be delivered to one sidecar."""
 
     due_at: int
     revision: int
     endpoint: int
     state: EndpointState
-    started: int  # the endpoint's last start
+    started: int  # when the endpoint last started
     entry: Entry
-    is_delayed: bool = False  # its link has delayed it
+    is_delayed: bool = False  # its link has already delayed it
 
 
 @dataclass(slots=True)
 class _Feed:
-    """Of one sidecar. Its discovery is opened when the run's listeners are."""
+    """The endpoint list of one sidecar, and the updates that it has yet to receive."""
 
     discovery: DiscoveryService
-    pending: deque[_Update] = field(default_factory=deque)  # in order
-    known_starts: dict[int, int] = field(default_factory=dict)  # by endpoint, as its list has them
-    not_ready_since: dict[int, int] = field(default_factory=dict)  # by endpoint, as it was notified
+    pending: deque[_Update] = field(default_factory=deque)  # ordered as published
+    known_starts: dict[int, int] = field(default_factory=dict)  # each endpoint's start, as listed
+    not_ready_since: dict[int, int] = field(default_factory=dict)  # keyed by endpoint
 
 
 class EndpointListFeeds:
-    """A discovery for each sidecar, with a list of its own."""
+    """A discovery service for each sidecar, each with its own copy of the list."""
 
     def __init__(
         self, clock: WallClock, links: Links, watch_delay: WatchDelay, build_entry: EntryBuilder
@@ -58,7 +58,7 @@
         self._feeds: list[_Feed] = []
 
     def open(self, nodes: Sequence[Node], endpoints: list[Endpoint]) -> list[DiscoveryService]:
-        """Return a discovery for each sidecar that lists all endpoints; the caller serves them."""
+        """Return a discovery for each sidecar, listing all endpoints; the caller serves them."""
         self._nodes = list(nodes)
         for node in nodes:
             entries = [self._build_entry(endpoint, node.number) for endpoint in endpoints]
@@ -75,7 +75,7 @@
         return self._feeds[sidecar].not_ready_since.get(endpoint.id)
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Send a change of one endpoint to every sidecar, each in its own time."""
+        """Send a change of one endpoint to every sidecar, each with its own delay."""
         for sidecar, due_at, revision in self._watch_delay.change(self._clock.now):
             entry = self._build_entry(endpoint, sidecar)
             update = _Update(due_at, revision, endpoint.id, state, endpoint.started, entry)
@@ -83,7 +83,7 @@
             self._clock.at(due_at, self._deliver_due, sidecar)
 
     def publish_complete(self, endpoints: list[Endpoint], is_empty: bool) -> None:
-        """Send a complete list to all at once; an empty one is that of a registry that was wiped."""
+        """Send a complete list to all at once; an empty one stands for a registry that was wiped."""
         self._watch_delay.whole()
         for sidecar, feed in enumerate(self._feeds):
             for endpoint in endpoints:
@@ -93,7 +93,7 @@
             feed.discovery.publish_all([self._build_entry(endpoint, sidecar) for endpoint in remaining])
 
     def apply_links(self, now: int) -> None:
-        """Cut discoveries off as the links demand now, and deliver what is due at the others."""
+        """Cut off discoveries whose links are cut now, and deliver the updates that are due at the others."""
         for sidecar, feed in enumerate(self._feeds):
             cut = self._links.is_cut(now, self._nodes[sidecar], DISCOVERY, "lists")
             if cut or feed.discovery.is_cut:
@@ -101,10 +101,10 @@
             self._deliver_due(sidecar)
 
     def _deliver_due(self, sidecar: int) -> None:
-        """Deliver the updates that are due at a sidecar, in their order.
+        """Deliver the updates that are due at a sidecar, in order.
 
-        Timers of one moment fire in any order, and an update that another had overtaken would be dropped as
-        old; so they go from one queue, and the first delays those behind it.
+        Timers for the same moment fire in any order, and an update that a later one had overtaken would be
+        dropped as old. All updates therefore pass through one queue, where the first delays the rest.
         """
         feed = self._feeds[sidecar]
         now = self._clock.now
@@ -122,7 +122,7 @@
                 feed.discovery.publish(update.entry)
 
     def _link_delay(self, sidecar: int, update: _Update, now: int) -> int:
-        """Return by how much the link delays an update, ns. It does so once."""
+        """Return by how many ns the link delays an update. It delays each update at most once."""
         if not self._links or update.is_delayed:
             return 0
         delay = self._links.stream(now, DISCOVERY, self._nodes[sidecar], UPDATE_BYTES, "lists")
--- a/anisespool/lab/live/fault_injection.py
+++ b/anisespool/lab/live/fault_injection.py
@@ -1,4 +1,4 @@
-"""What the scenario does to sidecars' processes, each fault at its moment."""
+"""Injects the scenario's faults into the members' processes, each at its scheduled moment."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ProcessFaultInjector:
-    """Kills, restarts, freezes, starves and limits the processes of a run."""
+    """Kills, restarts, freezes, starves and limits the processes of a run, and shifts their clocks."""
 
     def __init__(
         self, scenario: Scenario, seed: int, members: Sequence[ProcessHandle], span: RunSpan
@@ -46,7 +46,7 @@
     async def _inject(self, fault: ProcessFault) -> None:
         member = self._members[fault.number]
         await sleep_until(self._span.begin + fault.at)
-        if member.up:  # else an earlier fault hit it, and it is not yet back
+        if member.up:  # down: an earlier fault hit it, and it has not recovered
             until = min(self._span.end, self._span.begin + fault.over)
             await self._injections[fault.kind](member, fault, until)
 
--- a/anisespool/lab/live/gossip_member_process.py
+++ b/anisespool/lab/live/gossip_member_process.py
@@ -1,4 +1,4 @@
-"""A member that is the fake of a process that gossips (`fakes/gossip_process.py`)."""
+"""A member that runs the fake of a gossiping process (`fakes/gossip_process.py`)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GossipMemberProcess(ProcessHandle):
-    """It reports its events on its standard output, and is ready with the first."""
+    """A gossiping process. It reports events on standard output, and is ready with the first one."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
                 self._has_reported = True
 
     async def is_ready(self) -> bool:
-        """Return whether it has reported its first view."""
+        """Return whether it has reported an event."""
         return self._has_reported
 
     async def collect_events(self) -> None:
-        """Let the reader take what has come."""
+        """Let the reader task process the lines that have arrived."""
         await asyncio.sleep(0)
--- a/anisespool/lab/live/history.py
+++ b/anisespool/lab/live/history.py
@@ -1,7 +1,7 @@
-"""One account of a run, joined from what endpoints, network, processes and clients saw, on one clock.
+"""The history of a run, joined from the records of endpoints, network, processes and clients.
 
-All are processes of one machine, so the monotonic clock is the same for all; times here are seconds of the
-scenario's own time. It can be written as lines of JSON, and drawn.
+All of them run on one machine and share its monotonic clock. Times here are seconds of the scenario's own
+time. A history can be written as lines of JSON, and drawn.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MemberEvent(NamedTuple):
-    """An event that a member reported of itself."""
+    """An event that a member reported."""
 
     at_s: float
     member: int
@@ -34,7 +34,7 @@
 
 
 class FaultSpan(NamedTuple):
-    """A fault of the scenario."""
+    """A fault of the scenario, with its begin and end."""
 
     begin_s: float
     end_s: float
@@ -42,14 +42,14 @@
 
 
 class ServedSecond(NamedTuple):
-    """What clients of one second got, in units of priority weight."""
+    """The requests of one second, and those served in time, weighted by priority."""
 
     in_time: float
     requested: float
 
 
 class BudgetUse(NamedTuple):
-    """The most units of the budget that were reserved at a time."""
+    """The most units of the budget that were reserved at once in a slot."""
 
     at_s: float
     units: float
@@ -57,17 +57,17 @@
 
 @dataclass
 class History:
-    """What statements are judged by.
+    """The record of a run by which statements are judged.
 
     Attributes:
-        scenario: what was run.
-        events: what members reported, in order of time.
+        scenario: the scenario that was run.
+        events: events that members reported, in order of time.
         arrivals: requests as they reached endpoints.
-        begin: of the scenario's own time, monotonic ns.
-        outages: by member.
-        delivery_slots: slots in which the network delivered something of a member to another.
-        budget_use: by the budget server's clock.
-        served: by second.
+        begin: begin of the scenario's own time, monotonic ns.
+        outages: lists of outages, one for each member.
+        delivery_slots: slots in which the network delivered a datagram from one member to another.
+        budget_use: peaks of the shared budget, timed by the budget server.
+        served: one entry for each second.
     """
 
     scenario: Scenario
@@ -80,18 +80,18 @@
     served: list[ServedSecond] = field(default_factory=list)
 
     def second(self, at: int) -> float:
-        """Return the scenario's second of a moment in monotonic ns."""
+        """Convert a moment in monotonic ns to a second of the scenario's own time."""
         return (at - self.begin) / SECOND
 
     def had_outage(self, member: int, from_s: float, to_s: float) -> bool:
-        """Return whether a member was killed, frozen or starved at some time of that span."""
+        """Return whether a member was killed, frozen or starved at some time in the span."""
         return any(
             self.second(outage.begin) < to_s and from_s < self.second(outage.end)
             for outage in self.outages[member]
         )
 
     def had_delivery(self, member: int, from_s: float, to_s: float) -> bool:
-        """Return whether the network delivered something of that member's in that span."""
+        """Return whether the network delivered a datagram of the member in the span."""
         slots = range(self._delivery_slot(from_s), self._delivery_slot(to_s) + 1)
         return any(DeliverySlot(slot, member) in self.delivery_slots for slot in slots)
 
@@ -105,12 +105,12 @@
         return sorted(spans)
 
     def span(self, statement: Statement) -> tuple[float, float]:
-        """Return begin and end of what a statement is about, in seconds."""
+        """Return begin and end of the span that a statement is about, in seconds."""
         end = self.scenario.seconds if statement.to_s is None else statement.to_s
         return statement.from_s, end
 
     def json_lines(self) -> Iterator[dict[str, Any]]:
-        """Yield everything but single arrivals, by source and not by time."""
+        """Yield faults, outages and events as JSON objects, in that order and not by time."""
         for fault in self.faults():
             yield {"at_s": fault.begin_s, "until_s": fault.end_s, "fault": fault.description}
         for member, outages in enumerate(self.outages):
@@ -126,7 +126,7 @@
             yield line | event.fields
 
     def write(self, path: Path) -> None:
-        """Write all lines in order of time."""
+        """Write `json_lines` to a file, in order of time."""
         lines = sorted(self.json_lines(), key=lambda line: float(line["at_s"]))
         path.write_text("".join(json.dumps(line) + "\n" for line in lines))
 
@@ -144,14 +144,14 @@
 
 
 def _link_fault(link: Link) -> str:
-    """Return the first thing that is wrong with a link."""
+    """Name the link's cut, or else its first fault."""
     if link.cut:
         return f"cut ({link.cut})"
     return next((key for key in LINK_FAULTS if getattr(link, key)), "link")
 
 
 def join(scenario: Scenario, result: LiveRunResult) -> History:
-    """Return all accounts of a run as one."""
+    """Build the history of a run from its result."""
     history = History(scenario, arrivals=result.arrivals, begin=result.begin)
     for member, account in enumerate(result.accounts):
         history.outages.append(account.outages)
--- a/anisespool/lab/live/http_head.py
+++ b/anisespool/lab/live/http_head.py
@@ -1,10 +1,10 @@
-"""Reads single headers of an HTTP/1.1 message head, for the lab's own clients and endpoints."""
+"""Reads single headers of an HTTP/1.1 message, for the lab's own clients and endpoints."""
 
 from __future__ import annotations
 
 
 def header_value(head: bytes, name: bytes) -> bytes:
-    """Return a header's value in lower case; empty if the head lacks it.
+    """Return a header's value in lower case, or an empty value if it is missing.
 
     Args:
         head: the message head, from its first line.
--- a/anisespool/lab/live/live_backend.py
+++ b/anisespool/lab/live/live_backend.py
@@ -38,22 +38,22 @@
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import MS, SECOND, Link, Scenario
 
-MIN_TIMER_NS = MS  # hops below this are left to the loopback itself: timers are no finer
-DRAIN_SLACK_NS = 50 * MS  # of a drain's grace, on sockets
+MIN_TIMER_NS = MS  # shorter delays are left to the loopback: timers are no finer
+DRAIN_SLACK_NS = 50 * MS  # added to the drain grace of the rules, for delays of real sockets
 HEARTBEAT_NS = 10 * MS
-MESSAGE_BYTES = 600  # of a request or an answer, where a link's rate is bounded
+MESSAGE_BYTES = 600  # assumed size of a request or response, for links with a limited rate
 MAX_CLIENT_REQUESTS = 2_000_000
 PHASES = {EndpointState.READY: "up", EndpointState.DRAINING: "draining", EndpointState.GONE: "removed"}
 
 
 class LiveBackend(Backend):
-    """The backend behind sockets, with the network before it."""
+    """The model's backend behind real sockets, with the faulty network in front of it."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.clock: WallClock
         self._streams = RandomStreams(seed)
         super().__init__(scenario, self._streams, WallClock())
-        self.begin = 0  # of the scenario's own time
+        self.begin = 0  # when the scenario's own time begins
         self.zones = scenario.places()
         self.nodes = [Node("sidecar", number, zone) for number, zone in enumerate(self.zones)]
         self.links = Links(scenario.links, self._streams.named("links"))
@@ -71,10 +71,8 @@
         self._hop_draws = self._streams.named("network")
         self._loss_draws = self._streams.named("lost")
 
-    # Start and end --------------------------------------------------------------------------------
-
     async def open(self) -> list[DiscoveryService]:
-        """Open all listeners, and return a discovery for each sidecar, which the caller serves."""
+        """Open all listeners; return a discovery for each sidecar, which the caller has to serve."""
         self.proxies.open_all()
         discoveries = self.feeds.open(self.nodes, self.endpoints)
         self.datagrams.open()
@@ -91,7 +89,7 @@
         return BackendReady(discoveries, peers)
 
     def start(self, first: int) -> None:
-        """Begin the run; `first` is its first moment, monotonic ns."""
+        """Start the run; `first` is its first moment, monotonic ns."""
         self.begin, end = span_ns(self.scenario, first)
         self.links.start(self.begin)
         edges(self.links, lambda when, fault, begins: self.clock.at(when, self.apply_links))
@@ -101,7 +99,7 @@
         self._heartbeat(self.clock.now)
 
     def _heartbeat(self, due: int) -> None:
-        """Note this process's own lateness: what it reads late must not be held against a sidecar."""
+        """Record this process's own lateness, so that sidecars are not blamed for requests it reads late."""
         now = self.clock.now
         self.arrival_log.heartbeat(now, max(0, now - due))
         self.clock.at(now + HEARTBEAT_NS, self._heartbeat, now + HEARTBEAT_NS)
@@ -137,10 +135,8 @@
             longest_stall_ns=log.longest_stall_ns,
         )
 
-    # The network ----------------------------------------------------------------------------------
-
     def add_link(self, link: Link) -> None:
-        """Add a faulty link during the run; its `at_s` is counted from now."""
+        """Add a faulty link during the run; its `at_s` counts from now."""
         since_s = (self.clock.now - self.begin) / SECOND
         shifted = msgspec.structs.replace(link, at_s=max(0.0, since_s + link.at_s))
         fault = self.links.add(shifted)
@@ -148,13 +144,13 @@
         self.clock.at(fault.end, self.apply_links)
 
     def apply_links(self) -> None:
-        """Bring listeners and discoveries into the state that the links demand now."""
+        """Apply the link faults that are in effect now to listeners and discoveries."""
         now = self.clock.now
         self.proxies.apply_links(now)
         self.feeds.apply_links(now)
 
     def _link_delay(self, src: Node, dst: Node, connection: SidecarConnection) -> int | None:
-        """Return by how much a message on that connection is delayed, ns; none if the connection is reset."""
+        """Return by how many ns a message on the connection is delayed; none if the connection is reset."""
         if not self.links:
             return 0
         delay = self.links.stream(self.clock.now, src, dst, MESSAGE_BYTES, "requests")
@@ -172,22 +168,20 @@
         callback: Callable[..., None],
         *arguments: Any,
     ) -> None:
-        """Call `callback` after `link_delay` ns and so many trips between the job's sidecar and endpoint."""
+        """Call `callback` after `link_delay` ns and `hops` one-way trips between sidecar and endpoint."""
         width = self.scenario.network.spread
         spread = self._hop_draws.uniform(1 - width, 1 + width) if width else 1.0
         is_same_zone = self.zones[job.sidecar] == endpoint.spec.zone
         delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.faults.delay)
         if delay < MIN_TIMER_NS:
-            self.clock.call(callback, arguments)  # so that a broken rule is noted, however short the way
+            self.clock.call(callback, arguments)  # records a broken rule, as a timer would
         else:
             self.clock.after(delay, callback, *arguments)
 
-    # Requests -------------------------------------------------------------------------------------
-
     def request_received(
         self, proxy: ConnectionProxy, connection: SidecarConnection, path: bytes, trace: bytes, is_first: bool
     ) -> InFlightAttempt | None:
-        """Note the arrival, and pass the request to its endpoint after the network's delay."""
+        """Record the arrival, and pass the request to its endpoint after the network's delay."""
         target = RequestTarget.parse(path)
         endpoint = proxy.endpoint
         now = self.clock.now
@@ -228,12 +222,12 @@
         )
 
     def _client_request(self, target: RequestTarget, now: int) -> ClientRequest:
-        """Return the client's request of an attempt; a new one if this is the first attempt that is seen."""
+        """Return the client's request that an attempt belongs to, creating it for its first attempt."""
         known = self._client_requests.get(target.client_request)
         if known:
             return known
         if len(self._client_requests) >= MAX_CLIENT_REQUESTS:
-            raise RuntimeError(f"over {MAX_CLIENT_REQUESTS} wishes")
+            raise RuntimeError(f"over {MAX_CLIENT_REQUESTS} client requests")
         new = ClientRequest(
             number=target.client_request,
             class_index=self._class_indexes[target.class_name],
@@ -267,14 +261,14 @@
             self.arrive(attempt)
 
     def connection_closed(self, attempt: InFlightAttempt) -> None:
-        """Tell the endpoint of the end of a connection, which passes the network as well."""
+        """Notify the endpoint of the end of a connection, after the network's delay."""
         now = self.clock.now
         endpoint = self.endpoints[attempt.endpoint - 1]
         delay: int | str = 0
         if self.links:
             delay = self.links.stream(now, self.nodes[attempt.sidecar], node_of(endpoint), 0, "requests")
         delay_ns = 0 if isinstance(delay, str) else delay
-        if attempt.is_delayed:  # the end does not overtake the request
+        if attempt.is_delayed:  # the end of the connection must not overtake the request
             delay_ns = max(delay_ns, attempt.delivered_at + MS - now)
         if delay_ns > 0:
             self.clock.after(delay_ns, self.stop, attempt)
@@ -286,12 +280,12 @@
         return self.feeds.was_notified_of_start(job.sidecar, endpoint)
 
     def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
-        """Send an answer through the network; an endpoint may lose it."""
+        """Send a response through the network; a faulty endpoint may lose it."""
         assert isinstance(job, InFlightAttempt)
         assert job.connection
         loss = endpoint.faults.loses
         if loss and self._loss_draws.uniform() < loss:
-            self._lose_answer(job, job.connection)
+            self._lose_response(job, job.connection)
             return
         link_delay = self._link_delay(node_of(endpoint), self.nodes[job.sidecar], job.connection)
         if link_delay is None:
@@ -299,8 +293,8 @@
         header = self._load_header(load)
         self._call_after_hops(job, endpoint, 1, link_delay, job.connection.respond, job, status, header)
 
-    def _lose_answer(self, attempt: InFlightAttempt, connection: SidecarConnection) -> None:
-        """Reset the connection under an answer, or be silent until the sidecar gives up."""
+    def _lose_response(self, attempt: InFlightAttempt, connection: SidecarConnection) -> None:
+        """Reset the connection instead of responding, or send nothing until the sidecar gives up."""
         if self._loss_draws.uniform() < RESETS and not attempt.over:
             connection.reset()
 
--- a/anisespool/lab/live/live_fault_target.py
+++ b/anisespool/lab/live/live_fault_target.py
@@ -1,4 +1,4 @@
-"""What the scenario's faults do to the endpoints of a run with real processes, and to their network."""
+"""Applies the scenario's faults to the endpoints and the network of a run with real processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FaultBackend(Protocol):
-    """What the faults act on (live_backend.py)."""
+    """The parts of the backend that faults act on (live_backend.py)."""
 
     scenario: Scenario
     begin: int
@@ -35,17 +35,17 @@
     feeds: EndpointListFeeds
 
     def machine(self, number: int, kind: int, spec: Endpoints, draws: RandomStream) -> Endpoint:
-        """Return a new machine of a group."""
+        """Return a new machine of a group of endpoints."""
 
     def add_link(self, link: Link) -> None:
-        """Add a fault between nodes, from now on."""
+        """Add a faulty link between nodes, starting now."""
 
     def apply_links(self) -> None:
-        """Let the connections follow the faults that are in effect."""
+        """Apply the link faults that are in effect now to listeners and discoveries."""
 
 
 class LiveFaultTarget:
-    """The run as the model's schedule of faults sees it (`lab/model/faults.py`, `Stage`)."""
+    """The target on which the model's schedule of faults acts (`FaultTarget` in lab/model/faults.py)."""
 
     def __init__(self, backend: FaultBackend, machine_draws: RandomStream) -> None:
         self.scenario: Scenario = backend.scenario
@@ -61,7 +61,7 @@
         return self._backend.clock
 
     def log(self, *words: object) -> None:
-        """Note a fault for the history of the run; the model's own log has more."""
+        """Record a fault for the history of the run; other entries of the model's log are ignored."""
         if words[0] == "trouble":
             self._backend.arrival_log.add_fault_note(self.clock.now, " ".join(map(str, words[1:])))
 
@@ -75,10 +75,10 @@
         """Do nothing: the clients' plan contains it."""
 
     def process_fault(self, process_fault: ProcessFault) -> None:
-        """Do nothing: whoever started the processes injects it."""
+        """Do nothing: the process that started the members injects it."""
 
     def cut(self, zone: int, begins: bool, until: int) -> None:
-        """Cut a zone off from all others, both ways; its sidecars' discoveries fall silent."""
+        """Cut a zone off from all others in both directions, and stop its sidecars' list updates."""
         if not begins:
             return
         for_s = max(MIN_CUT_S, (until - self.clock.now) / SECOND)
@@ -98,7 +98,7 @@
         self.watch_delay.silent(until, in_zone)
 
     def replace(self, endpoint: Endpoint) -> Endpoint:
-        """Add another machine of the same group under another name, warming up."""
+        """Add another machine to the endpoint's group, under a new name and warming up."""
         number = len(self.endpoints) + 1
         new = self._backend.machine(number, endpoint.kind, endpoint.spec, self._machine_draws)
         new.restart(self.clock.now)
@@ -107,21 +107,21 @@
         return new
 
     def silence(self, endpoint: Endpoint) -> None:
-        """Let new connections to the endpoint hang."""
+        """Leave new connections to the endpoint hanging."""
         self._backend.proxies.shut(endpoint, ListenerState.SILENT)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Reset the endpoint's connections; one that is dead refuses new ones."""
+        """Reset the endpoint's connections; a dead endpoint also refuses new ones."""
         self._backend.proxies.drop_connections(endpoint)
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Send a change of the endpoint to every sidecar, each in its own time."""
+        """Send a change of the endpoint to every sidecar, each with its own delay."""
         endpoint.listed = state
         if state is EndpointState.READY:
             self._backend.proxies.open(endpoint)
-            self._backend.apply_links()  # they may say otherwise
+            self._backend.apply_links()  # a link may still be cut
         self._backend.feeds.publish(endpoint, state)
 
     def publish_all(self, rows: bool) -> None:
-        """Send the complete list, or (a registry that was wiped) an empty one."""
+        """Send the complete list, or an empty one if `rows` is false (a registry that was wiped)."""
         self._backend.feeds.publish_complete(self.endpoints, is_empty=not rows)
--- a/anisespool/lab/live/live_run.py
+++ b/anisespool/lab/live/live_run.py
@@ -1,9 +1,9 @@
-"""A scenario run with real processes over loopback, with the same requests as the model's.
+"""Runs a scenario with real processes over loopback, with the same requests as the model's.
 
-Sidecars are processes as the platform starts them (`sidecar_process`); endpoints, discovery and the network
-are those of the model behind sockets, in a process of their own (`backend_process`); clients are in this
-process (`clients`). The run is void when this process, or that of the endpoints, was late by more than a
-stated bound (`run_judgement`).
+Sidecars are processes as the platform starts them (`sidecar_process`). Endpoints, discovery and the network
+are those of the model behind sockets, in a process of their own (`backend_process`). Clients are in this
+process (`clients`). The run is void if this process, or that of the endpoints, was later than the bounds in
+`run_judgement` allow.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 MAX_SIDECARS = 200
 MAX_ENDPOINTS = 200
-MAX_GOSSIP_PROCESSES = 64  # in one datagram's table
-COLLECT_INTERVAL_NS = 4 * SECOND  # between two collections of members' events
-START_DELAY_NS = SECOND // 2  # from the order to begin until the first request may be due
-UNCHANGED = "sound"  # the mutation that breaks nothing, but whose wall clock can be shifted
+MAX_GOSSIP_PROCESSES = 64  # a datagram of limited size carries the heartbeats of many
+COLLECT_INTERVAL_NS = 4 * SECOND  # time between two collections of members' events
+START_DELAY_NS = SECOND // 2  # time between the start of the run and its first moment
+UNCHANGED = "sound"  # the mutation that breaks nothing but allows clock shifts
 
 Progress = Callable[[str, int], None]
 RunCallback = Callable[["RunHandle"], Coroutine[Any, Any, None]]
@@ -55,7 +55,7 @@
     """Check that real processes on this machine can play a scenario.
 
     Raises:
-        ScenarioError: It has more sidecars or endpoints than that; `source` is named in the text.
+        ScenarioError: It has too many sidecars or endpoints; the text names `source`.
     """
     max_members = MAX_GOSSIP_PROCESSES if scenario.plays == "talkers" else MAX_SIDECARS
     _check_count(source, "sidecars", scenario.sidecars, max_members)
@@ -69,7 +69,7 @@
 
 
 class RunHandle:
-    """What a run offers while it is played."""
+    """Access to a run in progress, for callbacks."""
 
     def __init__(self, backend: BackendClient, members: Sequence[ProcessHandle], span: RunSpan) -> None:
         self.members = members
@@ -77,11 +77,11 @@
         self._span = span
 
     async def until(self, second: float) -> None:
-        """Wait for a second of the scenario's own time."""
+        """Wait until a second of the scenario's own time."""
         await sleep_until(self._span.at(second))
 
     def add_link(self, link: dict[str, Any]) -> None:
-        """Add a faulty link, in the form of a scenario's; its `at_s` is counted from now.
+        """Add a faulty link, written as in a scenario; its `at_s` counts from now.
 
         Raises:
             msgspec.ValidationError: It has another form.
@@ -101,16 +101,16 @@
     """Run a scenario once, in real time.
 
     Args:
-        scenario: what is run; `check_limits` says whether it can be.
-        seed: of all that is drawn.
-        source: the root of another checkout, for its sidecars.
-        control: sidecars report events through their control sockets.
-        mutation: a deliberate break of the program (`mutated_sidecar`); empty for none.
-        progress: called with a stage's name and how much of it is done.
-        during_run: run as a task beside the clients.
+        scenario: a scenario that passes `check_limits`.
+        seed: seed of all random numbers.
+        source: root of another checkout whose sidecar is run; none for this one.
+        control: whether sidecars report events through their control sockets.
+        mutation: name of a deliberate break of the program (`mutated_sidecar`); empty for none.
+        progress: called with the name of a stage and the number of its completed steps.
+        during_run: coroutine function that runs in parallel with the clients.
 
     Raises:
-        VoidError: The run gives no verdict.
+        VoidError: The run was disturbed and gives no verdict.
         ExceptionGroup: Processes were not ready in time, or ended.
         RuntimeError: The process of the endpoints failed.
     """
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def _supervised_folder() -> AsyncIterator[tuple[Path, ProcessSupervisor]]:
-    """Yield a folder for a run's files, and a supervisor that kills what the run leaves behind."""
+    """Yield a folder for a run's files, and a supervisor that kills the processes it leaves behind."""
     with tempfile.TemporaryDirectory() as folder:
         supervisor = ProcessSupervisor()
         await supervisor.start()
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MemberFactory:
-    """Builds the members of a run, which are not started yet."""
+    """Builds the members of a run without starting them."""
 
     folder: Path
     supervisor: ProcessSupervisor
@@ -145,7 +145,7 @@
     source: Path | None
 
     def build_all(self, ready: BackendReady) -> list[ProcessHandle]:
-        """Return all members, in order."""
+        """Return all members, ordered by number."""
         return [self._build(number, ready) for number in range(len(ready.discoveries))]
 
     def _build(self, number: int, ready: BackendReady) -> ProcessHandle:
@@ -160,7 +160,7 @@
         )
 
     def _sidecar_mutation(self) -> str:
-        """Return the mutation; a sidecar whose clock is to be shifted needs at least the one that is none."""
+        """Return the sidecars' mutation. Clock faults need one, which may be the one that breaks nothing."""
         shifts_clocks = any(fault.kind == "clock" for fault in self.scenario.faults)
         return self.mutation or (UNCHANGED if shifts_clocks else "")
 
@@ -179,11 +179,11 @@
         self._tasks = BackgroundTasks()
 
     async def play(self, progress: Progress, during_run: RunCallback | None, control: bool) -> LiveRunResult:
-        """Start the members, play, end them, and return the judged result."""
+        """Start the members, run the scenario, end the members, and return the judged result."""
         started = time.monotonic()
         try:
             await start_all(self._members, lambda count: progress("start", count))
-            # Before the clock starts, as a long plan takes its time.
+            # Planning can take long, so it is done before the clock starts.
             client_requests = plan(self._scenario, self._seed) if self._scenario.plays == "sidecars" else []
             start_s = time.monotonic() - started
             span = RunSpan.of(self._scenario, time.monotonic_ns() + START_DELAY_NS)
@@ -203,7 +203,7 @@
         return self.result
 
     def _start_tasks(self, span: RunSpan, during_run: RunCallback | None, control: bool) -> None:
-        """Start what runs beside the clients."""
+        """Start the tasks that run in parallel with the clients."""
         injector = ProcessFaultInjector(self._scenario, self._seed, self._members, span)
         self.result.process_faults = injector.faults
         injector.schedule(self._tasks)
@@ -213,7 +213,7 @@
             self._tasks.spawn(during_run(RunHandle(self._backend, self._members, span)))
 
     async def _collect_events(self, span: RunSpan) -> None:
-        """Collect what members report, until the end: each keeps only the last of it."""
+        """Collect members' events until the end of the run: a member keeps only its latest ones."""
         while (now := time.monotonic_ns()) < span.end:
             await sleep_until(min(span.end, now + COLLECT_INTERVAL_NS))
             for member in self._members:
@@ -221,7 +221,7 @@
                     await member.collect_events()
 
     async def _record_final_figures(self) -> None:
-        """Note what members have reported and used, before they are ended."""
+        """Record crashes, the last events and resource usage of the members before they are ended."""
         for member in self._members:
             member.check_running()
             await member.collect_events()
--- a/anisespool/lab/live/mutated_sidecar.py
+++ b/anisespool/lab/live/mutated_sidecar.py
@@ -1,9 +1,10 @@
-"""The program with one deliberate break, or with a wall clock that can be shifted.
+"""Runs the sidecar with one deliberate break, or with a wall clock that can be shifted.
 
 `python -m anisespool.lab.live.mutated_sidecar MUTATION [sidecar --config FILE]`
 
-Runs that do not find these breaks would find nothing. `sound` breaks nothing. Each mutation breaks one thing
-in a running process, where a slip in the program could: never the lab's own count of it.
+The mutations test the lab: a run that does not detect such a break would not detect a real one. Each breaks
+one thing in the running program, where a programming error could, and never the lab's own counts. `sound`
+breaks nothing.
 """
 
 from __future__ import annotations
@@ -29,17 +30,17 @@
 from anisespool.upstream.attempt import Attempt
 from anisespool.upstream.cluster import Cluster
 
-SEND_DELAY_S = 0.3  # of attempts that are sent late
-MUTATED_RESPONSE_INTERVAL = 20  # one response in so many is wrong
+SEND_DELAY_S = 0.3  # delay of attempts in `send_cancelled_attempts`
+MUTATED_RESPONSE_INTERVAL = 20  # one response in this many is broken
 CRASH_STATUS = 3
 
 
 def break_nothing() -> None:
-    """Leave the program as it is."""
+    """Leave the program unchanged."""
 
 
 def retry_unsafe_requests() -> None:
-    """After a reset, send a request again that is not idempotent, as if it could not have been executed."""
+    """Retry non-idempotent requests after a reset, as if they could not have been executed."""
     original = Proxy._attempt_finished
 
     def attempt_finished(self: Proxy, attempt: Attempt) -> None:
@@ -51,7 +52,7 @@
 
 
 def reject_executed_requests() -> None:
-    """Reject what may have been executed: its client is notified that a retry is harmless."""
+    """Reject requests that may have been executed, so that their clients take a retry for safe."""
 
     def fail(self: Proxy, action: api.Fail) -> None:
         self._reject(api.Reject(action.request))
@@ -60,7 +61,7 @@
 
 
 def ignore_drains() -> None:
-    """Take draining endpoints for ready."""
+    """Treat draining endpoints as ready."""
     original_handle = Balancer.handle
     original_update = Cluster.update
 
@@ -83,7 +84,7 @@
 
 
 def keep_first_list() -> None:
-    """Apply the first endpoint list alone: whatever discovery sends later is ignored."""
+    """Apply only the first endpoint list, and ignore all later updates."""
     original = EndpointWatch._apply_update
 
     def apply_update(self: Any, raw: Any) -> None:
@@ -95,7 +96,7 @@
 
 
 def send_cancelled_attempts() -> None:
-    """Delay attempts before they are sent, and send them whatever became of their requests meanwhile."""
+    """Delay attempts, and send them even if they were cancelled meanwhile."""
     original = Cluster.send
 
     def send_late(self: Cluster, attempt: Attempt) -> None:
@@ -110,19 +111,19 @@
 
 
 class _ResponseCounter:
-    """Picks one response in MUTATED_RESPONSE_INTERVAL."""
+    """Selects one response in MUTATED_RESPONSE_INTERVAL."""
 
     def __init__(self) -> None:
         self._count = 0
 
-    def is_picked(self) -> bool:
-        """Count a response, and return whether it is to be wrong."""
+    def should_break(self) -> bool:
+        """Count a response, and return whether to break it."""
         self._count += 1
         return self._count % MUTATED_RESPONSE_INTERVAL == 0
 
 
 def swap_response_bodies() -> None:
-    """Now and then, send the body of the response before."""
+    """Send the previous response's body in one response in MUTATED_RESPONSE_INTERVAL."""
     original = Proxy._respond
     counter = _ResponseCounter()
     last_body = b""
@@ -131,7 +132,7 @@
         nonlocal last_body
         previous_body = last_body
         last_body = response.body
-        if counter.is_picked() and response.status == 200:
+        if counter.should_break() and response.status == 200:
             response = response._replace(body=previous_body)
         original(self, exchange, response)
 
@@ -139,12 +140,12 @@
 
 
 def drop_responses() -> None:
-    """Never answer one request in so many."""
+    """Send no response to one request in MUTATED_RESPONSE_INTERVAL."""
     original = Proxy._respond
     counter = _ResponseCounter()
 
     def respond(self: Proxy, exchange: Exchange, response: FinalResponse) -> None:
-        if counter.is_picked():
+        if counter.should_break():
             exchange.close()
         else:
             original(self, exchange, response)
@@ -153,7 +154,7 @@
 
 
 def crash_on_reset() -> None:
-    """End the process when an attempt is reset."""
+    """Exit when an attempt is reset."""
     original = Proxy._attempt_finished
 
     def attempt_finished(self: Proxy, attempt: Attempt) -> None:
@@ -165,7 +166,7 @@
 
 
 def overload_warming_endpoints() -> None:
-    """Take every endpoint for warm, and send everything to the one that started last."""
+    """Treat every endpoint as warm, and send all requests to the one that started last."""
     original = Balancer.handle
     newest = 0  # endpoint; 0: none has started yet
     newest_started_ns = 0
@@ -189,7 +190,7 @@
     _patch(Balancer, "handle", handle)
 
 
-MUTATIONS: dict[str, Callable[[], None]] = {  # by the names that `lab fleet --spoilt` takes
+MUTATIONS: dict[str, Callable[[], None]] = {  # keyed by the values of `lab fleet --spoilt`
     "sound": break_nothing,
     "resends-unsafe": retry_unsafe_requests,
     "refuses-risky": reject_executed_requests,
@@ -207,17 +208,17 @@
     setattr(owner, name, function)
 
 
-def _make_clock_movable() -> None:
-    """On SIGUSR2, shift the wall clock as the file beside the configuration says."""
+def _shift_clock_on_signal() -> None:
+    """On SIGUSR2, shift the wall clock by the offset in the file beside the configuration."""
     folder = Path(os.environ["LB_CONFIG"]).parent
     signal.signal(signal.SIGUSR2, lambda number, frame: clock.set_offset(clock_file.read_offset(folder)))
 
 
 def main(arguments: list[str]) -> int:
-    """Break the program as the first argument says, and run it; return its exit status."""
+    """Apply the mutation that the first argument names, run the sidecar and return its exit status."""
     name, *sidecar_arguments = arguments
     MUTATIONS[name]()
-    _make_clock_movable()
+    _shift_clock_on_signal()
     has_file = sidecar_arguments[:2] == ["sidecar", "--config"]
     return sidecar.main(sidecar_arguments[2] if has_file else None)
 
--- a/anisespool/lab/live/process_account.py
+++ b/anisespool/lab/live/process_account.py
@@ -1,4 +1,4 @@
-"""What happened to one process of a run, by what the run did to it and by what it reported."""
+"""Records the outages that a run caused in one of its processes, and the events that it reported."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from anisespool.lab.scenario import SECOND
 
-MAX_EVENTS = 20_000  # of one member, over all its processes
+MAX_EVENTS = 20_000  # kept for one member, over all its processes
 UNTIL_READY = 2**62  # the end of an outage that lasts until the process is ready again
-RECOVERY_NS = SECOND // 2  # after an outage a process may be late for so long
+RECOVERY_NS = SECOND // 2  # how long a process may be late after an outage
 
 
 class OutageCause(StrEnum):
@@ -22,7 +22,7 @@
 
 
 class EventKind(StrEnum):
-    """Kinds of reported events that runs are judged by; there are others."""
+    """The kinds of reported events by which runs are judged. Processes report others too."""
 
     LIST = "list"
     VIEW = "view"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Outage:
-    """A span in which a process could not do what it has to, monotonic ns."""
+    """A span in which a process could not run normally, monotonic ns."""
 
     begin: int
     end: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedEvent:
-    """An event that a process reported of itself."""
+    """An event that a process reported."""
 
     at: int  # monotonic ns
     kind: str
@@ -60,36 +60,36 @@
 
     outages: list[Outage] = field(default_factory=list)
     events: list[ReportedEvent] = field(default_factory=list)
-    dropped: int = 0  # events that there was no capacity for
-    crash: str = ""  # why it counts as crashed; empty: it did not
+    dropped: int = 0  # events that did not fit
+    crash: str = ""  # why it counts as crashed; empty: no crash
 
     def begin_outage(self, begin: int, cause: OutageCause, expected_end: int = UNTIL_READY) -> Outage:
-        """Note an outage, and return it so that its end can be corrected."""
+        """Record an outage, and return it so that its end can be corrected."""
         outage = Outage(begin, expected_end, cause)
         self.outages.append(outage)
         return outage
 
     def end_outage(self, now: int) -> None:
-        """The process is ready again."""
+        """End an outage that lasts until the process is ready again."""
         if self.outages and self.outages[-1].end == UNTIL_READY:
             self.outages[-1].end = now
 
     def add_events(self, events: list[ReportedEvent]) -> None:
-        """Keep events while there is capacity, and count the others."""
+        """Keep events up to MAX_EVENTS, and count the others as dropped."""
         capacity = MAX_EVENTS - len(self.events)
         self.events.extend(events[:capacity])
         self.dropped += max(0, len(events) - capacity)
 
     def had_outage(self, begin: int, end: int) -> bool:
-        """Return whether it could not do what it has to at some time of that span."""
+        """Return whether an outage, or the recovery from one, overlaps the span."""
         return any(begin < outage.end + RECOVERY_NS and outage.begin < end for outage in self.outages)
 
     def had_outage_at(self, when: int) -> bool:
-        """Return whether what came at that moment may have lain unread."""
+        """Return whether a request that arrived at that moment may have waited unread in an outage."""
         return any(outage.begin <= when < outage.end for outage in self.outages)
 
     def reported_stall(self, begin: int, end: int) -> bool:
-        """Return whether it reported that it had been kept from the processor at some time of that span."""
+        """Return whether it reported a stall, a time without CPU, that overlaps the span."""
         for event in self.events:
             if event.kind == EventKind.STALLED:
                 stall_begin = event.at - int(event.fields["ms"] * 1e6)
--- a/anisespool/lab/live/process_handle.py
+++ b/anisespool/lab/live/process_handle.py
@@ -1,4 +1,4 @@
-"""One member of the fleet: a process that lives under one name and address, and may be restarted."""
+"""One member of the fleet: a process with a fixed name and address, which may be restarted."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
-COLLECT_BEFORE_KILL_S = 0.3  # for the events of a member that is about to be killed
-SHUTDOWN_TIMEOUT_S = 6.0  # after SIGTERM: requests in flight get their response within 4.5 s
-MAX_STARTING = 8  # processes that start at the same moment: each costs 0.2 s of CPU
-MEMBER_NICE = 5  # where the machine is short, the run that judges its members goes first
+COLLECT_BEFORE_KILL_S = 0.3  # time limit for collecting events before a kill
+SHUTDOWN_TIMEOUT_S = 6.0  # SIGTERM to exit: requests in flight get their response within 4.5 s
+MAX_STARTING = 8  # processes that start at a time: each start costs 0.2 s of CPU
+MEMBER_NICE = 5  # members yield the CPU to the run, which judges them
 
 
 class ProcessHandle:
-    """A member's process, what is done to it, and what is known of it.
+    """Starts, ends and disturbs the process of one member, and keeps its account.
 
     Attributes:
-        number: of the member, from 0.
-        folder: for its files.
-        account: what happened to it.
-        address: where its clients find it, if it has any.
-        command: what Python is called with.
-        env: added to the environment.
+        number: the member's number, from 0.
+        folder: folder of its files.
+        account: its outages and reported events.
+        address: the address that its clients connect to, if it has clients.
+        command: arguments of the Python interpreter.
+        env: variables that are added to its environment.
         up: whether its clients may send requests.
     """
 
@@ -53,7 +53,7 @@
         self.env: dict[str, str] = {}
         self.up = False
         self._supervisor = supervisor
-        self._source = source  # the root of the checkout that it runs
+        self._source = source  # root of the checkout that it runs
         self._process: asyncio.subprocess.Process | None = None
         self._contention = CpuContention()
         self._end_expected = False
@@ -79,33 +79,29 @@
         """Where its standard error goes."""
         return self.folder / "log"
 
-    # What a kind of member adds -------------------------------------------------------------------
-
     def _stdout(self) -> int | None:
-        """Return what its standard output is; none for this process's own."""
+        """Return the target of its standard output; none for that of this process."""
         return None
 
     def _on_started(self, process: asyncio.subprocess.Process) -> None:
-        """Do what has to be done as soon as the process runs."""
+        """Run steps of the subclass as soon as the process is started."""
 
     def _abort_connections(self) -> None:
-        """Drop its clients' connections."""
+        """Abort its clients' connections."""
 
     def _close_resources(self) -> None:
-        """Give back what was held for all its processes."""
+        """Release resources that were held over restarts."""
 
     async def is_ready(self) -> bool:
-        """Return whether it can take requests."""
+        """Return whether it is ready for requests."""
         raise NotImplementedError
 
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
-        """Send a request of its client; return none if no complete response came."""
+        """Send a client's request; return none if no complete response arrived."""
         raise NotImplementedError
 
     async def collect_events(self) -> None:
-        """Read its events so far into its account."""
-
-    # Life cycle -----------------------------------------------------------------------------------
+        """Add its new events to its account."""
 
     async def start(self) -> None:
         """Start the process and wait until it is ready.
@@ -141,12 +137,12 @@
         return self._process
 
     def check_running(self) -> None:
-        """Note a crash if the process has ended by itself."""
+        """Record a crash if the process has ended by itself."""
         process = self._process
         if process and process.returncode is not None and not self._end_expected:
-            self._note_crash(f"n{self.number} ended by itself, with {process.returncode}")
+            self._record_crash(f"n{self.number} ended by itself, with {process.returncode}")
 
-    def _note_crash(self, text: str) -> None:
+    def _record_crash(self, text: str) -> None:
         self.account.crash = self.account.crash or text
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -156,7 +152,7 @@
                 self._process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL. What it had in flight is for clients to retry; its events are read just before."""
+        """Collect its events, then send SIGKILL. Clients have to retry requests that were in flight."""
         if not self.account.had_outage_at(time.monotonic_ns()):
             with suppress(TimeoutError):
                 async with asyncio.timeout(COLLECT_BEFORE_KILL_S):
@@ -172,9 +168,9 @@
         self.send_signal(signal.SIGKILL)
 
     async def terminate(self) -> None:
-        """SIGTERM: it has to answer all that it has taken. Clients stop sending with the signal.
+        """Send SIGTERM, after which it must complete all requests in flight. Clients stop sending.
 
-        Nothing is excused meanwhile; taking too long counts as a crash.
+        No violation is excused meanwhile, and a shutdown that takes too long counts as a crash.
         """
         self._end_expected = True
         self.up = False
@@ -185,7 +181,7 @@
                 async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
                     await self._process.wait()
             except TimeoutError:
-                self._note_crash(f"n{self.number} still ran {SHUTDOWN_TIMEOUT_S:g} s after SIGTERM")
+                self._record_crash(f"n{self.number} still ran {SHUTDOWN_TIMEOUT_S:g} s after SIGTERM")
                 self.send_signal(signal.SIGKILL)
         await self._wait_ended()
 
@@ -196,7 +192,7 @@
         self._abort_connections()
 
     async def dispose(self) -> None:
-        """End the process for good, and give back what it held."""
+        """End the process for good, and release its resources."""
         self._abort_connections()
         await self._contention.stop()
         self._send_kill()
@@ -204,10 +200,8 @@
             await self._process.wait()
         self._close_resources()
 
-    # Faults ---------------------------------------------------------------------------------------
-
     async def freeze(self, until: int) -> None:
-        """SIGSTOP, and SIGCONT at `until` (monotonic ns)."""
+        """Send SIGSTOP, and SIGCONT at `until` (monotonic ns)."""
         begin = time.monotonic_ns()
         self.send_signal(signal.SIGSTOP)
         outage = self.account.begin_outage(begin, OutageCause.FROZEN, until)
@@ -216,7 +210,7 @@
         outage.end = time.monotonic_ns()
 
     async def starve(self, until: int) -> None:
-        """Bind it to one core, and burn that until `until` (monotonic ns)."""
+        """Bind it to one core, and keep that core busy until `until` (monotonic ns)."""
         if not self._process:
             return
         begin = time.monotonic_ns()
@@ -233,22 +227,22 @@
         outage.end = time.monotonic_ns()
 
     def shift_clock(self, seconds: float) -> None:
-        """Shift its wall clock against the machine's from now on (`mutated_sidecar`)."""
+        """Shift its wall clock against the machine's, starting now (see `mutated_sidecar`)."""
         clock_file.write_offset(self.folder, seconds)
         self.send_signal(signal.SIGUSR2)
 
     def stats(self) -> ProcessStats:
-        """Return what the process has used so far; zeros if it has ended."""
+        """Return the process's CPU time and memory; zeros if it has ended."""
         return read_stats(self.pid) if self.is_running else ProcessStats()
 
 
 async def start_all(
     members: list[ProcessHandle], on_started: Callable[[int], None] = lambda count: None
 ) -> None:
-    """Start all members, some at a time; `on_started` is called with how many are ready so far.
+    """Start all members, a few at a time; `on_started` is called with the number of ready ones.
 
     Raises:
-        ExceptionGroup: Members that were not ready in time, or ended.
+        ExceptionGroup: Members were not ready in time, or ended.
     """
     slots = asyncio.Semaphore(MAX_STARTING)
     ready = 0
--- a/anisespool/lab/live/process_stats.py
+++ b/anisespool/lab/live/process_stats.py
@@ -1,4 +1,4 @@
-"""CPU time, memory and resource limits of another process (proc(5), setrlimit(2))."""
+"""Reads CPU time and memory of another process, and sets its limits (proc(5), prlimit(2))."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from typing import Literal, NamedTuple
 
 MIB = 2**20
-UTIME_FIELD = 11  # of /proc/PID/stat, counted from the one after the command's name
+UTIME_FIELD = 11  # index in /proc/PID/stat, counted from the field after the command's name
 STIME_FIELD = 12
 RSS_FIELD = 21
 
 
 class ProcessStats(NamedTuple):
-    """What a process has used."""
+    """CPU time and memory of a process."""
 
-    cpu_s: float = 0.0  # user and system
-    memory_mb: float = 0.0  # resident now
+    cpu_s: float = 0.0  # user and system time
+    memory_mb: float = 0.0  # resident set size
 
 
 def read_stats(pid: int) -> ProcessStats:
-    """Return the figures of a process; zeros if it is gone."""
+    """Read the figures of a process; return zeros if it has ended."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -38,13 +38,13 @@
 
 
 def limit_to_current_use(pid: int, kind: LimitKind, extra: float) -> None:
-    """Allow a process what it has now and `extra` descriptors, or MB of address space, and no more."""
+    """Limit a process to its current use and `extra` more descriptors, or MB of address space."""
     with suppress(OSError, ValueError):
         _set_soft_limit(pid, kind, _current_use(pid, kind) + int(extra * (MIB if kind == "memory" else 1)))
 
 
 def lift_limit(pid: int, kind: LimitKind) -> None:
-    """Give a process the limit of this process again."""
+    """Set a limit of a process back to that of this process."""
     soft, _ = resource.getrlimit(LIMITS[kind])
     with suppress(OSError, ValueError):
         _set_soft_limit(pid, kind, soft)
--- a/anisespool/lab/live/process_supervisor.py
+++ b/anisespool/lab/live/process_supervisor.py
@@ -1,9 +1,9 @@
-"""Kills what a run has started, whatever becomes of the run.
+"""Kills the processes that a run has started, even if the run itself is killed.
 
 `python -m anisespool.lab.live.process_supervisor MARK`
 
-The supervisor is a process of its own. Its input is a pipe that closes when the run ends, also when the run
-is killed itself. It knows the run's processes by a mark in their environment.
+The supervisor is a process of its own. Its input is a pipe that closes when the run ends, for any reason. It
+finds the run's processes by a mark in their environment.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from uuid import uuid4
 
 MARK_VARIABLE = "ANISESPOOL_RIG"
-SWEEPS = 3  # a process that is just being started is found by a later sweep
+SWEEPS = 3  # a later sweep finds processes that were just being started
 
 
 class ProcessSupervisor:
-    """The run's end of the supervisor: `env` is for every process of the run, and of what they start."""
+    """Starts and stops the supervisor. Every process of the run is started with `env` in its environment."""
 
     def __init__(self) -> None:
         self.mark = uuid4().hex
@@ -41,17 +41,17 @@
         )
 
     async def stop(self) -> None:
-        """Let it kill all that is left, and wait for its end."""
+        """Make it kill all remaining processes, and wait until it has ended."""
         if self._process and self._process.stdin:
             self._process.stdin.close()
             await self._process.wait()
 
 
 def marked_processes(mark: str) -> list[int]:
-    """Return the processes that were started with the mark in their environment (proc(5)).
+    """Return the ids of processes that were started with the mark in their environment (proc(5)).
 
-    A list of process ids would miss one that was started in the run's last moment, and an id may be
-    another process's by then.
+    A list of ids that the run kept would miss a process that was started last, and an id in it could have
+    been reused by another process.
     """
     wanted = f"{MARK_VARIABLE}={mark}".encode()
     return [
@@ -62,7 +62,7 @@
 
 
 def _environment(folder: Path) -> list[bytes]:
-    """Return the variables of a process; none of one that is gone or not ours."""
+    """Return the variables of a process; empty if it has ended or belongs to another user."""
     try:
         return (folder / "environ").read_bytes().split(b"\0")
     except OSError:
@@ -70,7 +70,7 @@
 
 
 def kill_marked_at_end(mark: str, run: TextIO) -> None:
-    """Wait for the end of `run`, then kill every process with the mark."""
+    """Read `run` to its end, then kill every process with the mark."""
     run.read()
     for _ in range(SWEEPS):
         for pid in marked_processes(mark):
--- a/anisespool/lab/live/proxy_table.py
+++ b/anisespool/lab/live/proxy_table.py
@@ -1,4 +1,4 @@
-"""The listeners of all endpoints of a run, and what faults of links do to them."""
+"""The listeners of all endpoints of a run, and the effect of link faults on them."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from anisespool.lab.model.links import STRONGER, Links
 from anisespool.lab.scenario import Scenario
 
-MAX_PROXIES = 4000  # listeners; the sidecars of a larger fleet share them by zone
+MAX_PROXIES = 4000  # fleets that would need more listeners share them by zone
 NOT_CUT = ""
-RESET = "reset"  # a cut of which new connections are reset as soon as they are up
+RESET = "reset"  # a cut that resets connections as soon as they are established
 
 
 def proxy_groups(scenario: Scenario) -> list[int]:
-    """Return for each sidecar the group whose listeners it uses: its own, or in large fleets its zone's."""
+    """Return each sidecar's group, which shares listeners: its own number, or its zone in large fleets."""
     if scenario.sidecars * scenario.size <= MAX_PROXIES:
         return list(range(scenario.sidecars))
     return scenario.places()
 
 
 class ProxyTable:
-    """A listener for each endpoint and group of sidecars.
+    """A listener for each pair of an endpoint and a group of sidecars.
 
-    Who connects is known by the listener, without a word from the sidecar.
+    The listener of a connection identifies the group, so the sidecar does not have to name itself.
     """
 
     def __init__(
@@ -34,9 +34,9 @@
     ) -> None:
         self._handler = handler
         self._links = links
-        self._nodes = nodes  # of sidecars
-        self._groups = groups  # by sidecar
-        self._by_endpoint: dict[int, dict[int, ConnectionProxy]] = {}  # by group
+        self._nodes = nodes  # the sidecars
+        self._groups = groups  # each sidecar's group
+        self._by_endpoint: dict[int, dict[int, ConnectionProxy]] = {}  # inner key: group
 
     def add(self, endpoint: Endpoint) -> None:
         """Bind the listeners of an endpoint; they stay closed until they are opened."""
@@ -52,7 +52,7 @@
         return [proxy for proxies in self._by_endpoint.values() for proxy in proxies.values()]
 
     def port(self, endpoint: Endpoint, sidecar: int) -> int:
-        """Return the port at which a sidecar finds an endpoint."""
+        """Return the port through which a sidecar reaches an endpoint."""
         return self._by_endpoint[endpoint.id][self._groups[sidecar]].port
 
     def open(self, endpoint: Endpoint) -> None:
@@ -71,17 +71,17 @@
             proxy.shut(state)
 
     def drop_connections(self, endpoint: Endpoint) -> None:
-        """Reset the connections of an endpoint; one that is dead refuses new ones."""
+        """Reset the connections of an endpoint; a dead endpoint also refuses new ones."""
         for proxy in self.listeners_of(endpoint):
             proxy.drop_connections()
             if endpoint.faults.dead:
                 proxy.shut(ListenerState.REFUSED)
 
     def apply_links(self, now: int) -> None:
-        """Bring all listeners into the state that the links demand now; endpoints that are down stay so."""
+        """Apply the link faults that are in effect now to the listeners of all endpoints that are up."""
         for proxy in self.all():
             if not (proxy.endpoint.faults.dead or proxy.endpoint.faults.vanished):
-                self._apply_cut(proxy, self._cut_of(proxy, now))
+                self._apply_cut(proxy, self._weakest_cut(proxy, now))
 
     def _apply_cut(self, proxy: ConnectionProxy, cut: str) -> None:
         if cut in (ListenerState.SILENT, ListenerState.REFUSED):
@@ -91,8 +91,8 @@
         if cut in (ListenerState.REFUSED, RESET):
             proxy.reset_connections()
 
-    def _cut_of(self, proxy: ConnectionProxy, now: int) -> str:
-        """Return how no sidecar of the group can connect; NOT_CUT if one can."""
+    def _weakest_cut(self, proxy: ConnectionProxy, now: int) -> str:
+        """Return the weakest cut among the sidecars of the proxy's group; NOT_CUT if one can connect."""
         endpoint_node = node_of(proxy.endpoint)
         weakest = RESET
         for node, group in zip(self._nodes, self._groups, strict=True):
--- a/anisespool/lab/live/request_target.py
+++ b/anisespool/lab/live/request_target.py
@@ -1,4 +1,4 @@
-"""The path of a client's request. It carries what the client drew, so that endpoints need no other channel.
+"""The path of a client's request. It carries the values that the client drew to the endpoint.
 
 `/CLASS/REQUEST.ATTEMPT.WORK_NS.SIDECAR.STARTED_US.DEADLINE_US`, all numbers decimal.
 """
@@ -14,11 +14,11 @@
 
     class_name: str
     client_request: int
-    attempt: int  # of the client, from 1
+    attempt: int  # the client's attempt, from 1
     work_ns: int
     sidecar: int
     started_us: int  # when the client started this attempt, on the monotonic clock
-    deadline_us: int  # when the client gives this attempt up
+    deadline_us: int  # when the client gives up this attempt
 
     def encode(self) -> bytes:
         """Return the path."""
--- a/anisespool/lab/live/run_judgement.py
+++ b/anisespool/lab/live/run_judgement.py
@@ -1,4 +1,4 @@
-"""Judges a run by what the endpoints counted and by what clients saw, and says when it gives no verdict."""
+"""Judges a run by the counts of endpoints and clients, and declares it void if it was disturbed."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from anisespool.lab.model.metrics import VoidError
 from anisespool.lab.scenario import MS, SECOND
 
-MAX_FORWARD_DELAY_NS = 250 * MS  # of an attempt past its client's deadline: nobody can have meant a later one
-MAX_LATENESS_P99_MS = 20.0  # of this process's own sends: beyond it the run is void
-MAX_BACKEND_STALL_MS = 1000.0  # of the endpoints' process at any moment: the same
+MAX_FORWARD_DELAY_NS = 250 * MS  # allowed time past a client's deadline; a longer one is no race
+MAX_LATENESS_P99_MS = 20.0  # the run is void if this process sent requests later
+MAX_BACKEND_STALL_MS = 1000.0  # the run is void if the endpoints' process stalled for longer
 
 
 def judge_run(
@@ -22,20 +22,20 @@
     accounts: Sequence[ProcessAccount],
     unsafe_rejections: Sequence[int],
 ) -> None:
-    """Complete a result by the endpoints' report, and note the rules that were broken.
+    """Add the endpoints' report to a result, and record the rules that were broken.
 
     Args:
-        result: of the run, with what clients saw.
-        report: of the endpoints' process.
-        accounts: of the sidecars, in order.
-        unsafe_rejections: requests that were finally rejected, of classes that must not run twice.
+        result: result of the run, with the clients' metrics.
+        report: report of the endpoints' process.
+        accounts: one account for each sidecar, ordered by number.
+        unsafe_rejections: requests of non-idempotent classes whose last attempt was rejected.
 
     Raises:
         RuntimeError: The endpoints' process failed.
-        VoidError: Clients or endpoints were late themselves: the run gives no verdict.
+        VoidError: Clients or endpoints were late themselves, so the run gives no verdict.
     """
     if report.internal_error:
-        raise RuntimeError(f"the endpoints' process failed: {report.internal_error}; its error stands above")
+        raise RuntimeError(f"the endpoints' process failed: {report.internal_error}; see its error above")
     result.backend = report
     result.accounts = list(accounts)
     result.metrics.attempts = report.arrival_count
@@ -49,9 +49,10 @@
 
 
 def _judge_drains(result: LiveRunResult) -> None:
-    """Rule 3, by the earliest moment at which each request can have come.
+    """Check rule 3: no request reaches an endpoint after its drain.
 
-    A sidecar that was kept from the processor meanwhile could not know better.
+    It is judged by the earliest moment at which each request can have arrived. A sidecar that had no CPU time
+    since shortly before the deadline is excused: it may not have received the update.
     """
     late = 0
     for arrival in result.arrivals:
@@ -70,9 +71,9 @@
 
 
 def _judge_forwarding(result: LiveRunResult) -> None:
-    """Rule 1: nothing is forwarded after its client gave up.
+    """Check rule 1: no request is forwarded after its client gave up.
 
-    A request that came while its sidecar could not run lay unread, and nothing on it says for how long.
+    A request that arrived while its sidecar could not run waited unread, and does not show for how long.
     """
     for arrival in result.arrivals:
         if arrival.received_at <= arrival.deadline + MAX_FORWARD_DELAY_NS:
@@ -92,7 +93,7 @@
 
 
 def _judge_rejections(result: LiveRunResult, unsafe_rejections: Sequence[int]) -> None:
-    """Rule 2: a rejection says that a retry is harmless."""
+    """Check rule 2: a rejected request was not executed, so a retry is safe."""
     for number in unsafe_rejections:
         if result.backend.executions.get(number):
             result.add_violation(f"rule 2: wish {number} was refused, and had run")
@@ -109,11 +110,11 @@
     stall_ms = result.backend.longest_stall_ns / MS
     if stall_ms > MAX_BACKEND_STALL_MS:
         raise _void(
-            f"the endpoints' process stood still for {stall_ms:.0f} ms, {MAX_BACKEND_STALL_MS:g} at most"
+            f"the endpoints' process stalled for {stall_ms:.0f} ms, at most {MAX_BACKEND_STALL_MS:g} allowed"
         )
     late_ms = result.late_ms()
     if late_ms > MAX_LATENESS_P99_MS:
-        raise _void(f"sent {late_ms:.1f} ms late (p99), {MAX_LATENESS_P99_MS:g} at most")
+        raise _void(f"sent {late_ms:.1f} ms late (p99), at most {MAX_LATENESS_P99_MS:g} allowed")
 
 
 def _void(reason: str) -> VoidError:
--- a/anisespool/lab/live/run_result.py
+++ b/anisespool/lab/live/run_result.py
@@ -1,4 +1,4 @@
-"""What came of a run with real processes."""
+"""The result of a run with real processes."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
     """Metrics of the clients, counts of the endpoints, and the rules that were broken."""
 
     metrics: RunMetrics
-    begin: int = 0  # of the scenario's own time, monotonic ns
-    lateness: HdrHistogram = field(default_factory=_microseconds)  # of the clients' own sends
-    rejections: HdrHistogram = field(default_factory=_microseconds)  # how long until an attempt was rejected
-    violations: list[str] = field(default_factory=list)  # of each rule the first
+    begin: int = 0  # when the scenario's own time begins, monotonic ns
+    lateness: HdrHistogram = field(default_factory=_microseconds)  # delay of the clients' own sends
+    rejections: HdrHistogram = field(default_factory=_microseconds)  # time until an attempt was rejected
+    violations: list[str] = field(default_factory=list)  # the first one of each rule
     backend: BackendReport = field(default_factory=BackendReport)
-    accounts: list[ProcessAccount] = field(default_factory=list)  # by sidecar
+    accounts: list[ProcessAccount] = field(default_factory=list)  # one for each sidecar
     process_faults: list[ProcessFault] = field(default_factory=list)
-    cpu_s: list[float] = field(default_factory=list)  # by sidecar
-    memory_mb: float = 0.0  # of all sidecars at the end
-    start_s: float = 0.0  # until all were ready
-    skipped: int = 0  # requests at a sidecar that was down: its application stops and starts with it
-    lost_events: int = 0  # that members reported and there was no capacity for: statements on views say less
-    excused: int = 0  # violations of sidecars that were themselves kept from the processor
+    cpu_s: list[float] = field(default_factory=list)  # CPU time of each sidecar
+    memory_mb: float = 0.0  # total of all sidecars at the end
+    start_s: float = 0.0  # time until all were ready
+    skipped: int = 0  # requests due at a sidecar that was down, as its application stops with it
+    lost_events: int = 0  # reported events that did not fit, so that statements on views prove less
+    excused: int = 0  # violations while the sidecar, or the clients' process, had no CPU time
 
     @classmethod
     def of(cls, scenario: Scenario, begin: int) -> LiveRunResult:
-        """Return the empty result of a run whose scenario's own time begins then."""
+        """Return the empty result of a run; the scenario's own time starts at `begin`."""
         return cls(RunMetrics(scenario, begin), begin)
 
     @property
@@ -49,15 +49,15 @@
 
     @property
     def arrivals(self) -> list[Arrival]:
-        """Requests as they reached endpoints."""
+        """Requests that reached endpoints, ordered by arrival."""
         return self.backend.arrivals
 
     def add_violation(self, text: str) -> None:
-        """Note a broken rule, whose name `text` begins with, unless one of that rule is known."""
+        """Record a violation unless there is one of the same rule, whose name `text` begins with."""
         rule = text.partition(":")[0]
         if all(not known.startswith(rule) for known in self.violations):
             self.violations.append(text)
 
     def late_ms(self) -> float:
-        """Return how late the clients' own sends were, p99 in ms."""
+        """Return the 99th percentile of how late the clients sent their requests, in ms."""
         return float(self.lateness.get_value_at_percentile(99)) / 1000
--- a/anisespool/lab/live/sidecar_client.py
+++ b/anisespool/lab/live/sidecar_client.py
@@ -1,4 +1,4 @@
-"""A client's connections to its sidecar: HTTP/1.1, kept alive, one request at a time on each."""
+"""A client of a sidecar, over HTTP/1.1 with keep-alive and one request at a time per connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from anisespool.lab.live.http_head import header_value
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-STATUS_CODE = slice(9, 12)  # of a status line
+STATUS_CODE = slice(9, 12)  # position in a status line
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
 
     status: int
     retry_after_s: float = 0.0  # 0: the header is missing
-    is_own: bool = False  # whether the body is that of this request, and not another's
+    is_own: bool = False  # whether the body belongs to this request and not to another one
 
 
 class SidecarClient:
@@ -29,14 +29,14 @@
         self._idle: list[Streams] = []
 
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
-        """Send a request and return its response; none if no complete one came.
+        """Send a request and return its response; none if no complete one arrived.
 
-        The sidecar may close an idle connection at any moment. What fails on one is sent once more, on a new
-        connection.
+        The sidecar may close an idle connection at any moment, so a request that fails on a reused connection
+        is sent again on a new one.
 
         Args:
-            data: the request's bytes.
-            trace: what the body of a successful response has to be.
+            data: the complete HTTP request.
+            trace: the expected body of a successful response.
         """
         if self._idle:
             try:
@@ -72,7 +72,7 @@
         return ClientResponse(int(head[STATUS_CODE]), retry_after_s, body == trace)
 
     def abort_idle(self) -> None:
-        """Drop the connections on which no request is in flight."""
+        """Abort the connections on which no request is in flight."""
         for _, writer in self._idle:
             writer.transport.abort()
         self._idle.clear()
--- a/anisespool/lab/live/sidecar_process.py
+++ b/anisespool/lab/live/sidecar_process.py
@@ -1,4 +1,4 @@
-"""A sidecar as the platform starts it."""
+"""Runs a sidecar as the platform starts it."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarOptions:
-    """How the sidecars of a run are started.
+    """Options with which the sidecars of a run are started.
 
     Attributes:
-        control: by an operator's file, with a control socket, so that they report events.
-        mutation: a deliberate break of the program (`mutated_sidecar`); empty for the program as it is.
-        source: the root of another checkout to run.
+        control: start them with an operator's file and a control socket, so that they report events.
+        mutation: name of a deliberate break of the program (`mutated_sidecar`); empty for none.
+        source: root of another checkout whose sidecar is run.
     """
 
     control: bool = False
@@ -91,7 +91,7 @@
         )
 
     def _add_peers(self, network: PeerNetwork) -> None:
-        """Write where the others are into the configuration, in the platform's JSON."""
+        """Write the addresses of all members into the configuration."""
         path = self.folder / "config.json"
         raw = json.loads(path.read_text())
         raw["peers"] = ["{}:{}".format(*peer.address) for peer in network.peers]
@@ -123,11 +123,11 @@
             writer.close()
 
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
-        """Send a request of its client; return none if no complete response came."""
+        """Send a client's request; return none if no complete response arrived."""
         return await self._client.request(data, trace)
 
     async def collect_events(self) -> None:
-        """Read its new events through the control socket; it keeps only the last ones itself."""
+        """Read its new events through the control socket. The sidecar itself keeps only its latest ones."""
         if not self.control_socket or not self.is_running:
             return
         with suppress(OSError, EOFError, TimeoutError, ValueError):
@@ -136,7 +136,7 @@
                     pass
 
     async def _collect_page(self, control_socket: Path) -> bool:
-        """Read as many events as fit into one answer; return whether there were any."""
+        """Read as many events as fit into one response; return whether there were any."""
         status, answer = await control_client.call(control_socket, "/v1/events", {"after": self._next_event})
         if status != 200 or not answer["events"]:
             return False
@@ -147,7 +147,7 @@
 
 
 def platform_settings(scenario: Scenario, number: int) -> dict[str, Any]:
-    """Return the settings that the platform would give the sidecar of that number."""
+    """Return the settings that the platform would give the sidecar with that number."""
     raw = scenarios.raw_settings(scenario, number, scenario.places()[number])
     zone_count = max(group.zone for group in scenario.endpoints) + 1
     raw["zones"] = [f"z{zone}" for zone in range(zone_count)]
--- a/anisespool/lab/live/stall_detector.py
+++ b/anisespool/lab/live/stall_detector.py
@@ -1,4 +1,4 @@
-"""Notes when this process's own event loop stood still."""
+"""Detects stalls of this process's own event loop."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class StallDetector:
-    """Looks at the loop every 10 ms while `run` runs.
+    """Checks every 10 ms, while `run` runs, how late the event loop is.
 
-    Several runs in one process, or a busy machine, keep the loop from reading responses that came in time;
-    what it was late is not held against a sidecar.
+    Several runs in one process, or a busy machine, can keep the loop from reading responses that arrived in
+    time. Sidecars are not blamed for that.
     """
 
     def __init__(self) -> None:
@@ -33,5 +33,5 @@
                 self._stall_ends.append(now)
 
     def stalled_since(self, when: int) -> bool:
-        """Return whether a stall has ended since then (monotonic ns)."""
+        """Return whether a stall has ended since `when` (monotonic ns)."""
         return any(end >= when for end in self._stall_ends)
--- a/anisespool/lab/live/statements.py
+++ b/anisespool/lab/live/statements.py
@@ -1,6 +1,6 @@
-"""Statements about a fleet, judged from outside over the whole history of a run.
+"""Judges a scenario's statements about a fleet from outside, over the whole history of a run.
 
-Each can fail, and says by how much.
+Each verdict contains the figure that decided it.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from anisespool.lab.live.process_account import EventKind, OutageCause
 from anisespool.lab.scenario import SECOND, Statement
 
-RECOVERY_S = 1.0  # how long a member that had an outage has to see what the others see
-LAST_DELIVERY_S = 1.0  # whoever was heard within that span before it was declared dead was not dead
-MIN_ARRIVALS = 20  # a share of fewer is no proof
-MAX_LISTED = 3  # of what is wrong, in a verdict's figure
-ROUNDING_FACTOR = 1 + 1e-9  # of sums of parts of a budget
+RECOVERY_S = 1.0  # time after an outage in which a member's view may differ
+LAST_DELIVERY_S = 1.0  # a delivery within this time before a declared death proves the member alive
+MIN_ARRIVALS = 20  # a share of fewer arrivals proves nothing
+MAX_LISTED = 3  # members or views that a verdict's figure lists
+ROUNDING_FACTOR = 1 + 1e-9  # tolerance for rounding in sums of reservations
 
 
 class Verdict(NamedTuple):
@@ -35,7 +35,7 @@
 
 
 def judge(history: History) -> list[Verdict]:
-    """Judge all statements of the scenario, in order."""
+    """Judge all statements of the scenario, in their order."""
     return [JUDGES[statement.kind](history, statement) for statement in history.scenario.statements]
 
 
@@ -45,18 +45,15 @@
     return Verdict(f"{statement.kind}{zone} from {begin:g} to {end:g} s", holds, figure)
 
 
-# Requests ------------------------------------------------------------------------------------------
-
-
 class _ZoneShare(NamedTuple):
-    """Of what sidecars of other zones sent: the part that reached a zone."""
+    """The share of requests from other zones' sidecars that reached a zone."""
 
     share: float
-    total: int  # of all that they sent
+    total: int  # all requests of those sidecars
 
     @property
-    def has_enough_arrivals(self) -> bool:
-        """Whether they were enough to say anything."""
+    def is_significant(self) -> bool:
+        """Whether the share is based on enough arrivals."""
         return self.total >= MIN_ARRIVALS
 
 
@@ -74,16 +71,16 @@
 
 
 def _judge_share_below(history: History, statement: Statement) -> Verdict:
-    found = _zone_share(history, statement)
-    holds = found.has_enough_arrivals and found.share <= statement.share
-    figure = f"{found.share:.3f} of {found.total}, at most {statement.share:g} wanted"
+    zone_share = _zone_share(history, statement)
+    holds = zone_share.is_significant and zone_share.share <= statement.share
+    figure = f"{zone_share.share:.3f} of {zone_share.total}, at most {statement.share:g} wanted"
     return _verdict(history, statement, holds, figure)
 
 
 def _judge_share_above(history: History, statement: Statement) -> Verdict:
-    found = _zone_share(history, statement)
-    holds = found.has_enough_arrivals and found.share >= statement.share
-    figure = f"{found.share:.3f} of {found.total}, at least {statement.share:g} wanted"
+    zone_share = _zone_share(history, statement)
+    holds = zone_share.is_significant and zone_share.share >= statement.share
+    figure = f"{zone_share.share:.3f} of {zone_share.total}, at least {statement.share:g} wanted"
     return _verdict(history, statement, holds, figure)
 
 
@@ -97,10 +94,10 @@
 
 
 def _judge_limit(history: History, statement: Statement) -> Verdict:
-    """Judge a limit, which is on another thing for each kind of process.
+    """Judge a limit, whose meaning depends on the kind of process.
 
-    Gossip processes: what they reserve of their budget at one moment, by the budget server's clock.
-    Sidecars: requests that reached any one endpoint within any one second, by its own clock.
+    It limits the units of the budget that gossip processes reserve at any moment, timed by the budget server,
+    and the requests of sidecars that reach any one endpoint within any one second, timed by the endpoint.
     """
     if history.scenario.plays == "talkers":
         peaks = _budget_peaks(history, statement)
@@ -118,7 +115,7 @@
 
 
 def _endpoint_peaks(history: History, statement: Statement) -> list[float]:
-    """Return for each endpoint the most requests that reached it within one second."""
+    """Return each endpoint's highest number of requests within one second."""
     begin, end = history.span(statement)
     arrivals_at: dict[int, list[Arrival]] = defaultdict(list)
     for arrival in history.arrivals:
@@ -139,11 +136,8 @@
     return float(highest)
 
 
-# Views ---------------------------------------------------------------------------------------------
-
-
 def _judge_views_agree(history: History, statement: Statement) -> Verdict:
-    """At every moment of the span all members that run have reported the same view last."""
+    """Check that the latest views of all running members are equal at every moment of the span."""
     reports = _views_by_member(history, statement)
     moments = _moments_of_change(history, statement, reports)
     for at_s in moments:
@@ -152,7 +146,7 @@
             listed = "; ".join(f"{view} ({count})" for view, count in views.most_common(MAX_LISTED))
             figure = f"{len(views)} views at {at_s:.2f} s: {listed}"
             return _verdict(history, statement, False, figure)
-    members = views.total()  # at the last moment
+    members = views.total()  # count at the last moment
     figure = f"one view, of {members} members, at {len(moments)} moments"
     return _verdict(history, statement, members > 1, figure)
 
@@ -170,7 +164,7 @@
 def _moments_of_change(
     history: History, statement: Statement, reports: list[list[MemberEvent]]
 ) -> list[float]:
-    """Return the moments of a span at which agreement may change, begin and end among them."""
+    """Return the moments of a span at which agreement may change, including its begin and end."""
     begin, end = history.span(statement)
     changes = {event.at_s for events in reports for event in events}
     changes |= {history.second(outage.end) + RECOVERY_S for outages in history.outages for outage in outages}
@@ -178,19 +172,19 @@
 
 
 def _views_at(history: History, reports: list[list[MemberEvent]], at_s: float) -> Counter[str]:
-    """Return how many members had which view, but those with an outage then or a moment before."""
+    """Count the members that had each view, without members that had an outage then or just before."""
     views: Counter[str] = Counter()
     for member, events in enumerate(reports):
         if history.had_outage(member, at_s - RECOVERY_S, at_s):
             continue
-        place = bisect_right(events, at_s, key=lambda event: event.at_s)
-        if place:
-            views[str(events[place - 1].fields["view"])] += 1
+        index = bisect_right(events, at_s, key=lambda event: event.at_s)
+        if index:
+            views[str(events[index - 1].fields["view"])] += 1
     return views
 
 
-def _judge_removal_known(history: History, statement: Statement) -> Verdict:
-    """Over the span nobody's view contains a member that was killed before it and is not back in it."""
+def _judge_killed_removed(history: History, statement: Statement) -> Verdict:
+    """Check that no view in the span contains a member that was killed before it and stays down."""
     begin, end = history.span(statement)
     killed = _killed_members(history, begin, end)
     last_views: dict[int, str] = {}
@@ -210,7 +204,7 @@
 
 
 def _killed_members(history: History, begin: float, end: float) -> set[int]:
-    """Return the members that were killed before a span and are not back in it."""
+    """Return the members that were killed before a span and are down until its end."""
     return {
         member
         for member, outages in enumerate(history.outages)
@@ -222,7 +216,7 @@
 
 
 def _parse_members(view: str) -> set[int]:
-    """Return the members of a view such as `0-4,6`."""
+    """Return the numbers of the members in a view such as `0-4,6`."""
     members: set[int] = set()
     for word in view.split(","):
         first, _, last = word.partition("-")
@@ -232,7 +226,7 @@
 
 
 def _judge_none_dead(history: History, statement: Statement) -> Verdict:
-    """Nobody is declared dead of whom the network delivered something within the last second."""
+    """Check that no member is declared dead if the network delivered a datagram of it in the last second."""
     begin, end = history.span(statement)
     deaths = [event for event in history.events if event.kind == EventKind.DEAD and begin <= event.at_s < end]
     wrong = []
@@ -251,6 +245,6 @@
     "served": _judge_served,
     "at-most": _judge_limit,
     "views-agree": _judge_views_agree,
-    "gone-known": _judge_removal_known,
+    "gone-known": _judge_killed_removed,
     "none-dead-that-answers": _judge_none_dead,
 }
--- a/anisespool/lab/live/timeline_svg.py
+++ b/anisespool/lab/live/timeline_svg.py
@@ -1,4 +1,4 @@
-"""A run of many processes as one picture: faults, what was served, outages and what members reported."""
+"""Draws a run of many processes as one picture: faults, served share, outages and reported events."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     OutageCause.FROZEN: "#7a8ba3",
     OutageCause.STARVED: "#c9a227",
 }
-MAX_ROWS = 60  # of members drawn; more share the picture's height
+MAX_ROWS = 60  # the picture grows with the members up to this number
 MIN_FAULT_WIDTH_S = 0.05
 TITLE_FONT = 9
 SMALL_FONT = 7
 
 
 class _Marker(NamedTuple):
-    """How an event of a member is drawn."""
+    """The marker that an event of a member is drawn with."""
 
     kind: EventKind
     color: str
@@ -43,7 +43,7 @@
 
 
 def render(history: History) -> str:
-    """Return the SVG's text, the same for the same history."""
+    """Return the picture as SVG. The same history always gives the same text."""
     matplotlib.rcParams["svg.hashsalt"] = "anisespool"
     fault_rows = max(1.0, 0.25 * len(history.faults()))
     member_rows = min(MAX_ROWS, len(history.outages)) * 0.11 + 0.6
@@ -55,7 +55,7 @@
     _draw_served(served, history)
     _draw_outages(members, history)
     _draw_events(members, history)
-    members.set_xlabel("seconds of the scenario")
+    members.set_xlabel("scenario time in s")
     members.set_xlim(0, history.scenario.seconds)
     output = io.StringIO()
     figure.savefig(output, format="svg", metadata={"Date": None})
@@ -70,14 +70,14 @@
         axes.barh(row, width, left=fault.begin_s, color=FAULT_COLOR, height=0.6)
     axes.set_yticks(range(len(faults)), [fault.description for fault in faults], fontsize=SMALL_FONT)
     axes.invert_yaxis()
-    axes.set_title("What was wrong", loc="left", fontsize=TITLE_FONT)
+    axes.set_title("Faults", loc="left", fontsize=TITLE_FONT)
 
 
 def _draw_served(axes: Any, history: History) -> None:
     shares = [sums.in_time / sums.requested if sums.requested else 0.0 for sums in history.served]
     axes.step(list(range(len(shares))), shares, where="post", color=SERVED_COLOR)
     axes.set_ylim(0, 1.05)
-    title = "Served in time, share of what was asked in that second"
+    title = "Share of requests served in time, by second"
     axes.set_title(title, loc="left", fontsize=TITLE_FONT)
 
 
@@ -88,7 +88,7 @@
             end = min(history.scenario.seconds, history.second(outage.end))
             axes.barh(member, end - begin, left=begin, color=OUTAGE_COLORS[outage.cause], height=0.8)
     axes.set_ylim(len(history.outages) - 0.4, -0.6)
-    title = "Members: silent (bars), what they told (marks)"
+    title = "Members: outages (bars) and reported events (marks)"
     axes.set_title(title, loc="left", fontsize=TITLE_FONT)
 
 
--- a/anisespool/lab/live/timing.py
+++ b/anisespool/lab/live/timing.py
@@ -1,4 +1,4 @@
-"""Times of a run on the machine's monotonic clock, and waits that are bounded."""
+"""The times of a run on the machine's monotonic clock, and bounded waits."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from anisespool.lab.model.backend import span_ns
 from anisespool.lab.scenario import SECOND, Scenario
 
-END_TIMEOUT_S = 10.0  # for all processes of a run to end
+END_TIMEOUT_S = 10.0  # time in which all processes of a run must end
 
 
 class RunSpan(NamedTuple):
-    """Moments of one run, in monotonic ns."""
+    """The begin and end of one run, in monotonic ns."""
 
     first: int
     """The run's first moment: its warm-up begins."""
@@ -33,7 +33,7 @@
         return cls(first, begin, end)
 
     def at(self, second: float) -> int:
-        """Return the moment of a second of the scenario's own time."""
+        """Convert a second of the scenario's own time to monotonic ns."""
         return self.begin + int(second * SECOND)
 
 
@@ -45,8 +45,8 @@
 async def wait_bounded(ending: Awaitable[Any]) -> None:
     """Await the end of processes for at most END_TIMEOUT_S.
 
-    A wait for a process that was cancelled half-way was seen to never return. What is left then is killed by
-    the run's supervisor.
+    In a run that was cancelled half-way, the wait for a process has been observed to never return. The run's
+    supervisor kills processes that are left.
     """
     with suppress(TimeoutError):
         async with asyncio.timeout(END_TIMEOUT_S):
--- a/anisespool/lab/live/wall_clock.py
+++ b/anisespool/lab/live/wall_clock.py
@@ -1,4 +1,4 @@
-"""The machine's clock in the form in which the model's code wants one, with the errors of what it calls."""
+"""The machine's clock with the interface of the model's clock. It records errors of its callbacks."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """Monotonic time, and timers on the running event loop."""
 
     def __init__(self) -> None:
-        self.rule_violation = ""  # the first rule that was seen to be broken
-        self.internal_error = ""  # the first error of this process's own
+        self.rule_violation = ""  # the first rule that was broken
+        self.internal_error = ""  # the first error of this process itself
         self._loop = asyncio.get_running_loop()
 
     @property
@@ -32,16 +32,16 @@
         self._loop.call_later(delay / 1e9, self.call, callback, arguments)
 
     def call(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        """Call `callback` now, and note the rule that it sees broken."""
+        """Call `callback` now, and record the rule whose violation it raises."""
         try:
             callback(*arguments)
         except RuleError as error:
             self.rule_violation = self.rule_violation or str(error)
 
     def handle_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Note an error that no callback or task handled (an event loop's exception handler).
+        """Record an error that no callback or task handled; serves as the event loop's exception handler.
 
-        A run with such an error gives no verdict. Connections that end are no error.
+        A run with such an error gives no verdict. The end of a connection is no error.
         """
         error = context.get("exception")
         if not isinstance(error, ConnectionError):
--- a/tests/lab/test_run_judgement.py
+++ b/tests/lab/test_run_judgement.py
@@ -102,7 +102,7 @@
 
 
 def test_a_run_whose_endpoints_were_late_is_void() -> None:
-    with pytest.raises(VoidError, match="stood still for 1500 ms"):
+    with pytest.raises(VoidError, match="stalled for 1500 ms, at most 1000 allowed"):
         judged(BackendReport(longest_stall_ns=1500 * MS))
 
 
