--- a/anisespool/lab/live/backend_messages.py
+++ b/anisespool/lab/live/backend_messages.py
@@ -58,7 +58,7 @@
     timeline: list[TimelineSample] = []
     links: LinkCounts = msgspec.field(default_factory=LinkCounts)
     datagrams: DatagramCounts = msgspec.field(default_factory=lambda: DatagramCounts([], []))
-    heard: list[DeliverySlot] = []
+    heard: list[DeliverySlot] = []  # delivery slots of all senders
     budget_peaks: list[BudgetPeak] = []
     arrival_count: int = 0
     arrivals: list[Arrival] = []
--- a/anisespool/lab/live/clients.py
+++ b/anisespool/lab/live/clients.py
@@ -37,7 +37,7 @@
         """Its outages and reported events."""
 
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
-        """Send a request; return none if no complete response came."""
+        """Send a request; return none if no complete response arrived."""
 
 
 class Clients:
--- a/anisespool/lab/live/datagram_network.py
+++ b/anisespool/lab/live/datagram_network.py
@@ -39,7 +39,7 @@
 
     @property
     def now(self) -> int:
-        """Monotonic ns."""
+        """The current time, monotonic ns."""
 
     def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
         """Call `callback` at `when`."""
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -88,7 +88,7 @@
         for sidecar, feed in enumerate(self._feeds):
             for endpoint in endpoints:
                 state = EndpointState.GONE if is_empty else endpoint.listed
-                self._note_state(feed, endpoint.id, state, endpoint.started)
+                self._record_state(feed, endpoint.id, state, endpoint.started)
             remaining: Iterable[Endpoint] = () if is_empty else listed(endpoints)
             feed.discovery.publish_all([self._build_entry(endpoint, sidecar) for endpoint in remaining])
 
@@ -118,7 +118,7 @@
                 return
             feed.pending.popleft()
             if self._watch_delay.takes(sidecar, update.revision):
-                self._note_state(feed, update.endpoint, update.state, update.started)
+                self._record_state(feed, update.endpoint, update.state, update.started)
                 feed.discovery.publish(update.entry)
 
     def _link_delay(self, sidecar: int, update: _Update, now: int) -> int:
@@ -128,7 +128,7 @@
         delay = self._links.stream(now, DISCOVERY, self._nodes[sidecar], UPDATE_BYTES, "lists")
         return delay if isinstance(delay, int) else 0
 
-    def _note_state(self, feed: _Feed, endpoint: int, state: EndpointState, started: int) -> None:
+    def _record_state(self, feed: _Feed, endpoint: int, state: EndpointState, started: int) -> None:
         if state is EndpointState.READY:
             feed.not_ready_since.pop(endpoint, None)
             feed.known_starts[endpoint] = started
--- a/anisespool/lab/live/wall_clock.py
+++ b/anisespool/lab/live/wall_clock.py
@@ -20,7 +20,7 @@
 
     @property
     def now(self) -> int:
-        """Monotonic ns."""
+        """The current time, monotonic ns."""
         return time.monotonic_ns()
 
     def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
--- a/tests/faults/test_connection_proxy.py
+++ b/tests/faults/test_connection_proxy.py
@@ -1,4 +1,4 @@
-"""The listeners before the endpoints, on real sockets: open, refusing, silent, always on the same port."""
+"""Listeners in front of endpoints, on real sockets: open, refusing or silent, always on the same port."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class UnusedHandler:
-    """Takes no requests: these tests send none that is complete."""
+    """Fails if it is called: these tests send no complete request."""
 
     def request_received(
         self, proxy: ConnectionProxy, connection: SidecarConnection, path: bytes, trace: bytes, is_first: bool
     ) -> InFlightAttempt | None:
-        raise AssertionError(f"found a request for {path!r}, wanted none")
+        raise AssertionError(f"the request for {path!r} was not expected")
 
     def connection_closed(self, attempt: InFlightAttempt) -> None:
-        raise AssertionError("found the end of an attempt, wanted none")
+        raise AssertionError("the end of an attempt was not expected")
 
 
 def closed_proxy() -> ConnectionProxy:
@@ -47,7 +47,7 @@
 
 
 async def connection_outcome(port: int) -> str:
-    """What becomes of a new connection."""
+    """The outcome of a new connection."""
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(HOST, port)
@@ -75,11 +75,11 @@
     proxy.close()
 
 
-async def test_a_connection_that_the_kernel_took_as_the_listener_was_shut_is_reset_when_it_opens() -> None:
-    """What was written to it during the cut must not look new after it."""
+async def test_a_connection_that_was_unaccepted_at_a_cut_is_reset_when_the_listener_reopens() -> None:
+    """Data that was written to it during the cut would otherwise look new after it."""
     proxy = closed_proxy()
     proxy.open()
-    sock = socket.create_connection((HOST, proxy.port))  # up, and not yet accepted here
+    sock = socket.create_connection((HOST, proxy.port))  # established, but not accepted by the listener
     proxy.shut(ListenerState.SILENT)
     sock.sendall(b"GET /late HTTP/1.1\r\n\r\n")
     proxy.open()
--- a/tests/faults/test_datagram_network.py
+++ b/tests/faults/test_datagram_network.py
@@ -22,20 +22,20 @@
 from anisespool.lab.scenario import SECOND, from_raw
 from tests.harness.waiting import wait_until
 
-ZONES = [0, 0, 1]  # of the network's three members
+ZONES = [0, 0, 1]  # zones of the three members
 RECEIVE_BUFFER_BYTES = 2**21
 DELAY_S = 0.03
 
 
 class Datagram(NamedTuple):
-    """As it was received."""
+    """A received datagram."""
 
     data: bytes
     source: Address
 
 
 class ThreeMembers:
-    """A network between three members, and plain sockets for these."""
+    """A network between three members, with a plain socket for each."""
 
     def __init__(self, links: list[dict[str, Any]]) -> None:
         scenario = from_raw({"links": [{"at_s": 0, "for_s": 600} | link for link in links]}, "x")
@@ -86,7 +86,7 @@
             stranger.sendto(b"who", network.peers[1].address)
         for data in (b"x" * 256, b"y" * 257, b""):
             members.send(0, 1, data)
-        members.send(0, 2, b"one way")  # cut in this one only
+        members.send(0, 2, b"one way")  # only this direction is cut
         members.send(2, 0, b"back")
         members.send(1, BROADCAST, b"all")
         await wait_until(lambda: [len(datagrams) for datagrams in received] == [2, 2, 1])
@@ -102,7 +102,7 @@
         assert network.socket_count == 4
 
 
-async def test_no_datagram_is_lost_but_by_a_link_and_a_delayed_one_comes_that_late() -> None:
+async def test_all_datagrams_arrive_and_a_link_delays_them() -> None:
     count = 600
     async with three_members({"from": "sidecar:0", "to": "sidecar:1", "delay_ms": 1000 * DELAY_S}) as members:
         sent_at = time.monotonic()
@@ -112,29 +112,29 @@
             if number % 50 == 0:
                 await asyncio.sleep(0)
         await wait_until(lambda: len(members.received[1]) == 2 * count)
-        assert time.monotonic() - sent_at >= DELAY_S  # how much later is for the benchmark
+        assert time.monotonic() - sent_at >= DELAY_S  # the benchmark measures how much later
         delayed = {b"%d" % number for number in range(count)}
         direct = {b"z%d" % number for number in range(count)}
         assert {datagram.data for datagram in members.received[1]} == delayed | direct
 
 
-async def test_the_log_of_who_was_heard_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_delivery_log_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(datagram_network, "MAX_SLOTS", 5)
     async with three_members() as members:
         assert members.network.delivery_slots.maxlen == 5
 
 
 class ManualClock:
-    """Stands still until a test moves it."""
+    """A clock that stands still until a test sets it."""
 
     def __init__(self) -> None:
         self.now = 100 * SECOND
 
     def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
-        raise AssertionError("found a timer, wanted none")
+        raise AssertionError("the timer was not expected")
 
 
-def test_the_budget_server_counts_what_is_reserved_at_one_moment() -> None:
+def test_the_budget_server_records_peaks_of_simultaneous_reservations() -> None:
     clock = ManualClock()
     server = BudgetServer(clock)
     for at_s, member, units in ((0, 1, 30), (0.01, 2, 40), (0.1, 1, 10), (0.25, 3, 5)):
--- a/tests/faults/test_live_faults.py
+++ b/tests/faults/test_live_faults.py
@@ -1,4 +1,4 @@
-"""Faults of processes, machines and links in runs with real processes, and the command that plays them."""
+"""Faults of processes, machines and links in runs with real processes, and the command that runs them."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
     "traffic": {"per_s": 60},
     "endpoints": [{"count": 2}, {"zone": 1}],
 }
-PROCESS_FAULTS = ("descriptors", "memory", "clock", "starve")  # of sidecar 0, 1, 2 and 3
+PROCESS_FAULTS = ("descriptors", "memory", "clock", "starve")  # one for each of sidecars 0 to 3
 EXTRA_DESCRIPTORS = 4
-MAX_CLOSED_MEANWHILE = 12  # descriptors, between the moment of the limit and that of the look
+MAX_CLOSED_MEANWHILE = 12  # descriptors closed between setting the limit and counting them
 
 
 @dataclass(frozen=True)
 class Descriptors:
-    """How many files a process may have open, and has."""
+    """The limit on a process's open files, and how many are open."""
 
     limit: int
     open: int
 
     @property
     def is_at_limit(self) -> bool:
-        """Whether it has about as many as it may."""
+        """Whether the number of open files is at the limit, or just below it."""
         return self.limit - MAX_CLOSED_MEANWHILE < self.open <= self.limit
 
     @classmethod
@@ -54,12 +54,12 @@
 
 
 def arrivals_between(history: History, begin_s: float, end_s: float) -> list[Arrival]:
-    """Those that endpoints received in that span."""
+    """Requests that endpoints received in the span."""
     return [arrival for arrival in history.arrivals if begin_s < history.second(arrival.received_at) < end_s]
 
 
 def delivered_between(history: History, begin_s: float, end_s: float) -> list[Arrival]:
-    """Those that the network delivered in that span."""
+    """Requests that the network delivered in the span."""
     return [arrival for arrival in history.arrivals if begin_s < history.second(arrival.delivered_at) < end_s]
 
 
@@ -76,7 +76,7 @@
     assert any(line.get("fault") == "starve" for line in lines)
 
 
-async def test_processes_are_limited_shifted_in_time_starved_and_cut_off_by_a_call(tmp_path: Path) -> None:
+async def test_processes_are_limited_clock_shifted_starved_and_cut_off(tmp_path: Path) -> None:
     faults = [
         {
             "kind": kind,
@@ -89,27 +89,29 @@
         for sidecar, kind in enumerate(PROCESS_FAULTS)
     ]
     changes = {"sidecars": 4, "troubles": faults, "membership": {"delay_s": [0, 0.1]}}
-    made = from_raw(SMALL | changes, "x")
+    parsed = from_raw(SMALL | changes, "x")
     seen: list[Descriptors] = []
 
-    async def look_and_cut(run: RunHandle) -> None:
+    async def inspect_and_cut(run: RunHandle) -> None:
         await run.until(1.0)
-        seen.clear()  # of a run that was void
+        seen.clear()  # drops the entries of a void run
         seen.append(Descriptors.of(run.members[0].pid))
         run.add_link({"at_s": 0, "for_s": 0.8, "from": "sidecar:1", "to": "endpoints", "cut": "refused"})
 
-    result = await play_undisturbed(partial(live_run.play, made, 2, control=True, during_run=look_and_cut))
+    result = await play_undisturbed(
+        partial(live_run.play, parsed, 2, control=True, during_run=inspect_and_cut)
+    )
     assert not result.broken
     assert [descriptors.is_at_limit for descriptors in seen] == [True], seen
     assert result.accounts[3].outages[0].cause is OutageCause.STARVED
-    history = join(made, result)
+    history = join(parsed, result)
     assert not any(arrival.sidecar == 1 for arrival in arrivals_between(history, 1.3, 1.7))
-    assert any(arrival.sidecar == 1 for arrival in arrivals_between(history, 2.2, made.seconds + 1))
+    assert any(arrival.sidecar == 1 for arrival in arrivals_between(history, 2.2, parsed.seconds + 1))
     assert_drawn_the_same_each_time(history)
     assert_written_in_order(history, tmp_path / "history")
 
 
-async def test_machines_vanish_are_replaced_or_cut_off_and_answers_are_lost() -> None:
+async def test_machines_vanish_are_replaced_or_cut_off_and_responses_are_lost() -> None:
     faults = [
         {"kind": "vanish", "endpoints": [0], "at_s": 0.5, "for_s": 1},
         {"kind": "replace", "endpoints": [1], "at_s": 1, "for_s": 0.6},
@@ -122,21 +124,21 @@
         "rules": {"cold_s": 2},
         "membership": {"delay_s": [0.05, 0.1]},
     }
-    made = from_raw(SMALL | changes, "x")
-    result = await play_undisturbed(partial(live_run.play, made, 6, control=True))
+    parsed = from_raw(SMALL | changes, "x")
+    result = await play_undisturbed(partial(live_run.play, parsed, 6, control=True))
     assert not result.broken
-    history = join(made, result)
+    history = join(parsed, result)
     replaced, replacement = 1, 3
     assert any(arrival.endpoint == replacement for arrival in delivered_between(history, 1, 4.5))
     assert not any(arrival.endpoint == replaced for arrival in delivered_between(history, 2, 4.5))
-    zones = made.places()
+    zones = parsed.places()
     assert not any(
         (arrival.zone == 1) != (zones[arrival.sidecar] == 1)
         for arrival in delivered_between(history, 2.3, 2.9)
     )
 
 
-def test_what_a_member_reports_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_events_of_a_member_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(process_account, "MAX_EVENTS", 5)
     account = ProcessAccount()
     for moment in range(4):
@@ -151,9 +153,9 @@
     monkeypatch: pytest.MonkeyPatch
     capsys: pytest.CaptureFixture[str]
 
-    def run(self, *words: str) -> tuple[int, str]:
-        """The exit status, and all that was printed, on one line."""
-        self.monkeypatch.setattr("sys.argv", ["anisespool", "lab", "fleet", *words])
+    def run(self, *arguments: str) -> tuple[int, str]:
+        """Run the command with these arguments; return its exit status, and all output on one line."""
+        self.monkeypatch.setattr("sys.argv", ["anisespool", "lab", "fleet", *arguments])
         status = main()
         out, err = self.capsys.readouterr()
         return status, " ".join((out + err).split())
@@ -165,7 +167,7 @@
 
 
 def write_scenario(folder: Path, wanted_share: float) -> str:
-    """A small fleet, with a statement on the share that is served in time."""
+    """Write a scenario of a small fleet with a statement on the share served in time; return its path."""
     path = folder / "small.toml"
     path.write_text(
         "seconds = 1.5\nwarm_s = 0.5\nsidecars = 2\n[traffic]\nper_s = 40\n"
@@ -195,12 +197,12 @@
 @pytest.mark.parametrize(
     ("share", "options", "text"),
     [
-        (1.1, [], "share"),  # no share is over 1
+        (1.1, [], "share"),  # above the maximum of 1
         (0.5, ["--spoilt", "nothing"], "no break 'nothing', there are sound"),
         (0.5, ["--sidecars", "201"], "found 201, wanted at most 200"),
     ],
 )
-def test_lab_fleet_rejects_what_cannot_be_run(
+def test_lab_fleet_rejects_invalid_input(
     fleet: FleetCommand, tmp_path: Path, share: float, options: list[str], text: str
 ) -> None:
     status, printed = fleet.run(write_scenario(tmp_path, share), *options)
@@ -215,10 +217,10 @@
         ({"links": [{"at_s": 0, "for_s": 0}]}, "for_s"),
     ],
 )
-def test_a_wrong_scenario_of_a_fleet_is_rejected(raw: dict[str, Any], text: str) -> None:
+def test_an_invalid_fleet_scenario_is_rejected(raw: dict[str, Any], text: str) -> None:
     with pytest.raises(ScenarioError, match=text):
         from_raw(raw, "x")
 
 
-def test_the_librarys_gossip_scenario_plays_gossip_processes() -> None:
+def test_the_fleet_talk_scenario_runs_gossip_processes() -> None:
     assert scenario.load("fleet-talk").plays == "talkers"
--- a/tests/faults/test_membership.py
+++ b/tests/faults/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership among real sidecars with faults between them, judged by the network and by members' views."""
+"""Membership of real sidecars with faults between them, judged by the network and by members' views."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 SEED = 3
 AT_ONCE = 6
-MIN_DELIVERED = 500  # datagrams: a run with fewer shows nothing
+MIN_DELIVERED = 500  # a run with fewer delivered datagrams proves nothing
 UDP_PAYLOAD_MARKER = 0xA5  # the first byte of a datagram of the protocol
 BASE: dict[str, Any] = {
     "seconds": 11,
@@ -46,8 +46,8 @@
 NONE_DEAD: dict[str, Any] = {"says": "none-dead-that-answers"}
 VIEWS_AGREE: dict[str, Any] = {"says": "views-agree", "of": "members"}
 GOSSIP_LINK: dict[str, Any] = {"carries": "talk", "at_s": 0.5}
-LONG_FREEZE = "frozen for long, and back"
-ROLLING_RESTART = "all restart in order"
+LONG_FREEZE = "frozen for longer than the suspicion time"
+ROLLING_RESTART = "rolling restart"
 CASES: dict[str, dict[str, Any]] = {
     "no fault": {"statements": [NONE_DEAD, VIEWS_AGREE]},
     "one path is cut in one direction": {
@@ -58,7 +58,7 @@
         "links": [GOSSIP_LINK | {"for_s": 1.2, "from": "all", "to": "sidecar:4", "cut": "silent"}],
         "statements": [NONE_DEAD, VIEWS_AGREE | {"from_s": 6}],
     },
-    "a zone is cut off and back": {
+    "a zone is cut off for a while": {
         "links": [
             GOSSIP_LINK | {"for_s": 5, "from": "zone:1", "to": "!zone:1", "both": True, "cut": "silent"}
         ],
@@ -87,7 +87,7 @@
         "troubles": [{"kind": "down", "sidecars": [1, 7], "at_s": 1, "for_s": 99}],
         "statements": [{"says": "gone-known", "from_s": 6}, VIEWS_AGREE | {"from_s": 6}],
     },
-    "one is killed and back at once": {
+    "one is killed and restarts at once": {
         "troubles": [{"kind": "down", "sidecars": [6], "at_s": 1, "for_s": 0.5}],
         "statements": [NONE_DEAD | {"from_s": 2}, VIEWS_AGREE | {"from_s": 8}],
     },
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class MembershipRun:
-    """A run, and what its members reported."""
+    """The result of a run, and its history."""
 
     result: LiveRunResult
     history: History
@@ -118,7 +118,7 @@
 
 @pytest.fixture(scope="module")
 def runs() -> Mapping[str, MembershipRun]:
-    """All runs by the name of their case, some played at a time."""
+    """All runs by the name of their case, a few at a time."""
     print(f"seed {SEED}")
     plays = [partial(play, case) for case in CASES.values()]
     return dict(zip(CASES, asyncio.run(play_all(plays, AT_ONCE)), strict=True))
@@ -135,7 +135,7 @@
     assert not datagrams.oversized
 
 
-def test_a_member_that_was_frozen_reports_a_pause_and_was_declared_dead(
+def test_a_frozen_member_is_declared_dead_and_reports_its_pause(
     runs: Mapping[str, MembershipRun],
 ) -> None:
     events = runs[LONG_FREEZE].history.events
@@ -143,7 +143,7 @@
     assert any(event.kind == "dead" and event.fields["member"] == 2 for event in events)
 
 
-def test_members_that_restart_in_order_leave_and_are_not_declared_dead(
+def test_members_in_a_rolling_restart_leave_and_are_not_declared_dead(
     runs: Mapping[str, MembershipRun],
 ) -> None:
     events = runs[ROLLING_RESTART].history.events
@@ -157,12 +157,12 @@
     return sidecar
 
 
-async def test_where_the_settings_forbid_gossip_nothing_of_it_is_loaded() -> None:
-    """The operator's file asks for it."""
-    looked = False
+async def test_membership_is_not_loaded_if_the_settings_forbid_it() -> None:
+    """The operator's file enables it."""
+    inspected = False
 
-    async def look(run: RunHandle) -> None:
-        nonlocal looked
+    async def inspect(run: RunHandle) -> None:
+        nonlocal inspected
         sidecar = first_sidecar(run)
         assert "membership_disabled setting=allowed.peers" in sidecar.log_path.read_text()
         udp_sockets = Path(f"/proc/{sidecar.pid}/net/udp").read_text()
@@ -171,37 +171,37 @@
         status, answer = await control_client.call(sidecar.control_socket, "/v1/peers")
         assert status == 404
         assert answer["error"]["code"] == "unknown-verb"
-        looked = True
+        inspected = True
 
     scenario = from_raw(
         BASE | {"seconds": 1, "warm_s": 0.2, "sidecars": 1, "talk": False, "peers": True}, "x"
     )
-    result = await play_undisturbed(partial(live_run.play, scenario, 1, control=True, during_run=look))
-    assert looked
+    result = await play_undisturbed(partial(live_run.play, scenario, 1, control=True, during_run=inspect))
+    assert inspected
     assert result.backend.datagrams.sent == [0]
 
 
-async def start_command(*words: str) -> asyncio.subprocess.Process:
+async def start_command(*arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "anisespool",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         env=os.environ | {"COLUMNS": "200"},
     )
 
 
-async def run_command(*words: str) -> tuple[int | None, str]:
-    """The exit status and standard output of `anisespool` with these arguments."""
-    process = await start_command(*words)
+async def run_command(*arguments: str) -> tuple[int | None, str]:
+    """Run `anisespool` with these arguments; return its exit status and standard output."""
+    process = await start_command(*arguments)
     output, _ = await process.communicate()
     return process.returncode, output.decode()
 
 
 @asynccontextmanager
 async def running_agent(sidecar: SidecarProcess) -> AsyncIterator[str]:
-    """An agent of all sidecars of the run; its configuration file."""
+    """Run an agent of all sidecars of the run; yield the path of its configuration file."""
     assert sidecar.control_socket
     sockets = sidecar.control_socket.parent
     state = sockets.parent / "state"
@@ -218,13 +218,13 @@
 
 
 async def test_the_matrix_shows_who_sees_whom_and_a_path_that_is_cut() -> None:
-    """Through control sockets, agent and command."""
+    """The views pass through control sockets, the agent and the command."""
     printed: list[tuple[int | None, str]] = []
 
     async def call_commands(run: RunHandle) -> None:
         async with running_agent(first_sidecar(run)) as file:
             await run.until(2.5)  # every other member has been probed since the cut
-            printed.clear()  # of a run that was void
+            printed.clear()  # drops the output of a void run
             printed.append(await run_command("peers", "--config", file))
             printed.append(await run_command("peers", "--config", file, "--json"))
 
@@ -247,7 +247,7 @@
     assert marks[2] == "..o."
 
 
-def test_marks_show_every_state() -> None:
+def test_member_marks_show_every_state() -> None:
     view = parse_view(PEERS, MembershipView, "a")
     assert membership_matrix.member_marks(view) == "./o?x- "
 
@@ -272,10 +272,10 @@
     return "{}:{}".format(*sock.getsockname())
 
 
-async def test_an_address_that_the_previous_process_still_has_is_waited_for(
+async def test_the_service_waits_for_an_address_that_the_previous_process_still_holds(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """At a restart the old process may have it a moment longer: no request waits for that."""
+    """At a restart the old process may hold the address a moment longer; no request waits for it."""
     with bound_udp_socket() as previous, bound_udp_socket() as peer:
         path = tmp_path / "config.json"
         listen = address_of(previous)
--- a/tests/faults/test_mutations.py
+++ b/tests/faults/test_mutations.py
@@ -1,7 +1,7 @@
-"""Several processes, faults between them, deliberate breaks: a rig that finds none of these finds nothing.
+"""Runs with several processes and faults between them detect deliberate breaks of the program.
 
-Each mutation is run for the same seconds as the program without one, which must keep every rule and
-statement. The verdicts, not the figures, are asserted; they are the same every time.
+Each mutation runs in the same scenario as the unchanged program, which must keep every rule and statement.
+The tests assert verdicts, which are the same every time, and not figures.
 """
 
 from __future__ import annotations
@@ -70,9 +70,9 @@
 }
 UNCHANGED_SIDECAR = "sound"
 UNCHANGED_GOSSIP = "sound talk"
-EXPECTED_VIOLATIONS = {  # what each mutation must be found by, of the rules or of the statements
+EXPECTED_VIOLATIONS = {  # the rule or statement that must detect each mutation
     "resends-unsafe": r"rule 2: wish \d+ ran twice",
-    "refuses-risky": r"rule 2: wish \d+ (was refused, and had run|ran twice)",  # its client sends it again
+    "refuses-risky": r"rule 2: wish \d+ (was refused, and had run|ran twice)",  # the client retries it
     "ignores-drains": r"rule 3: \d+ requests",
     "keeps-first-list": r"rule 3: \d+ requests",
     "sends-what-was-given-up": r"rule 1: wish \d+ was sent on \d+ ms after its client gave up",
@@ -91,20 +91,20 @@
 
 @dataclass(frozen=True)
 class JudgedRun:
-    """A run, and the rules and statements that it broke."""
+    """The result and history of a run, and the rules and statements that it broke."""
 
     result: LiveRunResult
     history: History
     violations: str
 
 
-def test_every_mutation_is_run_here() -> None:
+def test_every_mutation_has_an_expected_violation() -> None:
     assert {*MUTATIONS, *gossip_process.MUTATIONS[1:], UNCHANGED_GOSSIP} == set(EXPECTED_VIOLATIONS)
 
 
 @pytest.fixture(scope="module")
 def runs() -> Mapping[str, JudgedRun]:
-    """All runs by the name of their mutation, some played at a time."""
+    """All runs by the name of their mutation, a few at a time."""
     print(f"seed {SEED}")
     scenarios = [scenario_of(name) for name in EXPECTED_VIOLATIONS]
     plays = [
@@ -123,7 +123,7 @@
 
 
 def scenario_of(mutation: str) -> Scenario:
-    """The scenario of the processes that know the mutation."""
+    """The scenario for the kind of process that supports the mutation."""
     if mutation in gossip_process.MUTATIONS or mutation == UNCHANGED_GOSSIP:
         return from_raw(GOSSIP_SCENARIO, "gossip")
     return from_raw(SIDECAR_SCENARIO, "sidecars")
@@ -137,11 +137,11 @@
 
 
 @pytest.mark.parametrize("name", sorted(EXPECTED_VIOLATIONS))
-def test_a_mutation_is_found_and_the_unchanged_program_breaks_nothing(
+def test_mutations_are_detected_and_the_unchanged_program_breaks_nothing(
     name: str, runs: Mapping[str, JudgedRun]
 ) -> None:
     violations = runs[name].violations
-    assert re.search(EXPECTED_VIOLATIONS[name], violations), violations or "nothing was found"
+    assert re.search(EXPECTED_VIOLATIONS[name], violations), violations or "no violation"
 
 
 def test_the_unchanged_sidecars_had_requests_and_reported_that_they_were_frozen(
@@ -154,7 +154,7 @@
     assert {event.member for event in run.history.events if event.kind == "stalled"} >= {0, 1}
 
 
-def test_the_unchanged_gossip_processes_met_the_cut_links_and_declared_the_killed_one_dead(
+def test_the_unchanged_gossip_processes_lost_datagrams_to_cuts_and_declared_the_killed_member_dead(
     runs: Mapping[str, JudgedRun],
 ) -> None:
     run = runs[UNCHANGED_GOSSIP]
--- a/tests/faults/test_process_supervisor.py
+++ b/tests/faults/test_process_supervisor.py
@@ -1,4 +1,4 @@
-"""Whatever becomes of a run, its processes end, and no others."""
+"""All processes of a run end with it, however it ends, and no others do."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 at_s = 0.0
 for_s = 50.0
 """
-CHILDREN = 5  # of a run: supervisor, endpoints, three sidecars
-PARENT_FIELD = 1  # of /proc/PID/stat, counted from the one after the command's name
+CHILDREN = 5  # supervisor, endpoints and three sidecars
+PARENT_FIELD = 1  # index in /proc/PID/stat, counted from the field after the command's name
 STATE_FIELD = 0
 
 
 def children_of(parent: int) -> list[int]:
-    """The processes that a process has started and that still run."""
+    """The child processes of a process that still run."""
     children = []
     for folder in Path("/proc").iterdir():
         if not folder.name.isdigit():
@@ -54,12 +54,12 @@
     return supervisor
 
 
-async def test_nothing_is_left_behind_when_the_run_itself_is_killed(tmp_path: Path) -> None:
+async def test_no_process_is_left_when_the_run_itself_is_killed(tmp_path: Path) -> None:
     scenario = tmp_path / "long.toml"
     scenario.write_text(LONG_SCENARIO)
     command = (sys.executable, "-m", "anisespool", "lab", "fleet", str(scenario), "--json")
     run = await asyncio.create_subprocess_exec(*command)
-    await wait_until(lambda: len(children_of(run.pid)) == CHILDREN)  # the last sidecar has just begun
+    await wait_until(lambda: len(children_of(run.pid)) == CHILDREN)  # the last sidecar has just started
     supervisor = find_supervisor(run.pid)
     mark = command_of(supervisor)[-1]
     assert len(marked_processes(mark)) == CHILDREN - 1
@@ -70,7 +70,7 @@
     await wait_until(lambda: not Path(f"/proc/{supervisor}/exe").exists())
 
 
-def test_a_supervisor_kills_its_own_processes_alone() -> None:
+def test_a_supervisor_kills_only_its_own_processes() -> None:
     own, other = ProcessSupervisor(), ProcessSupervisor()
     own_process = subprocess.Popen(["sleep", "60"], env=own.env)
     other_process = subprocess.Popen(["sleep", "60"], env=other.env)
--- a/tests/lab/live_results.py
+++ b/tests/lab/live_results.py
@@ -10,7 +10,7 @@
 
 
 def one_class_scenario(**class_options: Any) -> Scenario:
-    """A scenario with one class of requests, of which clients make up to three attempts."""
+    """A scenario with one request class, whose clients make up to three attempts."""
     clients = {"tries": 3, "backoff_ms": 1}
     return from_raw({"warm_s": 0, "classes": [{"name": "x"} | class_options], "clients": clients}, "one")
 
--- a/tests/lab/test_live_clients.py
+++ b/tests/lab/test_live_clients.py
@@ -1,4 +1,4 @@
-"""The clients of runs with real processes: attempts, retries, and what they hold against a sidecar."""
+"""Clients of runs with real processes: attempts, retries, and the violations that they record."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ScriptedSidecar:
-    """Answers each request with the next response of a list; the last one again and again."""
+    """Returns the next response of a list for each request, and repeats the last one."""
 
     def __init__(self, *responses: ClientResponse) -> None:
         self.up = True
@@ -42,8 +42,8 @@
     )
 
 
-OWN = ClientResponse(200, is_own=True)
-ANOTHERS = ClientResponse(200, is_own=False)
+OWN_BODY = ClientResponse(200, is_own=True)
+OTHER_BODY = ClientResponse(200, is_own=False)
 FAILED = ClientResponse(502)
 REJECTED = ClientResponse(503)
 REJECTED_WITH_RETRY_AFTER = ClientResponse(503, retry_after_s=0.01)
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class ClientCase:
-    """Responses of a sidecar, and what its client makes of them."""
+    """Responses of a sidecar, and the expected behavior of its client."""
 
     name: str
     effect: str
@@ -64,23 +64,23 @@
 @pytest.mark.parametrize(
     "case",
     [
-        ClientCase("succeeds", "once", [OWN], 1, "in_time"),
+        ClientCase("success", "once", [OWN_BODY], 1, "in_time"),
         ClientCase(
-            "gets the body of another",
+            "body of another request",
             "once",
-            [ANOTHERS],
+            [OTHER_BODY],
             1,
             "in_time",
             "rule 1: wish 1 was answered with another's body",
         ),
-        ClientCase("retries what was rejected", "once", [REJECTED_WITH_RETRY_AFTER, OWN], 2, "in_time"),
-        ClientCase("retries nothing that may have run", "once", [FAILED], 1, "failed"),
-        ClientCase("retries what is idempotent", "repeatable", [FAILED, OWN], 2, "in_time"),
-        ClientCase("gives up after its last attempt", "once", [REJECTED] * 3, 3, "refused"),
+        ClientCase("rejection is retried", "once", [REJECTED_WITH_RETRY_AFTER, OWN_BODY], 2, "in_time"),
+        ClientCase("possibly executed request is not retried", "once", [FAILED], 1, "failed"),
+        ClientCase("idempotent request is retried", "repeatable", [FAILED, OWN_BODY], 2, "in_time"),
+        ClientCase("rejection of the last attempt", "once", [REJECTED] * 3, 3, "refused"),
     ],
     ids=lambda case: case.name,
 )
-def test_clients_retry_as_the_models_do(case: ClientCase) -> None:
+def test_clients_retry_safe_attempts_and_judge_responses(case: ClientCase) -> None:
     scenario = one_class_scenario(effect=case.effect)
     sidecar = ScriptedSidecar(*case.responses)
     result = empty_result(scenario)
@@ -98,8 +98,8 @@
     time.sleep(seconds)
 
 
-class UnansweringSidecar(ScriptedSidecar):
-    """Blocks the event loop past the request's deadline, or only keeps it waiting."""
+class SilentSidecar(ScriptedSidecar):
+    """Sends no response before the deadline. With `blocks_loop` it also blocks the event loop past it."""
 
     def __init__(self, blocks_loop: bool) -> None:
         super().__init__()
@@ -108,20 +108,20 @@
     async def request(self, data: bytes, trace: bytes) -> ClientResponse | None:
         await asyncio.sleep(0.05)
         if self._blocks_loop:
-            block_event_loop(0.3)  # a real response would lie in the socket meanwhile
+            block_event_loop(0.3)  # a real response would wait unread in the socket
         await asyncio.sleep(10)
-        return OWN
+        return OWN_BODY
 
 
 @pytest.mark.parametrize(
     ("blocks_loop", "broken"), [(True, ""), (False, "rule 1: wish 1 was not answered in time")]
 )
-def test_a_response_that_the_clients_process_read_too_late_is_not_held_against_a_sidecar(
+def test_a_missing_response_is_excused_if_the_clients_event_loop_stalled(
     blocks_loop: bool, broken: str
 ) -> None:
-    """Seen once among some three hundred sidecars that restarted in order, six runs in one process."""
+    """Observed once in rolling restarts of some three hundred sidecars, with six runs in one process."""
     scenario = one_class_scenario(deadline_ms=100, target_ms=100)
     result = empty_result(scenario)
-    clients = Clients(scenario, [UnansweringSidecar(blocks_loop)], result)
+    clients = Clients(scenario, [SilentSidecar(blocks_loop)], result)
     asyncio.run(clients.run([client_request()], time.monotonic_ns()))
     assert (result.broken, result.excused) == (broken, int(blocks_loop))
--- a/tests/lab/test_live_run.py
+++ b/tests/lab/test_live_run.py
@@ -1,4 +1,4 @@
-"""Runs with real processes: the model's requests, rules judged by counts, runs that are void."""
+"""Runs with real processes: rules kept under faults, the model's requests, and the `lab` commands."""
 
 from __future__ import annotations
 
@@ -57,18 +57,18 @@
     result = asyncio.run(play_undisturbed(partial(live_run.play, scenario, 3, control=True)))
     assert (world.broken, result.broken) == ("", "")
     requested = sum(result.metrics.requested.values())
-    assert requested > 400  # in the model a killed sidecar is back at once
+    assert requested > 400  # the model restarts a killed sidecar at once
     assert requested + result.skipped == sum(model.requested.values())
     assert result.metrics.attempts >= requested * 0.8
     assert len(result.backend.timeline) > 10
     assert len(result.backend.utilization) == 5
-    for class_index in (0, 1):  # not how well, which is for the benchmark: that most came through
+    for class_index in (0, 1):  # over half of them; the benchmark measures how many
         in_time = result.metrics.ended[class_index, "in_time"]
         assert in_time > result.metrics.requested[class_index] / 2
 
 
 def drawn(client_request: ClientRequest, first: int = 0) -> tuple[int, int, int, int]:
-    """What of a request was drawn, with its arrival counted from `first`."""
+    """The random values of a request, with its arrival counted from `first`."""
     return (
         client_request.arrived_at - first,
         client_request.class_index,
@@ -105,7 +105,7 @@
     assert text in str(error.value)
 
 
-def test_a_report_is_one_file_without_outside_parts_and_the_same_each_time() -> None:
+def test_a_report_is_self_contained_and_reproducible() -> None:
     scenario = from_raw(BUSY | {"asks": "Is <this> escaped?"}, "busy")
     runs = [
         experiments.run_with_timeline(Case(policy, scenario, policy, 1)) for policy in ("ours", "least-open")
@@ -129,9 +129,9 @@
     monkeypatch: pytest.MonkeyPatch
     capsys: pytest.CaptureFixture[str]
 
-    def run(self, *words: str) -> tuple[int, str]:
-        """The exit status, and all that was printed."""
-        self.monkeypatch.setattr("sys.argv", ["anisespool", "lab", *words])
+    def run(self, *arguments: str) -> tuple[int, str]:
+        """Run the command with these arguments; return its exit status and all output."""
+        self.monkeypatch.setattr("sys.argv", ["anisespool", "lab", *arguments])
         status = main()
         out, err = self.capsys.readouterr()
         return status, out + err
--- a/tests/lab/test_run_judgement.py
+++ b/tests/lab/test_run_judgement.py
@@ -17,7 +17,7 @@
 
 
 def arrival(**changes: int) -> Arrival:
-    """An arrival that breaks no rule, with changes."""
+    """An arrival that breaks no rule, unless `changes` to its fields do."""
     usual = Arrival(
         received_at=50 * SECOND,
         sidecar=0,
@@ -36,7 +36,7 @@
 def judged(
     backend: BackendReport, unsafe_rejections: Sequence[int] = (), account: ProcessAccount | None = None
 ) -> LiveRunResult:
-    """A run of one sidecar, judged by the endpoints' report."""
+    """The result of a run of one sidecar, judged by the endpoints' report."""
     result = empty_result()
     judge_run(result, backend, [account or ProcessAccount()], unsafe_rejections)
     return result
@@ -49,7 +49,7 @@
         (BackendReport(executions={7: 1}), [8], ""),
         (BackendReport(executions={7: 1}), [7], "rule 2: wish 7 was refused, and had run"),
         (BackendReport(arrivals=[arrival(drain_deadline=49 * SECOND)] * 2), [], "rule 3: 2 requests"),
-        (BackendReport(arrivals=[arrival(drain_deadline=50 * SECOND)]), [], ""),  # at its very end
+        (BackendReport(arrivals=[arrival(drain_deadline=50 * SECOND)]), [], ""),  # exactly at the deadline
         (
             BackendReport(arrivals=[arrival(deadline=50 * SECOND - 251 * MS)]),
             [],
@@ -72,28 +72,30 @@
 
 
 def account_of_outage(cause: str, until: int) -> ProcessAccount:
-    """Of a sidecar that did not run for 3 s until then: by the run's hand, or by its own report."""
+    """The account of a sidecar that did not run for the 3 s before `until`: frozen, or by its own report."""
     if cause == "frozen":
         return ProcessAccount(outages=[Outage(until - 3 * SECOND, until, OutageCause.FROZEN)])
     return ProcessAccount(events=[ReportedEvent(until, cause, {"ms": 3000})])
 
 
 SENT_AFTER_DRAIN = arrival(drain_deadline=49 * SECOND)
-LAY_UNREAD = arrival(started_at=48 * SECOND, deadline=49 * SECOND)
-READ_BEFORE_OUTAGE = arrival(started_at=46 * SECOND, deadline=47 * SECOND)  # it knows how late it is
+WAITED_UNREAD = arrival(started_at=48 * SECOND, deadline=49 * SECOND)
+READ_BEFORE_OUTAGE = arrival(
+    started_at=46 * SECOND, deadline=47 * SECOND
+)  # the sidecar has read its deadline
 
 
 @pytest.mark.parametrize("cause", ["frozen", "stalled"])
 @pytest.mark.parametrize(
     ("until", "arrivals", "excused"),
     [
-        (50 * SECOND - MS, [SENT_AFTER_DRAIN, LAY_UNREAD], 2),
-        (40 * SECOND, [SENT_AFTER_DRAIN, LAY_UNREAD], 0),
+        (50 * SECOND - MS, [SENT_AFTER_DRAIN, WAITED_UNREAD], 2),
+        (40 * SECOND, [SENT_AFTER_DRAIN, WAITED_UNREAD], 0),
         (50 * SECOND - MS, [READ_BEFORE_OUTAGE], 0),
     ],
     ids=["in the outage", "long after it", "read before it"],
 )
-def test_a_sidecar_that_could_not_run_is_excused_for_that_time_alone(
+def test_a_sidecar_is_excused_only_for_the_time_of_its_outage(
     cause: str, until: int, arrivals: list[Arrival], excused: int
 ) -> None:
     result = judged(BackendReport(arrivals=arrivals), account=account_of_outage(cause, until))
@@ -113,6 +115,6 @@
         judge_run(result, BackendReport(), [], [])
 
 
-def test_an_error_of_the_endpoints_process_is_no_verdict() -> None:
+def test_an_error_of_the_endpoints_process_is_raised() -> None:
     with pytest.raises(RuntimeError, match="the endpoints' process failed: KeyError"):
         judged(BackendReport(internal_error="KeyError('x')"))
--- a/tests/lab/test_statements.py
+++ b/tests/lab/test_statements.py
@@ -1,4 +1,4 @@
-"""Each statement about a fleet can hold, can fail, and takes nothing for a proof that shows nothing."""
+"""Each statement about a fleet can hold and can fail, and does not hold without evidence."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
         "endpoints": [{"zone": 0}, {"zone": 1}],
         "statements": [statement],
     }
-    made = History(from_raw(raw, "x"), begin=BEGIN, outages=[[] for _ in range(MEMBERS)])
+    built = History(from_raw(raw, "x"), begin=BEGIN, outages=[[] for _ in range(MEMBERS)])
     for key, value in contents.items():
-        setattr(made, key, value)
-    return made
+        setattr(built, key, value)
+    return built
 
 
 def arrival(second: float, sidecar: int, zone: int) -> Arrival:
@@ -53,7 +53,7 @@
 
 
 def views(*rows: tuple[float, int, str]) -> list[MemberEvent]:
-    """Reported as `list` and as `view` alike: a statement says which it means."""
+    """Events of both kinds, `list` and `view`; a statement uses one of them."""
     kinds = ("list", "view")
     return [
         MemberEvent(second, member, kind, {"view": view}) for second, member, view in rows for kind in kinds
@@ -86,37 +86,37 @@
 
 CASES = [
     Case(
-        "the share is at most what is wanted",
+        "share at the upper limit",
         {"says": "share-below", "share": 0.5} | IN_ZONE_1,
         True,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
     Case(
-        "the share is over what is wanted",
+        "share above the upper limit",
         {"says": "share-below", "share": 0.4} | IN_ZONE_1,
         False,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
     Case(
-        "the share is at least what is wanted",
+        "share at the lower limit",
         {"says": "share-above", "share": 0.5} | IN_ZONE_1,
         True,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
     Case(
-        "the share is under what is wanted",
+        "share below the lower limit",
         {"says": "share-above", "share": 0.6} | IN_ZONE_1,
         False,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
     Case(
-        "too few arrivals are no proof",
+        "too few arrivals prove nothing",
         {"says": "share-below", "share": 1.0} | IN_ZONE_1,
         False,
         {"arrivals": FROM_ZONE_0_TO_EITHER[:19]},
     ),
     Case(
-        "what a zone sends to itself does not count",
+        "requests within the zone do not count",
         {"says": "share-below", "share": 1.0} | IN_ZONE_1,
         False,
         {"arrivals": [arrival(1.5, 1, 1)] * 50},
@@ -133,23 +133,23 @@
         False,
         {"served": SERVED},
     ),
-    Case("no requests are no proof", {"says": "served", "share": 0.1}, False, {"served": []}),
+    Case("no requests prove nothing", {"says": "served", "share": 0.1}, False, {"served": []}),
     Case(
-        "as many in a second as allowed",
+        "as many requests in a second as allowed",
         {"says": "at-most", "limit": 50},
         True,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
     Case(
-        "more in a second than allowed",
+        "more requests in a second than allowed",
         {"says": "at-most", "limit": 49},
         False,
         {"arrivals": FROM_ZONE_0_TO_EITHER},
     ),
-    Case("no arrivals are no proof", {"says": "at-most", "limit": 49}, False),
+    Case("no arrivals prove nothing", {"says": "at-most", "limit": 49}, False),
     Case("views agree", {"says": "views-agree", "from_s": 1}, True, {"events": ALL_SEE_ALL}),
     Case(
-        "views agree but for a member that is frozen",
+        "views agree except for a frozen member",
         {"says": "views-agree", "from_s": 4.5, "to_s": 6.5},
         True,
         {"events": [*ALL_SEE_ALL, *THREE_SEE_THREE], "outages": LAST_IS_FROZEN},
@@ -166,9 +166,9 @@
         False,
         {"events": [*ALL_SEE_ALL, *views((5.0, 2, "0,1"), (5.1, 2, "0,1,2,3"))]},
     ),
-    Case("no views are no proof", {"says": "views-agree", "from_s": 1}, False),
+    Case("no views prove nothing", {"says": "views-agree", "from_s": 1}, False),
     Case(
-        "all know that a member is gone",
+        "all views lack the killed member",
         {"says": "gone-known", "from_s": 5},
         True,
         {
@@ -177,7 +177,7 @@
         },
     ),
     Case(
-        "one keeps a member that is gone in its view",
+        "one view keeps the killed member",
         {"says": "gone-known", "from_s": 5},
         False,
         {
@@ -186,7 +186,7 @@
         },
     ),
     Case(
-        "one takes a member that is gone into its view again",
+        "the killed member returns to one view",
         {"says": "gone-known", "from_s": 5},
         False,
         {
@@ -198,15 +198,17 @@
             "outages": LAST_IS_KILLED,
         },
     ),
-    Case("nobody gone is no proof", {"says": "gone-known", "from_s": 5}, False, {"events": ALL_SEE_ALL}),
     Case(
-        "a member that was heard is declared dead",
+        "no killed member proves nothing", {"says": "gone-known", "from_s": 5}, False, {"events": ALL_SEE_ALL}
+    ),
+    Case(
+        "a member with a recent delivery is declared dead",
         {"says": "none-dead-that-answers"},
         False,
         {"events": LAST_DECLARED_DEAD, "delivery_slots": {delivery(4.5, 3)}},
     ),
     Case(
-        "a member that was not heard is declared dead",
+        "a member without a recent delivery is declared dead",
         {"says": "none-dead-that-answers"},
         True,
         {"events": LAST_DECLARED_DEAD, "delivery_slots": {delivery(3.0, 3)}},
