--- a/anisespool/lab/live/live_run.py
+++ b/anisespool/lab/live/live_run.py
@@ -52,7 +52,7 @@
 
 
 def check_limits(scenario: Scenario, source: str) -> None:
-    """Check that real processes on this machine can play a scenario.
+    """Check that a scenario is small enough to run with real processes on one machine.
 
     Raises:
         ScenarioError: It has too many sidecars or endpoints; the text names `source`.
@@ -65,7 +65,7 @@
 def _check_count(source: str, key: str, count: int, maximum: int) -> None:
     if count > maximum:
         wanted = f"found {count}, wanted at most {maximum}"
-        raise ScenarioError(f"{source}: {key}: {wanted}: their processes and ports are real")
+        raise ScenarioError(f"{source}: {key}: {wanted}: each needs a real process or port")
 
 
 class RunHandle:
--- a/anisespool/lab/live/process_handle.py
+++ b/anisespool/lab/live/process_handle.py
@@ -66,7 +66,7 @@
             RuntimeError: It was never started.
         """
         if self._process is None:
-            raise RuntimeError(f"n{self.number} has no process")
+            raise RuntimeError(f"n{self.number} was never started")
         return self._process.pid
 
     @property
@@ -118,7 +118,7 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.is_ready():
                 if process.returncode is not None:
-                    raise RuntimeError(f"n{self.number} ended with {process.returncode} at its start")
+                    raise RuntimeError(f"n{self.number} ended with {process.returncode} during its start")
                 await asyncio.sleep(READY_POLL_S)
         self.up = True
         self.account.end_outage(time.monotonic_ns())
--- a/anisespool/lab/live/statements.py
+++ b/anisespool/lab/live/statements.py
@@ -146,7 +146,7 @@
             listed = "; ".join(f"{view} ({count})" for view, count in views.most_common(MAX_LISTED))
             figure = f"{len(views)} views at {at_s:.2f} s: {listed}"
             return _verdict(history, statement, False, figure)
-    members = views.total()  # count at the last moment
+    members = views.total()  # members at the last moment
     figure = f"one view, of {members} members, at {len(moments)} moments"
     return _verdict(history, statement, members > 1, figure)
 
