--- a/anisespool/lab/live/fault_injection.py
+++ b/anisespool/lab/live/fault_injection.py
@@ -1,4 +1,4 @@
-"""What the scenario does to sidecars' processes, each fault at its moment."""
+"""Injects the scenario's faults into the members' processes, each at its scheduled moment."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from anisespool.lab.live.background_tasks import BackgroundTasks
 from anisespool.lab.live.process_handle import MAX_STARTING, ProcessHandle
-from anisespool.lab.live.process_stats import LimitKind, lift_limit, limit_to_present
+from anisespool.lab.live.process_stats import LimitKind, lift_limit, limit_to_current_use
 from anisespool.lab.live.timing import RunSpan, sleep_until
 from anisespool.lab.model.faults import ProcessFault, process_faults
 from anisespool.lab.model.random_streams import RandomStreams
@@ -17,7 +17,7 @@
 
 
 class ProcessFaultInjector:
-    """Kills, restarts, freezes, starves and limits the processes of a run."""
+    """Kills, restarts, freezes, starves and limits the processes of a run, and shifts their clocks."""
 
     def __init__(
         self, scenario: Scenario, seed: int, members: Sequence[ProcessHandle], span: RunSpan
@@ -46,7 +46,7 @@
     async def _inject(self, fault: ProcessFault) -> None:
         member = self._members[fault.number]
         await sleep_until(self._span.begin + fault.at)
-        if member.up:  # else an earlier fault hit it, and it is not yet back
+        if member.up:  # down: an earlier fault hit it, and it has not recovered
             until = min(self._span.end, self._span.begin + fault.over)
             await self._injections[fault.kind](member, fault, until)
 
@@ -81,6 +81,6 @@
         await self._limit(member, "memory", fault.fault.size, until)
 
     async def _limit(self, member: ProcessHandle, kind: LimitKind, extra: float, until: int) -> None:
-        limit_to_present(member.pid, kind, extra)
+        limit_to_current_use(member.pid, kind, extra)
         await sleep_until(until)
         lift_limit(member.pid, kind)
--- a/anisespool/lab/live/history.py
+++ b/anisespool/lab/live/history.py
@@ -1,7 +1,7 @@
-"""One account of a run, joined from what endpoints, network, processes and clients saw, on one clock.
+"""The history of a run, joined from the records of endpoints, network, processes and clients.
 
-All are processes of one machine, so the monotonic clock is the same for all; times here are seconds of the
-scenario's own time. It can be written as lines of JSON, and drawn.
+All of them run on one machine and share its monotonic clock. Times here are seconds of the scenario's own
+time. A history can be written as lines of JSON, and drawn.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from anisespool.lab.live.arrival_log import Arrival
 from anisespool.lab.live.budget_server import SLOT_NS as BUDGET_SLOT_NS
-from anisespool.lab.live.datagram_network import SLOT_NS as HEARD_SLOT_NS
-from anisespool.lab.live.datagram_network import HeardSlot
+from anisespool.lab.live.datagram_network import SLOT_NS as DELIVERY_SLOT_NS
+from anisespool.lab.live.datagram_network import DeliverySlot
 from anisespool.lab.live.process_account import Outage
 from anisespool.lab.live.run_result import LiveRunResult
 from anisespool.lab.scenario import SECOND, Fault, Link, Scenario, Statement
 
-HEARD_SLOT_S = HEARD_SLOT_NS / SECOND
+DELIVERY_SLOT_S = DELIVERY_SLOT_NS / SECOND
 LINK_FAULTS = ("loss", "delay_ms", "spread_ms", "duplicate", "reorder", "corrupt", "rate_kb_s")
 
 
 class MemberEvent(NamedTuple):
-    """An event that a member reported of itself."""
+    """An event that a member reported."""
 
     at_s: float
     member: int
@@ -34,7 +34,7 @@
 
 
 class FaultSpan(NamedTuple):
-    """A fault of the scenario."""
+    """A fault of the scenario, with its begin and end."""
 
     begin_s: float
     end_s: float
@@ -42,14 +42,14 @@
 
 
 class ServedSecond(NamedTuple):
-    """What clients of one second got, in units of priority weight."""
+    """The requests of one second, and those served in time, weighted by priority."""
 
     in_time: float
     requested: float
 
 
 class BudgetUse(NamedTuple):
-    """The most units of the budget that were reserved at a time."""
+    """The most units of the budget that were reserved at once in a slot."""
 
     at_s: float
     units: float
@@ -57,17 +57,17 @@
 
 @dataclass
 class History:
-    """What statements are judged by.
+    """The record of a run by which statements are judged.
 
     Attributes:
-        scenario: what was run.
-        events: what members reported, in order of time.
+        scenario: the scenario that was run.
+        events: events that members reported, in order of time.
         arrivals: requests as they reached endpoints.
-        begin: of the scenario's own time, monotonic ns.
-        outages: by member.
-        heard: slots in which the network delivered something of a member to another.
-        budget_use: by the budget server's clock.
-        served: by second.
+        begin: begin of the scenario's own time, monotonic ns.
+        outages: lists of outages, one for each member.
+        delivery_slots: slots in which the network delivered a datagram from one member to another.
+        budget_use: peaks of the shared budget, timed by the budget server.
+        served: one entry for each second.
     """
 
     scenario: Scenario
@@ -75,28 +75,28 @@
     arrivals: list[Arrival] = field(default_factory=list)
     begin: int = 0
     outages: list[list[Outage]] = field(default_factory=list)
-    heard: set[HeardSlot] = field(default_factory=set)
+    delivery_slots: set[DeliverySlot] = field(default_factory=set)
     budget_use: list[BudgetUse] = field(default_factory=list)
     served: list[ServedSecond] = field(default_factory=list)
 
     def second(self, at: int) -> float:
-        """Return the scenario's second of a moment in monotonic ns."""
+        """Convert a moment in monotonic ns to a second of the scenario's own time."""
         return (at - self.begin) / SECOND
 
     def had_outage(self, member: int, from_s: float, to_s: float) -> bool:
-        """Return whether a member was killed, frozen or starved at some time of that span."""
+        """Return whether a member was killed, frozen or starved at some time in the span."""
         return any(
             self.second(outage.begin) < to_s and from_s < self.second(outage.end)
             for outage in self.outages[member]
         )
 
-    def was_heard(self, member: int, from_s: float, to_s: float) -> bool:
-        """Return whether the network delivered something of that member's in that span."""
-        slots = range(self._heard_slot(from_s), self._heard_slot(to_s) + 1)
-        return any(HeardSlot(slot, member) in self.heard for slot in slots)
+    def had_delivery(self, member: int, from_s: float, to_s: float) -> bool:
+        """Return whether the network delivered a datagram of the member in the span."""
+        slots = range(self._delivery_slot(from_s), self._delivery_slot(to_s) + 1)
+        return any(DeliverySlot(slot, member) in self.delivery_slots for slot in slots)
 
-    def _heard_slot(self, second: float) -> int:
-        return int((self.begin + second * SECOND) // HEARD_SLOT_NS)
+    def _delivery_slot(self, second: float) -> int:
+        return int((self.begin + second * SECOND) // DELIVERY_SLOT_NS)
 
     def faults(self) -> list[FaultSpan]:
         """Return the faults of the scenario, in order."""
@@ -105,12 +105,12 @@
         return sorted(spans)
 
     def span(self, statement: Statement) -> tuple[float, float]:
-        """Return begin and end of what a statement is about, in seconds."""
+        """Return begin and end of the span that a statement is about, in seconds."""
         end = self.scenario.seconds if statement.to_s is None else statement.to_s
         return statement.from_s, end
 
     def json_lines(self) -> Iterator[dict[str, Any]]:
-        """Yield everything but single arrivals, by source and not by time."""
+        """Yield faults, outages and events as JSON objects, in that order and not by time."""
         for fault in self.faults():
             yield {"at_s": fault.begin_s, "until_s": fault.end_s, "fault": fault.description}
         for member, outages in enumerate(self.outages):
@@ -126,7 +126,7 @@
             yield line | event.fields
 
     def write(self, path: Path) -> None:
-        """Write all lines in order of time."""
+        """Write `json_lines` to a file, in order of time."""
         lines = sorted(self.json_lines(), key=lambda line: float(line["at_s"]))
         path.write_text("".join(json.dumps(line) + "\n" for line in lines))
 
@@ -144,14 +144,14 @@
 
 
 def _link_fault(link: Link) -> str:
-    """Return the first thing that is wrong with a link."""
+    """Name the link's cut, or else its first fault."""
     if link.cut:
         return f"cut ({link.cut})"
     return next((key for key in LINK_FAULTS if getattr(link, key)), "link")
 
 
 def join(scenario: Scenario, result: LiveRunResult) -> History:
-    """Return all accounts of a run as one."""
+    """Build the history of a run from its result."""
     history = History(scenario, arrivals=result.arrivals, begin=result.begin)
     for member, account in enumerate(result.accounts):
         history.outages.append(account.outages)
@@ -160,7 +160,7 @@
             for event in account.events
         ]
     history.events.sort(key=lambda event: event.at_s)
-    history.heard = set(result.backend.heard)
+    history.delivery_slots = set(result.backend.heard)
     history.budget_use = [
         BudgetUse(history.second(peak.slot * BUDGET_SLOT_NS), peak.units)
         for peak in result.backend.budget_peaks
