--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements, outside of CI: `python -m benchmarks NAME [--json]`."""
+"""Benchmarks that take too long for CI: `python -m benchmarks NAME [--json]`."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m benchmarks NAME [--json]`: one benchmark, exit status 1 if an objective is missed."""
+"""Runs one benchmark: `python -m benchmarks NAME [--json]`. Exit status 1 if an objective is missed."""
 
 from __future__ import annotations
 
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,9 +1,10 @@
-"""Bursts at fleets of any shape, in the lab's model: who is rejected that could have been answered in time.
+"""Counts rejections of burst requests that could have been answered in time, in the lab's model.
 
-For each shape (endpoints, requests side by side, service time) bursts of a part of what fits in 85 % of the
-latency objective, on a quiet stream: the first, and the second of the same size 5 s later. A cell is one
-combination of all that is varied. Objectives, of the second bursts: 2 % rejected in the mean of the cells and
-10 % in the worst; of the first 15 % in the worst; 2 % late, 1 % of the quiet stream rejected.
+For each fleet shape (endpoints, concurrent requests at each, service time) two bursts of the same size come
+5 s apart, on a quiet stream. Each is a fraction of what fits in 85 % of the latency objective. A cell is one
+combination of all varied parameters. Objectives: of the second bursts at most 2 % rejected on average over
+the cells and 10 % in the worst cell; of the first bursts at most 15 % in the worst cell; at most 2 % late;
+at most 1 % of the quiet stream rejected.
 """
 
 from __future__ import annotations
@@ -23,28 +24,30 @@
 from benchmarks.runner import Benchmark
 
 LATENCY_OBJECTIVE_MS = 400.0
-FILL = 0.85  # of the latency objective
+FILL_FRACTION = 0.85
+"""Fraction of the latency objective that the largest burst fills."""
 FIRST_BURST_S = 3
 SECOND_BURST_S = 8
 WARMUP_S = 5
 COOLDOWN_S = 3
-QUEUE_LENGTH = 100_000  # of an endpoint
-QUIET_STREAM = 0  # the number of its class
-BURST = 1  # the number of its class
+MAX_QUEUED_REQUESTS = 100_000
+"""Limit of each endpoint's queue."""
+QUIET_STREAM_CLASS = 0
+BURST_CLASS = 1
 SEEDS = (1, 2)
-MAX_BURST = 3000
-CELLS_A_TASK = 4
+MAX_BURST_REQUESTS = 3000
+CELLS_PER_TASK = 4
 
-MAX_MEAN_REJECTED_AFTER_ONE = 0.02
-MAX_REJECTED_AFTER_ONE = 0.10
-MAX_REJECTED_OF_FIRST = 0.15
-MAX_MEAN_LATE = 0.02
-MAX_MEAN_REJECTED_OF_STREAM = 0.01
+MAX_MEAN_SECOND_REJECTED_SHARE = 0.02
+MAX_SECOND_REJECTED_SHARE = 0.10
+MAX_FIRST_REJECTED_SHARE = 0.15
+MAX_MEAN_LATE_SHARE = 0.02
+MAX_MEAN_STREAM_REJECTED_SHARE = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A fleet: its endpoints, the requests that each serves side by side, and the service time."""
+    """A fleet: its number of endpoints, the concurrent requests that each serves, and the service time."""
 
     endpoints: int
     slots: int
@@ -52,7 +55,7 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """Requests that the whole fleet can serve in a second."""
+        """Requests per second that the whole fleet can serve."""
         return self.endpoints * self.slots * 1000 / self.service_ms
 
     def __str__(self) -> str:
@@ -69,37 +72,42 @@
     Shape(40, 3, 40.0),
     Shape(100, 1, 300.0),
 )
-PARTS = (0.25, 0.5, 0.75, 1.0)
+BURST_FRACTIONS = (0.25, 0.5, 0.75, 1.0)
 SIDECARS = (1, 5)
 LOAD_REPORT_COLUMNS = (("queue", "inflight"), ("inflight",), ())
 WORK_DISTRIBUTIONS = ("alike", "exponential")
-STREAMS = (0.0, 10.0, -0.5)  # requests a second; negative: a share of the capacity
+QUIET_STREAM_RATES = (0.0, 10.0, -0.5)
+"""Requests per second; a negative value is a share of the capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One combination of what is varied."""
+    """One combination of the varied parameters.
+
+    `burst_fraction` is relative to the largest burst that fits. `work` is the distribution of service times.
+    `stream_rate` is one of QUIET_STREAM_RATES.
+    """
 
     shape: Shape
-    part: float  # of the burst that fits
+    burst_fraction: float
     sidecars: int
     load_report_columns: tuple[str, ...]
-    work: str  # the distribution of service times
-    stream: float  # requests a second; negative: a share of the capacity
+    work: str
+    stream_rate: float
 
     @property
     def stream_per_s(self) -> float:
-        """Requests a second of the quiet stream."""
-        return -self.stream * self.shape.capacity_per_s if self.stream < 0 else self.stream
+        """Requests per second of the quiet stream."""
+        return -self.stream_rate * self.shape.capacity_per_s if self.stream_rate < 0 else self.stream_rate
 
     @property
     def burst_size(self) -> int:
-        """The part of what fits in 85 % of the latency objective beside the quiet stream."""
-        rounds = FILL * LATENCY_OBJECTIVE_MS / self.shape.service_ms
+        """Requests of a burst: a fraction of those that fit in 85 % of the latency objective."""
+        rounds = FILL_FRACTION * LATENCY_OBJECTIVE_MS / self.shape.service_ms
         if self.work == "alike":
             rounds = max(1, int(rounds))
         free = 1 - self.stream_per_s / self.shape.capacity_per_s
-        return max(1, int(self.part * self.shape.endpoints * self.shape.slots * rounds * free))
+        return max(1, int(self.burst_fraction * self.shape.endpoints * self.shape.slots * rounds * free))
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,16 +115,16 @@
     """Shares of the bursts and of the quiet stream, averaged over seeds.
 
     Attributes:
-        first: Rejected of the first burst.
-        second: Rejected of the second burst.
-        late: Late or failed of both bursts.
-        stream: Rejected of the quiet stream.
+        first_rejected: Share of the first burst that was rejected.
+        second_rejected: Share of the second burst that was rejected.
+        late: Share of both bursts that was answered late or failed.
+        stream_rejected: Share of the quiet stream that was rejected.
     """
 
-    first: float
-    second: float
+    first_rejected: float
+    second_rejected: float
     late: float
-    stream: float
+    stream_rejected: float
 
     @classmethod
     def mean(cls, shares: Iterable[Shares]) -> Shares:
@@ -126,28 +134,29 @@
 
     @classmethod
     def worst(cls, shares: Iterable[Shares]) -> Shares:
-        """Return the greatest of each share."""
+        """Return the maximum of each share."""
         columns = zip(*(astuple(one) for one in shares), strict=True)
         return cls(*(max(column) for column in columns))
 
 
 def _raw_scenario(cell: Cell) -> dict[str, Any]:
-    of_class = {"work_ms": cell.shape.service_ms, "work": cell.work, "target_ms": LATENCY_OBJECTIVE_MS}
+    class_defaults = {"work_ms": cell.shape.service_ms, "work": cell.work, "target_ms": LATENCY_OBJECTIVE_MS}
     return {
         "seconds": SECOND_BURST_S + COOLDOWN_S,
         "warm_s": WARMUP_S,
         "sidecars": cell.sidecars,
         "classes": [
-            of_class | {"name": "quiet", "share": 1.0},
-            of_class | {"name": "burst", "share": 1e-9},
+            class_defaults | {"name": "quiet", "share": 1.0},
+            class_defaults | {"name": "burst", "share": 1e-9},
         ],
         "traffic": {"per_s": cell.stream_per_s},
         "endpoints": [
-            {"count": cell.shape.endpoints, "cores": cell.shape.slots, "waiting": QUEUE_LENGTH},
+            {"count": cell.shape.endpoints, "cores": cell.shape.slots, "waiting": MAX_QUEUED_REQUESTS},
         ],
         "reports": {"columns": list(cell.load_report_columns)},
         "bursts": [
-            {"at_s": at_s, "count": cell.burst_size, "cls": BURST} for at_s in (FIRST_BURST_S, SECOND_BURST_S)
+            {"at_s": at_s, "count": cell.burst_size, "cls": BURST_CLASS}
+            for at_s in (FIRST_BURST_S, SECOND_BURST_S)
         ],
     }
 
@@ -165,21 +174,23 @@
     first = metrics.windows.get(FIRST_BURST_S, Counter())
     second = metrics.windows.get(SECOND_BURST_S, Counter())
     both = first + second
-    late = both[BURST, "late"] + both[BURST, "failed"]
-    stream = sum(count for (number, _), count in both.items() if number == QUIET_STREAM)
+    late = both[BURST_CLASS, "late"] + both[BURST_CLASS, "failed"]
+    stream = sum(count for (number, _), count in both.items() if number == QUIET_STREAM_CLASS)
     return Shares(
-        first=first[BURST, "refused"] / cell.burst_size,
-        second=second[BURST, "refused"] / cell.burst_size,
+        first_rejected=first[BURST_CLASS, "refused"] / cell.burst_size,
+        second_rejected=second[BURST_CLASS, "refused"] / cell.burst_size,
         late=late / (2 * cell.burst_size),
-        stream=both[QUIET_STREAM, "refused"] / stream if stream else 0.0,
+        stream_rejected=both[QUIET_STREAM_CLASS, "refused"] / stream if stream else 0.0,
     )
 
 
 def cells() -> list[Cell]:
-    """Return all combinations, less those whose bursts would take too long to simulate."""
-    grid = product(SHAPES, PARTS, SIDECARS, LOAD_REPORT_COLUMNS, WORK_DISTRIBUTIONS, STREAMS)
-    combinations = [Cell(*varied) for varied in grid]
-    return [cell for cell in combinations if cell.burst_size <= MAX_BURST]
+    """Return all combinations, except those whose bursts would take too long to simulate."""
+    grid = product(
+        SHAPES, BURST_FRACTIONS, SIDECARS, LOAD_REPORT_COLUMNS, WORK_DISTRIBUTIONS, QUIET_STREAM_RATES
+    )
+    combinations = [Cell(*parameters) for parameters in grid]
+    return [cell for cell in combinations if cell.burst_size <= MAX_BURST_REQUESTS]
 
 
 def _mean_of_seeds(cell: Cell) -> Shares:
@@ -190,17 +201,17 @@
     """Simulate all cells; the shares are means over the seeds."""
     grid = cells()
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        return dict(zip(grid, pool.map(_mean_of_seeds, grid, chunksize=CELLS_A_TASK), strict=True))
+        return dict(zip(grid, pool.map(_mean_of_seeds, grid, chunksize=CELLS_PER_TASK), strict=True))
 
 
-# Each printed name of what is varied, its values, and the attribute of a cell.
-VARIED: tuple[tuple[str, tuple[object, ...], str], ...] = (
+# The printed name of each varied parameter, its values, and its attribute of a cell.
+VARIED_PARAMETERS: tuple[tuple[str, tuple[object, ...], str], ...] = (
     ("shape", SHAPES, "shape"),
-    ("part", PARTS, "part"),
+    ("part", BURST_FRACTIONS, "burst_fraction"),
     ("sidecars", SIDECARS, "sidecars"),
     ("columns", LOAD_REPORT_COLUMNS, "load_report_columns"),
     ("work", WORK_DISTRIBUTIONS, "work"),
-    ("quiet", STREAMS, "stream"),
+    ("quiet", QUIET_STREAM_RATES, "stream_rate"),
 )
 
 
@@ -211,33 +222,33 @@
         name,
         value,
         len(shares),
-        100 * mean.first,
-        100 * worst.first,
-        100 * mean.second,
-        100 * worst.second,
+        100 * mean.first_rejected,
+        100 * worst.first_rejected,
+        100 * mean.second_rejected,
+        100 * worst.second_rejected,
         100 * mean.late,
-        100 * mean.stream,
+        100 * mean.stream_rejected,
     )
 
 
 def _check_objectives(report: Report, shares: list[Shares]) -> None:
     mean = Shares.mean(shares)
     worst = Shares.worst(shares)
-    text = f"after one burst {mean.second:.1%} refused in the mean, 2 % wanted"
-    report.check_objective(mean.second <= MAX_MEAN_REJECTED_AFTER_ONE, text)
-    text = f"after one burst {worst.second:.1%} refused in the worst cell, 10 % wanted"
-    report.check_objective(worst.second <= MAX_REJECTED_AFTER_ONE, text)
-    text = f"of a first burst {worst.first:.1%} refused in the worst cell, 15 % wanted"
-    report.check_objective(worst.first <= MAX_REJECTED_OF_FIRST, text)
-    report.check_objective(mean.late <= MAX_MEAN_LATE, f"{mean.late:.1%} late, 2 % wanted")
-    text = f"{mean.stream:.1%} of the quiet stream refused, none wanted"
-    report.check_objective(mean.stream <= MAX_MEAN_REJECTED_OF_STREAM, text)
+    text = f"second bursts: {mean.second_rejected:.1%} rejected in the mean, at most 2 % wanted"
+    report.check_objective(mean.second_rejected <= MAX_MEAN_SECOND_REJECTED_SHARE, text)
+    text = f"second bursts: {worst.second_rejected:.1%} rejected in the worst cell, at most 10 % wanted"
+    report.check_objective(worst.second_rejected <= MAX_SECOND_REJECTED_SHARE, text)
+    text = f"first bursts: {worst.first_rejected:.1%} rejected in the worst cell, at most 15 % wanted"
+    report.check_objective(worst.first_rejected <= MAX_FIRST_REJECTED_SHARE, text)
+    report.check_objective(mean.late <= MAX_MEAN_LATE_SHARE, f"{mean.late:.1%} late, at most 2 % wanted")
+    text = f"{mean.stream_rejected:.1%} of the quiet stream rejected, at most 1 % wanted"
+    report.check_objective(mean.stream_rejected <= MAX_MEAN_STREAM_REJECTED_SHARE, text)
 
 
 def _measure(report: Report) -> None:
     by_cell = sweep()
     report.add_row(*_row("all", "", list(by_cell.values())))
-    for name, values, attribute in VARIED:
+    for name, values, attribute in VARIED_PARAMETERS:
         for value in values:
             shares = [found for cell, found in by_cell.items() if getattr(cell, attribute) == value]
             report.add_row(*_row(name, str(value), shares))
@@ -245,7 +256,7 @@
 
 
 BENCHMARK = Benchmark(
-    f"Bursts that fit, refused; {len(cells())} cells, means of {len(SEEDS)} seeds",
+    f"Rejections of bursts that fit: {len(cells())} cells, means of {len(SEEDS)} seeds",
     (
         "what",
         "value",
--- a/benchmarks/burst.py
+++ b/benchmarks/burst.py
@@ -1,14 +1,15 @@
-"""Bursts after a quiet period, with real sidecars: who is rejected, who is late, how soon a rejection comes.
+"""Sends bursts to real sidecars after a quiet period, and measures rejections and late answers.
 
-Ten endpoints of three slots and 20 ms, played by the lab. Bursts within capacity come at a steady stream,
-three of each size. Objectives: at most 2 % rejected up to 64 requests at once and 10 % above, none late.
+The lab simulates ten endpoints of three slots, with a service time of 20 ms. Bursts within capacity come on
+top of a steady stream, three of each size. Objectives: at most 2 % rejected up to 64 requests at once and
+10 % above, none late.
 
-A burst beyond what the fleet can do within the latency objective arrives within 0.2 s at a slower fleet
-(60 ms: 500 requests a second), so that the sidecar's own CPU isn't what is measured. Objectives: 85 % of what
-was possible in time, rejections within 20 ms (p99).
+A burst beyond what the fleet can answer within the latency objective is spread over 0.2 s. It is sent to a
+slower fleet (60 ms: 500 requests per second), so that the sidecar's own CPU isn't the bottleneck. Objectives:
+85 % of what could be answered in time, and rejections within 20 ms (p99).
 
-Half of a burst is idempotent, half must never run twice; the lab judges the rules of both. BURST_BEFORE names
-an older checkout to be measured beside this one; objectives are this checkout's.
+Half of each burst is idempotent, the other half is never executed twice; the lab checks the rules of both.
+BURST_BEFORE names an older checkout to measure beside this one; only this checkout has objectives.
 """
 
 from __future__ import annotations
@@ -33,37 +34,45 @@
 WORK_MS = 20.0
 LATENCY_OBJECTIVE_S = 0.4
 WARMUP_S = 3
-COOLDOWN_S = 2  # after the last burst
-FIRST_BURST_S = 0.5  # after the warm-up
+COOLDOWN_S = 2
+"""Time after the last burst."""
+FIRST_BURST_S = 0.5
+"""Time from the end of the warm-up to the first burst."""
 REPEATS = 3
-INTERVAL_S = 2  # between two bursts of a size
+INTERVAL_S = 2
+"""Time between two bursts of the same size."""
 SIZES = (8, 16, 32, 64, 128)
 SIZES_OF_SEVERAL_SIDECARS = SIZES[:4]
-SEVERAL_SIDECARS_OVER_S = 0.1  # one process of clients can't send 320 requests in 20 ms
-SLOW_SPEED = 0.1
-QUIET_STREAM = 0  # the number of its class; a burst's two halves are of the others
+SEVERAL_SIDECARS_SPREAD_S = 0.1
+"""Time over which a burst is spread: the one client process can't send 320 requests in 20 ms."""
+SLOW_SPEED_FACTOR = 0.1
+QUIET_STREAM_CLASS = 0
 BURST_CLASSES = (1, 2)
-EFFECTS = ("repeatable", "repeatable", "once")  # by class
+"""The class of each half of a burst."""
+EFFECTS = ("repeatable", "repeatable", "once")
+"""The effect of each class, by its number."""
 
-EXCESS_SIZE = 400
-EXCESS_OVER_S = 0.2
+EXCESS_BURST_REQUESTS = 400
+EXCESS_SPREAD_S = 0.2
 EXCESS_WORK_MS = 60.0
 EXCESS_STREAM_PER_S = 10
-MIN_SHARE_OF_POSSIBLE = 85.0  # in 100
+MIN_IN_TIME_PERCENT = 85.0
 MAX_REJECTION_MS = 20.0
-LARGE_SIZE = 64  # above it more may be rejected
-MAX_REJECTED = 2.0  # in 100
-MAX_REJECTED_OF_LARGE = 10.0  # in 100
+LARGE_BURST_REQUESTS = 64
+"""Above it, MAX_LARGE_REJECTED_PERCENT applies."""
+MAX_REJECTED_PERCENT = 2.0
+MAX_LARGE_REJECTED_PERCENT = 10.0
 
-Outcomes = Counter[str]  # by outcome; `all` is their sum
+Outcomes = Counter[str]
+"""Requests by outcome; `all` is their sum."""
 
 
 @dataclass(frozen=True, slots=True)
 class FittingCase:
-    """Bursts that the fleet can answer in time."""
+    """Bursts that the fleet can answer in time, on a quiet stream of `stream_per_s` at each sidecar."""
 
     name: str
-    stream_per_s: int  # at each sidecar
+    stream_per_s: int
     slow_endpoints: int = 0
     sidecars: int = 1
 
@@ -73,9 +82,9 @@
         return SIZES if self.sidecars == 1 else SIZES_OF_SEVERAL_SIDECARS
 
     @property
-    def over_s(self) -> float:
-        """How long a burst takes to arrive."""
-        return 0.0 if self.sidecars == 1 else SEVERAL_SIDECARS_OVER_S
+    def spread_s(self) -> float:
+        """Time over which a burst is spread."""
+        return 0.0 if self.sidecars == 1 else SEVERAL_SIDECARS_SPREAD_S
 
     def burst_times(self, size: int) -> list[float]:
         """Seconds after the warm-up at which the bursts of `size` begin."""
@@ -116,7 +125,7 @@
 ) -> Scenario:
     endpoints: list[dict[str, Any]] = [{"count": ENDPOINTS - slow_endpoints, "cores": SLOTS}]
     if slow_endpoints:
-        endpoints.append({"count": slow_endpoints, "cores": SLOTS, "speed": SLOW_SPEED})
+        endpoints.append({"count": slow_endpoints, "cores": SLOTS, "speed": SLOW_SPEED_FACTOR})
     raw = {
         "warm_s": WARMUP_S,
         "seconds": max(burst["at_s"] for burst in bursts) + COOLDOWN_S,
@@ -136,23 +145,23 @@
             "name": f"c{number}",
             "effect": effect,
             "work_ms": work_ms,
-            "share": 1.0 if number == QUIET_STREAM else 1e-9,
+            "share": 1.0 if number == QUIET_STREAM_CLASS else 1e-9,
         }
         for number, effect in enumerate(EFFECTS)
     ]
 
 
-def _burst(at_s: float, size: int, over_s: float) -> list[dict[str, Any]]:
+def _burst(at_s: float, size: int, spread_s: float) -> list[dict[str, Any]]:
     """Return the two halves of a burst."""
-    half = {"at_s": at_s, "count": size // 2, "over_ms": 1000 * over_s}
+    half = {"at_s": at_s, "count": size // 2, "over_ms": 1000 * spread_s}
     return [half | {"cls": number} for number in BURST_CLASSES]
 
 
 def _outcomes(played: LiveRunResult, at_s: float) -> Outcomes:
-    """Return the outcomes of the burst that began then; none takes longer than its second to arrive."""
+    """Return the outcomes of the burst that began at `at_s`; all of a burst arrives within that second."""
     outcomes = Outcomes()
     for (number, outcome), count in played.metrics.windows.get(int(at_s), Counter()).items():
-        if number != QUIET_STREAM:
+        if number != QUIET_STREAM_CLASS:
             outcomes.update({outcome: count, "all": count})
     return outcomes
 
@@ -197,7 +206,7 @@
         half
         for size in case.sizes
         for at_s in case.burst_times(size)
-        for half in _burst(at_s, size * case.sidecars, case.over_s)
+        for half in _burst(at_s, size * case.sidecars, case.spread_s)
     ]
     scenario = _scenario(case.stream_per_s, WORK_MS, bursts, case.slow_endpoints, case.sidecars)
     played = live.play_unless_void(report, f"{build.name}, {case.name}", scenario, SEED, build.checkout)
@@ -211,25 +220,27 @@
         spreads.append(f"{_rejected_spread(outcomes)} of {size}")
         if build.is_current:
             _check_fitting(report, case.name, size, total)
-    report.add_note(f"{build.name}, {case.name}: refused % by burst: {', '.join(spreads)}")
+    report.add_note(f"{build.name}, {case.name}: rejected % by burst: {', '.join(spreads)}")
     _check_rules(report, build, case.name, played)
 
 
 def _check_fitting(report: Report, name: str, size: int, total: Outcomes) -> None:
     rejected = _rejected_percent(total)
-    allowed = MAX_REJECTED if size <= LARGE_SIZE else MAX_REJECTED_OF_LARGE
-    text = f"{name}, {size} at once: {rejected:.1f} % refused, {total['late']} late"
+    allowed = MAX_REJECTED_PERCENT if size <= LARGE_BURST_REQUESTS else MAX_LARGE_REJECTED_PERCENT
+    text = f"{name}, {size} at once: {rejected:.1f} % rejected, {total['late']} late"
     report.check_objective(rejected <= allowed and not total["late"], text)
 
 
 def _possible_in_time() -> float:
-    """Return how many requests of a burst in excess the fleet can answer in time."""
+    """Return how many requests of a burst beyond capacity the fleet can answer in time."""
     per_s = ENDPOINTS * SLOTS / EXCESS_WORK_MS * 1000
-    return per_s * (LATENCY_OBJECTIVE_S + EXCESS_OVER_S - EXCESS_WORK_MS / 1000)
+    return per_s * (LATENCY_OBJECTIVE_S + EXCESS_SPREAD_S - EXCESS_WORK_MS / 1000)
 
 
 def _measure_excess(report: Report, build: Build, case: ExcessCase) -> None:
-    bursts = [half for at_s in case.burst_times() for half in _burst(at_s, EXCESS_SIZE, EXCESS_OVER_S)]
+    bursts = [
+        half for at_s in case.burst_times() for half in _burst(at_s, EXCESS_BURST_REQUESTS, EXCESS_SPREAD_S)
+    ]
     scenario = _scenario(EXCESS_STREAM_PER_S, EXCESS_WORK_MS, bursts)
     name = f"{build.name}, {case.name}"
     played = live.play_unless_void(report, name, scenario, SEED, build.checkout)
@@ -237,20 +248,20 @@
         return
     outcomes = [_outcomes(played, at_s) for at_s in case.burst_times()]
     total = _total(outcomes)
-    _add_row(report, build, case.name, EXCESS_SIZE, total, played)
-    share = 100 * total["in_time"] / min(_possible_in_time() * REPEATS, total["all"])
-    report.add_note(f"{name}: {share:.0f} % of what was possible in time")
-    report.add_note(f"{name}: refused % by burst: {_rejected_spread(outcomes)}")
+    _add_row(report, build, case.name, EXCESS_BURST_REQUESTS, total, played)
+    in_time_percent = 100 * total["in_time"] / min(_possible_in_time() * REPEATS, total["all"])
+    report.add_note(f"{name}: {in_time_percent:.0f} % of what could be answered in time")
+    report.add_note(f"{name}: rejected % by burst: {_rejected_spread(outcomes)}")
     if build.is_current:
-        _check_excess(report, case.name, share, played)
+        _check_excess(report, case.name, in_time_percent, played)
     _check_rules(report, build, case.name, played)
 
 
-def _check_excess(report: Report, name: str, share: float, played: LiveRunResult) -> None:
-    text = f"{name}: {share:.0f} % of the possible in time, {MIN_SHARE_OF_POSSIBLE:g} wanted"
-    report.check_objective(share >= MIN_SHARE_OF_POSSIBLE, text)
+def _check_excess(report: Report, name: str, in_time_percent: float, played: LiveRunResult) -> None:
+    text = f"{name}: {in_time_percent:.0f} % of the possible in time, at least {MIN_IN_TIME_PERCENT:g} wanted"
+    report.check_objective(in_time_percent >= MIN_IN_TIME_PERCENT, text)
     slowest = _rejection_p99_ms(played)
-    text = f"{name}: refusals p99 {slowest:.0f} ms, {MAX_REJECTION_MS:g} wanted"
+    text = f"{name}: rejections p99 {slowest:.0f} ms, at most {MAX_REJECTION_MS:g} wanted"
     report.check_objective(slowest <= MAX_REJECTION_MS, text)
 
 
--- a/benchmarks/checkout.py
+++ b/benchmarks/checkout.py
@@ -1,6 +1,7 @@
-"""This checkout and an older one, which the environment variable BURST_BEFORE names.
+"""Finds the older checkout that BURST_BEFORE names, and calls benchmark functions of either checkout.
 
-A benchmark function of either is called in a process of its own, with that checkout's own packages.
+BURST_BEFORE is an environment variable. A function is called in its own process, with the packages of its
+checkout.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """A checkout whose sidecars are measured.
+    """A checkout whose sidecars a benchmark runs.
 
     Attributes:
         name: `now`, or `before` for the older checkout.
@@ -29,18 +30,18 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether it is this checkout; objectives are stated for this one."""
+        """Whether it is this checkout, the only one that has objectives."""
         return self.checkout is None
 
 
 def older_checkout() -> Path | None:
     """Return the root of the older checkout, if one was named."""
-    named = os.environ.get(OLDER_CHECKOUT_VARIABLE)
-    return Path(named) if named else None
+    path = os.environ.get(OLDER_CHECKOUT_VARIABLE)
+    return Path(path) if path else None
 
 
 def builds() -> list[Build]:
-    """Return the builds to be measured beside each other: the older checkout if one was named, and this."""
+    """Return the builds to measure beside each other: the older checkout, if one was named, and this one."""
     older = older_checkout()
     before = [Build("before", older)] if older else []
     return [*before, Build("now", None)]
@@ -51,14 +52,14 @@
 
     Args:
         checkout: The root of the checkout.
-        function: `MODULE.FUNCTION`. An older checkout has to know it by the same name.
+        function: `MODULE.FUNCTION`. An older checkout has it under the same name.
         arguments: Its arguments.
 
     Returns:
         The figures that it returned.
 
     Raises:
-        subprocess.CalledProcessError: The function failed; `stderr` says why.
+        subprocess.CalledProcessError: The function failed; `stderr` has the reason.
     """
     module, name = function.split(".")
     code = f"from benchmarks import {module}; print(*{module}.{name}(*{arguments!r}))"
--- a/benchmarks/datagram_links.py
+++ b/benchmarks/datagram_links.py
@@ -1,7 +1,7 @@
-"""The lab's network between sidecars, measured against its own settings, for the benchmark `fleetrig`.
+"""Measures the lab's network between sidecars against its configured faults, for the benchmark `fleetrig`.
 
-Numbered datagrams go through a link with one kind of fault. Objectives: what was lost, delayed and duplicated
-is what was set. The delay that the network itself adds is measured in pairs with plain loopback.
+Numbered datagrams are sent through a link with one kind of fault. Objectives: loss, delay and duplication
+match the configuration. The delay that the network itself adds is compared with plain loopback, in pairs.
 """
 
 from __future__ import annotations
@@ -23,25 +23,29 @@
 
 SEED = 1
 DATAGRAMS = 100_000
-DATAGRAMS_A_TURN = 40  # sent before the event loop reads what has arrived
+DATAGRAMS_PER_TURN = 40
+"""Datagrams sent before the event loop reads those that have arrived."""
 DATAGRAM_BYTES = 256
 NUMBER_BYTES = 8
 TIME_BYTES = 8
 RECEIVE_BYTES = 512
 BUFFER_BYTES = 2**21
-SETTLE_S = 0.15  # without an arrival: nothing more comes
+SETTLE_S = 0.15
+"""If nothing arrives for this long, the missing datagrams count as lost."""
 LINK_S = 3600
 
-LOSS = 0.2
-LOSS_BURST = 4.0  # datagrams
+LOSS_SHARE = 0.2
+LOSS_BURST_DATAGRAMS = 4.0
+"""Mean length of a run of lost datagrams."""
 DELAY_MS = 5.0
 DELAY_SPREAD_MS = 10.0
-DUPLICATED = 0.05
-REORDERED = 0.02
-DEVIATIONS = 4  # within which the loss has to be
+DUPLICATED_SHARE = 0.05
+REORDERED_SHARE = 0.02
+MAX_LOSS_DEVIATIONS = 4
+"""Allowed difference of the loss from the configured one, in standard deviations."""
 MAX_EARLY_MS = 0.5
 MAX_LATE_MS = 3.0
-MAX_DUPLICATED_DIFFERENCE = 0.005
+MAX_DUPLICATED_SHARE_DIFFERENCE = 0.005
 
 DELAY_PAIRS = 5
 DELAY_ROUND_TRIPS = 2000
@@ -49,25 +53,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkCase:
-    """A link with a fault, and what is expected of it."""
+    """A link with a fault, and the loss and delay that are expected."""
 
     name: str
     links: tuple[dict[str, Any], ...] = ()
-    loss: float = 0.0
+    loss_share: float = 0.0
     is_delayed: bool = False
 
 
 LINK_CASES = (
     LinkCase("clear"),
-    LinkCase("loss in bursts", ({"loss": LOSS, "burst": LOSS_BURST},), loss=LOSS),
+    LinkCase("loss in bursts", ({"loss": LOSS_SHARE, "burst": LOSS_BURST_DATAGRAMS},), loss_share=LOSS_SHARE),
     LinkCase(
         "late, doubled, out of order",
         (
             {
                 "delay_ms": DELAY_MS,
                 "spread_ms": DELAY_SPREAD_MS,
-                "duplicate": DUPLICATED,
-                "reorder": REORDERED,
+                "duplicate": DUPLICATED_SHARE,
+                "reorder": REORDERED_SHARE,
             },
         ),
         is_delayed=True,
@@ -78,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A datagram that arrived: its number, and how long it took."""
+    """A datagram that arrived: its number and its delay."""
 
     number: int
     delay_ns: int
@@ -94,11 +98,11 @@
         random = RandomStreams(SEED).named("links")
         self.network = DatagramNetwork(Links(specs, random, clock.now), clock, [0, 0])
         self.network.open()
-        self.sender, self.receiver = (_bind(place.listen) for place in self.network.peers)
+        self.sender, self.receiver = (_bind(peer.listen) for peer in self.network.peers)
         self.received: list[Received] = []
 
     def start_reading(self) -> None:
-        """Note each datagram as it arrives."""
+        """Record each datagram as it arrives."""
         asyncio.get_running_loop().add_reader(self.receiver, self._read)
 
     def _read(self) -> None:
@@ -123,17 +127,17 @@
         for number in range(count):
             head = number.to_bytes(NUMBER_BYTES, "big") + time.monotonic_ns().to_bytes(TIME_BYTES, "big")
             self.sender.sendto(head + payload, address)
-            if number % DATAGRAMS_A_TURN == DATAGRAMS_A_TURN - 1:
-                await asyncio.sleep(0)  # the network reads, and
-                await asyncio.sleep(0)  # the receiver
+            if number % DATAGRAMS_PER_TURN == DATAGRAMS_PER_TURN - 1:
+                await asyncio.sleep(0)  # The network reads.
+                await asyncio.sleep(0)  # The receiver reads.
         took_s = time.monotonic() - start
         await self._settle()
         return took_s
 
     async def _settle(self) -> None:
-        known = -1
-        while known != len(self.received):
-            known = len(self.received)
+        received_count = -1
+        while received_count != len(self.received):
+            received_count = len(self.received)
             await asyncio.sleep(SETTLE_S)
 
     async def delay_us(self, address: tuple[str, int]) -> float:
@@ -163,28 +167,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkRun:
-    """What arrived of DATAGRAMS sent through a link."""
+    """The outcome of sending DATAGRAMS through a link.
+
+    `unsent` datagrams were dropped because the receiver's buffer, or the network's, was full.
+    """
 
     received: list[Received]
     took_s: float
-    unsent: int  # the receiver's buffer, or the network's, was full
+    unsent: int
 
     def _distinct(self) -> int:
         return len({received.number for received in self.received})
 
     @property
-    def lost(self) -> float:
-        """Share of datagrams that never arrived."""
+    def lost_share(self) -> float:
+        """Datagrams that never arrived, as a share of those sent."""
         return 1 - self._distinct() / DATAGRAMS
 
     @property
-    def duplicated(self) -> float:
-        """Second copies, as a share of the datagrams sent."""
+    def duplicated_share(self) -> float:
+        """Second copies that arrived, as a share of the datagrams sent."""
         return (len(self.received) - self._distinct()) / DATAGRAMS
 
     @property
-    def reordered(self) -> float:
-        """Arrivals right before one that was sent earlier, as a share of the datagrams sent."""
+    def reordered_share(self) -> float:
+        """Datagrams that arrived right before one sent earlier, as a share of the datagrams sent."""
         return sum(first.number > second.number for first, second in pairwise(self.received)) / DATAGRAMS
 
     def delay_ms(self, quantile: float) -> float:
@@ -204,9 +211,9 @@
 def _row(case: LinkCase, run: LinkRun) -> tuple[Cell, ...]:
     return (
         case.name,
-        f"{100 * run.lost:.2f}",
-        f"{100 * run.duplicated:.2f}",
-        f"{100 * run.reordered:.2f}",
+        f"{100 * run.lost_share:.2f}",
+        f"{100 * run.duplicated_share:.2f}",
+        f"{100 * run.reordered_share:.2f}",
         f"{run.delay_ms(0.5):.2f}",
         f"{run.delay_ms(0.99):.2f}",
         f"{DATAGRAMS / run.took_s:,.0f}",
@@ -215,27 +222,27 @@
 
 
 def _check_loss(report: Report, case: LinkCase, run: LinkRun) -> None:
-    # A two-state channel loses in runs: its share's variance grows with their length.
-    deviation = (case.loss * (1 - case.loss) * 2 * LOSS_BURST / DATAGRAMS) ** 0.5
-    allowed = DEVIATIONS * deviation
-    text = f"{case.name}: {run.lost:.2%} lost, {case.loss:.2%} within {allowed:.2%} set"
-    report.check_objective(abs(run.lost - case.loss) <= allowed, text)
+    # A two-state channel loses datagrams in runs, so the variance of its loss grows with their mean length.
+    deviation = (case.loss_share * (1 - case.loss_share) * 2 * LOSS_BURST_DATAGRAMS / DATAGRAMS) ** 0.5
+    allowed = MAX_LOSS_DEVIATIONS * deviation
+    text = f"{case.name}: {run.lost_share:.2%} lost, {case.loss_share:.2%} within {allowed:.2%} wanted"
+    report.check_objective(abs(run.lost_share - case.loss_share) <= allowed, text)
 
 
 def _check_delay(report: Report, case: LinkCase, run: LinkRun) -> None:
     median_ms = run.delay_ms(0.5)
     wanted_ms = DELAY_MS + DELAY_SPREAD_MS / 2
     met = wanted_ms - MAX_EARLY_MS <= median_ms <= wanted_ms + MAX_LATE_MS
-    text = f"{case.name}: {median_ms:.2f} ms in the middle, {wanted_ms:g} set"
+    text = f"{case.name}: median delay {median_ms:.2f} ms, {wanted_ms:g} configured"
     report.check_objective(met, text)
-    difference = abs(run.duplicated - DUPLICATED)
-    text = f"{case.name}: {run.duplicated:.2%} doubled, {DUPLICATED:.2%} set"
-    report.check_objective(difference <= MAX_DUPLICATED_DIFFERENCE, text)
-    report.check_objective(run.reordered > 0, f"{case.name}: nothing was overtaken")
+    difference = abs(run.duplicated_share - DUPLICATED_SHARE)
+    text = f"{case.name}: {run.duplicated_share:.2%} duplicated, {DUPLICATED_SHARE:.2%} configured"
+    report.check_objective(difference <= MAX_DUPLICATED_SHARE_DIFFERENCE, text)
+    report.check_objective(run.reordered_share > 0, f"{case.name}: no datagram was reordered")
 
 
 async def _measure_delay() -> Pair:
-    """Return the delay through the network, with plain loopback as the reference."""
+    """Return the delay through the network, paired with plain loopback as the reference."""
     testbed = LinkTestbed()
     receiver = testbed.network.peers[1]
     reference = await testbed.delay_us(receiver.listen)
@@ -250,13 +257,13 @@
     network_us = min(pair.measured for pair in delays)
     spread = ratios(delays)
     report.add_note(
-        f"one datagram there: plain loopback {plain_us:.0f} us, through the network {network_us:.0f} us "
+        f"delay of a datagram: plain loopback {plain_us:.0f} us, through the network {network_us:.0f} us "
         f"({DELAY_PAIRS} pairs, ratio {spread.minimum:.1f} to {spread.maximum:.1f})"
     )
 
 
 def measure_links(report: Report) -> None:
-    """Send 100,000 datagrams through each link, and add what became of them."""
+    """Send 100,000 datagrams through each link, and report their loss, delay, duplication and order."""
     rows = []
     for case in LINK_CASES:
         run = asyncio.run(_run_link(case))
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,8 +1,8 @@
-"""CPU time of one decision: a request with its outcome, and a rejection.
+"""Measures the CPU time of one decision: a request with its outcome, and a rejection.
 
-BURST_BEFORE names an older checkout. This checkout's balancer and the older one's are measured in turn, pair
-by pair, each in a process of its own. The least of each is compared: what others on the machine took is not
-in it. The objective is at most 1.05 times the older checkout's CPU time, in each case.
+BURST_BEFORE names an older checkout. This checkout's balancer and the older one's are run alternately,
+pair by pair, each in its own process. The lowest figure of each is compared, as other programs on the machine
+only add to a figure. The objective is at most 1.05 times the older checkout's CPU time, in each case.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 PAIRS = 10
 ROUNDS = 4000
 MAX_RATIO = 1.05
-CASES = ("served", "refused")  # an older checkout knows the cases by these names
+CASES = ("served", "refused")
+"""Names of the cases, by which an older checkout is called too."""
 ENDPOINTS = 10
 WARMUP_REQUESTS = 300
 OPEN_REQUESTS = 8
@@ -33,7 +34,7 @@
 
 
 def case(name: str) -> tuple[float]:
-    """Return microseconds a request, either answered with 8 others open or rejected at the full capacity."""
+    """Return the microseconds per request, answered with 8 others open or rejected at full capacity."""
     sidecar = Sidecar([listed(number) for number in range(1, ENDPOINTS + 1)])
     sidecar.serve(WARMUP_REQUESTS, latency_ns=LATENCY_NS)
     measure = _cpu_s_of_served if name == "served" else _cpu_s_of_rejected
@@ -41,13 +42,13 @@
 
 
 def _cpu_s_of_served(sidecar: Sidecar) -> float:
-    waiting = [send for _ in range(OPEN_REQUESTS) for send in sends(sidecar.request())]
+    open_sends = [send for _ in range(OPEN_REQUESTS) for send in sends(sidecar.request())]
     start = time.process_time()
     for _ in range(ROUNDS):
         sidecar.now += SERVED_INTERVAL_NS
-        waiting += sends(sidecar.request(cls=REQUEST_CLASS))
-        if waiting:
-            sidecar.outcome(waiting.pop(0), latency_ns=LATENCY_NS)
+        open_sends += sends(sidecar.request(cls=REQUEST_CLASS))
+        if open_sends:
+            sidecar.outcome(open_sends.pop(0), latency_ns=LATENCY_NS)
     return time.process_time() - start
 
 
@@ -69,11 +70,11 @@
     for name in CASES:
         now = partial(_case_of, ROOT, name)
         pairs = _pairs(now, partial(_case_of, older, name) if older else None)
-        least = Pair(min(pair.measured for pair in pairs), min(pair.reference for pair in pairs))
-        report.add_row(name, least.measured, least.reference, f"{least.ratio:.2f}")
+        lowest = Pair(min(pair.measured for pair in pairs), min(pair.reference for pair in pairs))
+        report.add_row(name, lowest.measured, lowest.reference, f"{lowest.ratio:.2f}")
         report.add_note(f"{name}: ratio in {len(pairs)} pairs: {ratios(pairs)}")
-        text = f"{name}: {least.ratio:.2f} times the cost before, at most {MAX_RATIO} wanted"
-        report.check_objective(least.ratio <= MAX_RATIO, text)
+        text = f"{name}: {lowest.ratio:.2f} times the older cost, at most {MAX_RATIO} wanted"
+        report.check_objective(lowest.ratio <= MAX_RATIO, text)
 
 
 def _case_of(checkout: Path, name: str) -> float:
@@ -81,7 +82,7 @@
 
 
 def _pairs(now: Callable[[], float], before: Callable[[], float] | None) -> list[Pair]:
-    """Measure in pairs; without an older checkout each figure is its own reference."""
+    """Measure pairs; without an older checkout each figure is its own reference."""
     if before:
         return list(measure_pairs(now, before, PAIRS))
     figures = [now() for _ in range(PAIRS)]
@@ -89,7 +90,7 @@
 
 
 BENCHMARK = Benchmark(
-    "CPU of a decision, microseconds; the least of 10 runs each, in turn",
+    "CPU of a decision, microseconds; the lowest of 10 alternating runs each",
     ("case", "now", "before", "ratio"),
     _measure,
 )
--- a/benchmarks/fleet_testbed.py
+++ b/benchmarks/fleet_testbed.py
@@ -1,4 +1,4 @@
-"""Real sidecars, an agent, fake endpoints and clients on loopback, for the benchmark `fleet`."""
+"""Runs real sidecars, an agent, fake endpoints and clients on loopback, for the benchmark `fleet`."""
 
 from __future__ import annotations
 
@@ -24,18 +24,23 @@
 from anisespool.fakes.platform import member
 
 ENDPOINTS = 12
-SLOTS = 8  # of an endpoint
-REQUESTS_PER_S = 2.0  # at each sidecar
-MAX_STARTING = 24  # processes started together
-KEEPALIVE_S = 10.0  # what a change sets differs from it a little, each time
+SLOTS_PER_ENDPOINT = 8
+REQUESTS_PER_S = 2.0
+"""Requests per second at each sidecar."""
+MAX_CONCURRENT_STARTS = 24
+KEEPALIVE_S = 10.0
+"""Each change sets a value slightly above this one, so that no two changes are equal."""
 KB_PER_MB = 1024
-WITHOUT_BASE = -1  # of a change that applies whatever the generation is
-ANY_NUMBER = -1  # of unreachable instances
-UTIME_FIELD = 11  # in /proc/PID/stat behind the command's name; the next one is the system's time
+ANY_GENERATION = -1
+"""The `base_generation` of a change that applies to any generation."""
+UNLIMITED_UNREACHABLE = -1
+"""The `most_unreachable` that sets no limit."""
+UTIME_FIELD_INDEX = 11
+"""Index of `utime` in /proc/PID/stat, among the fields after the command's name; `stime` follows it."""
 
 
 async def polls(interval_s: float) -> AsyncIterator[None]:
-    """Yield at once and then at intervals: another process's state announces itself to nobody."""
+    """Yield at once and then at intervals, to poll the state of another process."""
     while True:
         yield
         await asyncio.sleep(interval_s)
@@ -43,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """A change that was rolled out: seconds until it settled, and the agent's last report."""
+    """A change that was rolled out: the seconds until it was finished, and the agent's last report."""
 
     took_s: float
     progress: pb.Progress
 
 
 class FleetTestbed:
-    """A fleet of `size` sidecars with an agent, and the endpoints that it is given."""
+    """A fleet of `size` sidecars with an agent, and its endpoints."""
 
     def __init__(self, processes: LocalFleet, endpoints: list[CountingEndpoint], size: int) -> None:
         self.processes = processes
@@ -60,11 +65,11 @@
         self._changes = 0
 
     async def start(self) -> None:
-        """Start the sidecars, some at a time, and then the agent."""
-        gate = asyncio.Semaphore(MAX_STARTING)
+        """Start the sidecars, at most MAX_CONCURRENT_STARTS at a time, and then the agent."""
+        concurrent_starts = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
         async def start_sidecar(name: str) -> None:
-            async with gate:
+            async with concurrent_starts:
                 await self.processes.start_sidecar(name, self.size)
 
         await asyncio.gather(*(start_sidecar(name) for name in self.names))
@@ -84,17 +89,17 @@
             yield agent_pb2_grpc.AgentStub(channel)
 
     def _next_content(self) -> str:
-        """Return a configuration that differs from all before."""
+        """Return a configuration that differs from all earlier ones."""
         self._changes += 1
         return json.dumps({"connections": {"client_kept_s": KEEPALIVE_S + self._changes / 1000}})
 
     async def change(self, wave: int = 0) -> AppliedChange:
-        """Roll out a change, `wave` instances at a time (0: the agent's own choice)."""
+        """Roll out a change, `wave` instances at a time (0: the agent's default)."""
         request = pb.ApplyRequest(
             content_json=self._next_content(),
-            base_generation=WITHOUT_BASE,
+            base_generation=ANY_GENERATION,
             wave=wave,
-            most_unreachable=ANY_NUMBER,
+            most_unreachable=UNLIMITED_UNREACHABLE,
         )
         async with self.stub() as stub:
             start = time.monotonic()
@@ -112,34 +117,34 @@
         return progress
 
     async def generations(self, names: list[str]) -> dict[str, int]:
-        """Return the generation that each instance reports itself, past the agent."""
+        """Return the generation that each instance itself reports on its control socket."""
         states = await asyncio.gather(*(self.processes.control_state(name) for name in names))
         return {state["name"]: state["generation"] for state in states}
 
     def agent_rss_mb(self) -> float:
-        """Return the greatest memory that the agent has had."""
+        """Return the agent's peak memory."""
         text = Path(f"/proc/{self.agent.pid}/status").read_text()
         return int(text.split("VmHWM:")[1].split()[0]) / KB_PER_MB
 
     def agent_cpu_s(self) -> float:
-        """Return the agent's CPU time so far."""
+        """Return the CPU time that the agent has used."""
         stat = Path(f"/proc/{self.agent.pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
-        ticks = int(fields[UTIME_FIELD]) + int(fields[UTIME_FIELD + 1])
+        ticks = int(fields[UTIME_FIELD_INDEX]) + int(fields[UTIME_FIELD_INDEX + 1])
         return ticks / os.sysconf("SC_CLK_TCK")
 
 
 @asynccontextmanager
 async def run_fleet(size: int) -> AsyncIterator[FleetTestbed]:
-    """Run a fleet of `size` sidecars, and end all its processes whatever happens."""
-    endpoints = [CountingEndpoint(f"push-{number}", slots=SLOTS) for number in range(ENDPOINTS)]
+    """Run a fleet of `size` sidecars, and end all its processes on exit."""
+    endpoints = [CountingEndpoint(f"push-{number}", slots=SLOTS_PER_ENDPOINT) for number in range(ENDPOINTS)]
     with tempfile.TemporaryDirectory() as folder:
         for endpoint in endpoints:
             await endpoint.start()
         listed = [member(endpoint.name, endpoint.address) for endpoint in endpoints]
-        roster = DiscoveryService(listed)
-        async with roster.serve():
-            fleet = FleetTestbed(LocalFleet(Path(folder), roster.address, listed), endpoints, size)
+        discovery = DiscoveryService(listed)
+        async with discovery.serve():
+            fleet = FleetTestbed(LocalFleet(Path(folder), discovery.address, listed), endpoints, size)
             try:
                 await fleet.start()
                 yield fleet
@@ -153,7 +158,7 @@
 async def client_traffic(
     fleet: FleetTestbed, before_s: float = 1.0, after_s: float = 1.0
 ) -> AsyncIterator[Load]:
-    """Send requests at each sidecar, from `before_s` before the block to `after_s` after it."""
+    """Send requests to each sidecar, from `before_s` before the block to `after_s` after it."""
     load = Load()
     stop = asyncio.Event()
     clients = [
--- a/benchmarks/fleetrig.py
+++ b/benchmarks/fleetrig.py
@@ -1,10 +1,10 @@
-"""Many real processes under faults: 200 sidecars, 60 endpoints and five zones on one machine.
+"""Runs many real processes under faults: 200 sidecars, 60 endpoints and five zones on one machine.
 
-A large run in which a zone is cut off, a third of the sidecars is killed and comes back, and endpoints are
-drained; then the network against its own settings (`datagram_links`); then the model beside real processes on
-four scenarios with faults. Rules are judged by the endpoints' counts. Objectives: no rule broken, every
-statement of a scenario kept, ready within 60 s and finished within 150 s, and service and rejections of
-model and processes at most 0.03 apart.
+In a large run, a zone is cut off, a third of the sidecars is killed and restarted, and endpoints are drained.
+Then `datagram_links` measures the network against its configured faults. Last, four scenarios with faults
+compare the model with real processes. Rules are checked by the endpoints' counts. Objectives: no rule is
+broken, every statement of a scenario holds, the large run is ready within 60 s and finished within 150 s, and
+service and rejections of model and processes differ by at most 0.03.
 """
 
 from __future__ import annotations
@@ -28,7 +28,8 @@
 SEED = 1
 LARGE_RUN = "fleet-many"
 COMPARED = ("fleet-zone-cut", "fleet-rough-ways", "fleet-pauses", "fleet-kills")
-MAX_DIFFERENCE = 0.03  # of service and of rejections, between model and processes
+MAX_DIFFERENCE = 0.03
+"""Maximum difference of the shares of service and of rejections between model and processes."""
 MAX_READY_S = 60.0
 MAX_TOTAL_S = 150.0
 COMPARISON_COLUMNS = (
@@ -53,17 +54,17 @@
 def _measure_large_run(report: Report) -> None:
     loaded = scenario.load(LARGE_RUN)
     start = time.monotonic()
-    played = live.play_unless_void(report, LARGE_RUN, loaded, SEED, control=True)
+    run = live.play_unless_void(report, LARGE_RUN, loaded, SEED, control=True)
     total_s = time.monotonic() - start
-    if played is None:
+    if run is None:
         return
-    _add_large_run(report, loaded, played, total_s)
-    report.check_objective(not played.broken, f"{LARGE_RUN}: {played.broken}")
-    text = f"ready after {played.start_s:.1f} s, {MAX_READY_S:g} wanted"
-    report.check_objective(played.start_s <= MAX_READY_S, text)
-    text = f"{total_s:.0f} s in all, {MAX_TOTAL_S:g} wanted"
+    _add_large_run(report, loaded, run, total_s)
+    report.check_objective(not run.broken, f"{LARGE_RUN}: {run.broken}")
+    text = f"ready after {run.start_s:.1f} s, at most {MAX_READY_S:g} wanted"
+    report.check_objective(run.start_s <= MAX_READY_S, text)
+    text = f"{total_s:.0f} s in total, at most {MAX_TOTAL_S:g} wanted"
     report.check_objective(total_s <= MAX_TOTAL_S, text)
-    verdicts = statements.judge(join(loaded, played))
+    verdicts = statements.judge(join(loaded, run))
     _check_statements(report, LARGE_RUN, verdicts)
     report.add_table(
         "Statements of the large run",
@@ -72,41 +73,41 @@
     )
 
 
-def _add_large_run(report: Report, loaded: Scenario, played: LiveRunResult, total_s: float) -> None:
-    figures = played.metrics.figures()
+def _add_large_run(report: Report, loaded: Scenario, run: LiveRunResult, total_s: float) -> None:
+    figures = run.metrics.figures()
     report.add_row(
         loaded.sidecars,
         loaded.size,
         len(loaded.zones()),
-        played.start_s,
+        run.start_s,
         total_s,
         figures["asked"],
         100 * figures["service"],
         100 * figures["refused"],
         100 * figures["failed"],
-        played.memory_mb,
-        sum(played.cpu_s),
-        played.late_ms(),
-        played.backend.longest_stall_ns / 1e6,
-        played.excused,
+        run.memory_mb,
+        sum(run.cpu_s),
+        run.late_ms(),
+        run.backend.longest_stall_ns / 1e6,
+        run.excused,
     )
 
 
 def _compare_with_model(report: Report) -> None:
-    """Play the same requests and faults in the model and with real processes."""
+    """Run the same requests and faults in the model and with real processes."""
     comparison = ModelComparison(MAX_DIFFERENCE)
     rows: list[tuple[Cell, ...]] = []
     for name in COMPARED:
         loaded = scenario.load(name)
         model = experiments.one(Case(name, loaded, "ours", SEED))
-        played = live.play_unless_void(report, name, loaded, SEED, control=True)
-        if played is None:
+        run = live.play_unless_void(report, name, loaded, SEED, control=True)
+        if run is None:
             continue
-        real = played.metrics.figures()
-        verdicts = statements.judge(join(loaded, played))
-        rows.append(_comparison_row(name, model.figures, real, verdicts, played))
-        met = not played.broken and not model.broken
-        report.check_objective(met, f"{name}: {played.broken or model.broken}")
+        real = run.metrics.figures()
+        verdicts = statements.judge(join(loaded, run))
+        rows.append(_comparison_row(name, model.figures, real, verdicts, run))
+        met = not run.broken and not model.broken
+        report.check_objective(met, f"{name}: {run.broken or model.broken}")
         _check_statements(report, name, verdicts)
         comparison.add(name, real, model.figures)
         comparison.check_objectives(report, name)
@@ -119,7 +120,7 @@
     model: dict[str, Any],
     real: dict[str, Any],
     verdicts: list[Verdict],
-    played: LiveRunResult,
+    run: LiveRunResult,
 ) -> tuple[Cell, ...]:
     met = sum(verdict.holds for verdict in verdicts)
     return (
@@ -132,7 +133,7 @@
         f"{100 * model['failed']:.1f}",
         f"{100 * real['failed']:.1f}",
         f"{met} of {len(verdicts)}",
-        f"{played.late_ms():.1f}",
+        f"{run.late_ms():.1f}",
     )
 
 
@@ -143,7 +144,7 @@
 
 
 BENCHMARK = Benchmark(
-    "Many real processes: a zone cut off, a third killed and back, drains",
+    "Many real processes: a zone cut off, a third of the sidecars killed and restarted, drains",
     (
         "sidecars",
         "endpoints",
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,8 +1,8 @@
-"""How fast the lab's model simulates, and how it ranks policies.
+"""Measures the speed of the lab's model, and compares load-balancing policies in it.
 
-Measured on one core: simulated requests a second by the size of the fleet; customers a second of the model's
-event heap beside simpy's, where simpy is installed, on the same queue (M/M/1); 5,000 sidecars for a minute.
-Policies are ranked by their service at the site on days with faults. There is no objective.
+On one core it measures the simulated requests per second by fleet size; the customers per second of an M/M/1
+queue on the model's event heap and, if simpy is installed, on simpy's; and one minute of 5,000 sidecars.
+Policies are compared by their service in the scenario `site`, on days with faults. There is no objective.
 """
 
 from __future__ import annotations
@@ -28,22 +28,26 @@
 from benchmarks.runner import Benchmark
 
 REQUESTS = 20_000
-CORES = 3  # of an endpoint
+CORES_PER_ENDPOINT = 3
 REQUESTS_PER_CORE_S = 50
-LOAD = 0.4  # of the capacity
+LOAD_FRACTION = 0.4
+"""Fraction of the fleet's capacity."""
 MAX_REQUESTS_PER_S = 2000.0
 
 CUSTOMERS = 200_000
 QUEUE_RUNS = 3
-SERVICE_TIME = 0.8  # of a customer; one arrives each unit of time, in the mean
-NS = 1e9
+MEAN_SERVICE_TIME = 0.8
+"""A customer's mean service time, in units of the mean time between two arrivals."""
+NS_PER_TIME_UNIT = 1e9
 END_NS = 10**18
 
-LARGE_FLEET = ("sidecars=5000", "seconds=60", "warm_s=0")  # of `big`: 60 endpoints, 1,500 a second
+LARGE_FLEET_CHANGES = ("sidecars=5000", "seconds=60", "warm_s=0")
+"""Changes of the scenario `big`, which has 60 endpoints and 1,500 requests per second."""
 POLICIES = ("random", "least-open", "ours")
 OUR_POLICY = "ours"
 SEEDS = (1, 2, 3)
-DAYS: dict[str, list[dict[str, Any]]] = {  # at the site, with the kinds of faults that its operators play
+# Faults in the scenario `site`, of the kinds that its operators inject.
+FAULTS_BY_DAY: dict[str, list[dict[str, Any]]] = {
     "quiet": [],
     "errors, slow": [
         {"kind": "fail", "at_s": 5, "for_s": 15, "size": 0.8, "part": 0.1},
@@ -79,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Speed:
-    """How fast a fleet was simulated."""
+    """The speed of a simulation."""
 
     requests_per_cpu_s: float
     events_per_request: float
 
 
 def simulate(size: FleetSize) -> Speed:
-    """Simulate a fleet and measure the CPU time."""
-    capacity_per_s = size.endpoints * CORES * REQUESTS_PER_CORE_S
-    per_s = min(LOAD * capacity_per_s, MAX_REQUESTS_PER_S)
+    """Simulate a fleet, and return the speed by CPU time."""
+    capacity_per_s = size.endpoints * CORES_PER_ENDPOINT * REQUESTS_PER_CORE_S
+    per_s = min(LOAD_FRACTION * capacity_per_s, MAX_REQUESTS_PER_S)
     raw = {
         "seconds": REQUESTS / per_s,
         "warm_s": 1,
@@ -104,34 +108,34 @@
 
 
 class Queue:
-    """An M/M/1 queue at a load of 0.8, on the model's own event heap."""
+    """An M/M/1 queue at a load of 0.8, on the model's event heap."""
 
     def __init__(self) -> None:
         self._exponential = RandomStreams(1).named("queue").exponential
         self.clock = Clock()
-        self._waiting = 0
-        self._to_come = CUSTOMERS
+        self._customers = 0
+        self._remaining_arrivals = CUSTOMERS
 
     def arrive(self) -> None:
-        """Let a customer arrive, and schedule the next one."""
-        self._waiting += 1
-        if self._waiting == 1:
+        """Add a customer, and schedule the next arrival."""
+        self._customers += 1
+        if self._customers == 1:
             self._schedule_departure()
-        self._to_come -= 1
-        if self._to_come:
-            self.clock.after(int(self._exponential(NS)), self.arrive)
+        self._remaining_arrivals -= 1
+        if self._remaining_arrivals:
+            self.clock.after(int(self._exponential(NS_PER_TIME_UNIT)), self.arrive)
 
     def _schedule_departure(self) -> None:
-        self.clock.after(int(self._exponential(SERVICE_TIME * NS)), self._leave)
+        self.clock.after(int(self._exponential(MEAN_SERVICE_TIME * NS_PER_TIME_UNIT)), self._depart)
 
-    def _leave(self) -> None:
-        self._waiting -= 1
-        if self._waiting:
+    def _depart(self) -> None:
+        self._customers -= 1
+        if self._customers:
             self._schedule_departure()
 
 
-def own_heap() -> float:
-    """Return customers of the queue a CPU second, on the model's own event heap."""
+def run_own_heap() -> float:
+    """Return the queue's customers per CPU second, on the model's event heap."""
     queue = Queue()
     start = time.process_time()
     queue.clock.after(0, queue.arrive)
@@ -139,8 +143,8 @@
     return CUSTOMERS / (time.process_time() - start)
 
 
-def with_simpy() -> float:
-    """Return customers of the queue a CPU second, on simpy's."""
+def run_simpy() -> float:
+    """Return the queue's customers per CPU second, on simpy's event heap."""
     simpy: Any = import_module("simpy")
     exponential = RandomStreams(1).named("queue").exponential
     environment = simpy.Environment()
@@ -149,7 +153,7 @@
     def customer() -> Any:
         with server.request() as turn:
             yield turn
-            yield environment.timeout(exponential(SERVICE_TIME))
+            yield environment.timeout(exponential(MEAN_SERVICE_TIME))
 
     def arrivals() -> Any:
         for _ in range(CUSTOMERS):
@@ -179,21 +183,25 @@
 
 
 def _measure_heaps(report: Report) -> None:
-    heaps: dict[str, Callable[[], float]] = {"own heap": own_heap}
+    heaps: dict[str, Callable[[], float]] = {"own heap": run_own_heap}
     if find_spec("simpy"):
-        heaps["simpy"] = with_simpy
+        heaps["simpy"] = run_simpy
     rows: list[tuple[Cell, ...]] = []
     for name, measure in heaps.items():
         spread = Spread.of(measure() for _ in range(QUEUE_RUNS))
         rows.append((name, round(spread.maximum)))
-        report.add_note(f"M/M/1, {name}: {spread.minimum:,.0f} to {spread.maximum:,.0f} customers a second")
-    report.add_table("M/M/1 at 0.8, customers a second, the best of three", ("events by", "a second"), *rows)
+        report.add_note(f"M/M/1, {name}: {spread.minimum:,.0f} to {spread.maximum:,.0f} customers per second")
+    report.add_table(
+        "M/M/1 at a load of 0.8, customers per second, the best of three runs",
+        ("events by", "a second"),
+        *rows,
+    )
 
 
 def _rank_policies(report: Report) -> None:
-    """Add the service by day and policy, the means of the seeds."""
+    """Report the service by day and policy, as means over the seeds."""
     site: dict[str, Any] = msgspec.to_builtins(load("site"))
-    scenarios = {day: from_raw(site | {"troubles": faults}, day) for day, faults in DAYS.items()}
+    scenarios = {day: from_raw(site | {"troubles": faults}, day) for day, faults in FAULTS_BY_DAY.items()}
     cases = [
         Case(day, scenario, policy, seed)
         for day, scenario in scenarios.items()
@@ -202,14 +210,14 @@
     ]
     results = many(cases, Results(None))
     rows: list[tuple[Cell, ...]] = []
-    for day in DAYS:
+    for day in FAULTS_BY_DAY:
         service = {policy: _service_by_seed(results, day, policy) for policy in POLICIES}
         rows.append((day, *(f"{sum(values) / len(values):.3f}" for values in service.values())))
         for policy in POLICIES:
             if policy != OUR_POLICY:
                 spread = differences(pair_up(service[OUR_POLICY], service[policy]))
-                report.add_note(f"{day}: service of ours less {policy}, {len(SEEDS)} seeds: {spread}")
-    report.add_table("Service at the site, means of three seeds", ("day", *POLICIES), *rows)
+                report.add_note(f"{day}: service of ours minus {policy}, {len(SEEDS)} seeds: {spread}")
+    report.add_table("Service in the scenario site, means of three seeds", ("day", *POLICIES), *rows)
 
 
 def _service_by_seed(results: list[Result], day: str, policy: str) -> list[float]:
@@ -217,7 +225,7 @@
 
 
 def _simulate_large_fleet(report: Report) -> None:
-    _, scenario = vary(load("big"), LARGE_FLEET, "big")
+    _, scenario = vary(load("big"), LARGE_FLEET_CHANGES, "big")
     start = time.process_time()
     metrics = World(scenario, 1).run()
     cpu_s = time.process_time() - start
--- a/benchmarks/live.py
+++ b/benchmarks/live.py
@@ -1,4 +1,4 @@
-"""Runs of a lab scenario with real processes, for the benchmarks."""
+"""Runs lab scenarios with real processes, for the benchmarks."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 def play(
     scenario: Scenario, seed: int, checkout: Path | None = None, *, control: bool = False
 ) -> live_run.LiveRunResult:
-    """Play a scenario with real sidecars.
+    """Run a scenario with real sidecars.
 
     Args:
-        scenario: What to play.
-        seed: Of the clients' arrivals and the faults.
-        checkout: The root of another checkout, whose sidecars are played; None is this one.
+        scenario: The scenario.
+        seed: Seed of the clients' arrivals and of the faults.
+        checkout: The root of another checkout whose sidecars to run; None for this one.
         control: Whether the sidecars' events are read from their control sockets.
 
     Raises:
-        VoidError: The machine was too busy for the run to say anything.
+        VoidError: The machine was too busy for the run to be valid.
     """
     return asyncio.run(live_run.play(scenario, seed, checkout, control=control))
 
@@ -37,7 +37,7 @@
     *,
     control: bool = False,
 ) -> live_run.LiveRunResult | None:
-    """Play a scenario like `play`; a void run is a missed objective, and returns None."""
+    """Run a scenario like `play`, or return None for a void run, which counts as a missed objective."""
     try:
         return play(scenario, seed, checkout, control=control)
     except VoidError as error:
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,7 +1,8 @@
-"""What membership costs a member at rest, for the benchmark `membership`.
+"""Measures the cost of membership for a member of an idle fleet, for the benchmark `membership`.
 
-CPU time: of real sidecars with membership, less the same without it. Datagrams, bytes and memory: of the pure
-protocol in virtual time, for fleets of up to 5,000. The objective is at most 0.5 % of a core a member.
+The CPU time is that of real sidecars with membership, minus that of sidecars without it. Datagrams, bytes and
+memory are those of the protocol alone in virtual time, for fleets of up to 5,000. The objective is at most
+0.5 % of a core per member.
 """
 
 from __future__ import annotations
@@ -22,20 +23,22 @@
 
 SEED = 1
 FLEET_SIZE = 50
-CPU_SECONDS = 30
-MAX_CPU_PERCENT = 0.5  # of a core, each member
-SIZES = (10, 50, 200, 1000, 5000)
+CPU_RUN_S = 30
+MAX_CPU_PERCENT = 0.5
+"""Percent of a core per member."""
+FLEET_SIZES = (10, 50, 200, 1000, 5000)
 SIMULATED_S = 20
-SAMPLE = 40  # members that are simulated; the others only answer
-BOOT = 5
+SAMPLED_MEMBERS = 40
+"""Members that are simulated; the others only acknowledge pings."""
+BOOT_NUMBER = 5
 SECOND_NS = 10**9
 
 
 def _cpu_by_member(report: Report, *, with_membership: bool) -> list[float] | None:
-    """Return the CPU time of each member of a fleet at rest, as percent of a core; None: a void run."""
+    """Return the CPU time of each member of an idle fleet in percent of a core, or None for a void run."""
     raw = {
         "sidecars": FLEET_SIZE,
-        "seconds": CPU_SECONDS,
+        "seconds": CPU_RUN_S,
         "talk": with_membership,
         "traffic": {"per_s": 0},
     }
@@ -43,7 +46,7 @@
     run = play(report, name, raw)
     if run is None:
         return None
-    return [100 * cpu_s / (CPU_SECONDS + WARMUP_S) for cpu_s in run.played.cpu_s]
+    return [100 * cpu_s / (CPU_RUN_S + WARMUP_S) for cpu_s in run.live_run.cpu_s]
 
 
 def _measure_cpu(report: Report) -> None:
@@ -54,29 +57,29 @@
     members = pair_up(measured, reference)
     mean = statistics.fmean(member.difference for member in members)
     report.add_note(
-        f"CPU of membership at rest: {mean:.2f} % of a core a member "
+        f"CPU of membership when idle: {mean:.2f} % of a core per member "
         f"({FLEET_SIZE} members, one pair; by member: {differences(members)})"
     )
-    text = f"{mean:.2f} % of a core, {MAX_CPU_PERCENT:g} wanted"
+    text = f"{mean:.2f} % of a core per member, at most {MAX_CPU_PERCENT:g} wanted"
     report.check_objective(mean <= MAX_CPU_PERCENT, text)
 
 
 @dataclass
 class Traffic:
-    """What simulated members sent."""
+    """Datagrams and bytes that the simulated members sent."""
 
     datagrams: int = 0
     octets: int = 0
 
 
 def simulate(size: int, seconds: int) -> list[float]:
-    """Simulate members of a fleet at rest, in virtual time.
+    """Simulate members of an idle fleet, in virtual time.
 
     Returns:
-        Datagrams and bytes a member a second, and the MB that a member's state takes.
+        Datagrams and bytes per member and second, and the size of a member's state in MB.
     """
     tracemalloc.start()
-    members = _members_that_know_all(size)
+    members = _sample_members(size)
     state_mb = tracemalloc.get_traced_memory()[0] / len(members) / 1e6
     tracemalloc.stop()
     traffic = _run(members, seconds * SECOND_NS)
@@ -84,15 +87,15 @@
     return [traffic.datagrams / member_seconds, traffic.octets / member_seconds, state_mb]
 
 
-def _members_that_know_all(size: int) -> dict[int, MembershipProtocol]:
-    """Return a sample of the members, past all that a start causes."""
+def _sample_members(size: int) -> dict[int, MembershipProtocol]:
+    """Return a sample of the members: all others are in their view, and the start left no updates."""
     random = Random(SEED)
-    numbers = range(0, size, max(1, size // SAMPLE))
-    members = {number: MembershipProtocol(number, BOOT, size, random.randrange) for number in numbers}
+    numbers = range(0, size, max(1, size // SAMPLED_MEMBERS))
+    members = {number: MembershipProtocol(number, BOOT_NUMBER, size, random.randrange) for number in numbers}
     for number, member in members.items():
         for other in range(size):
             if other != number:
-                member.receive(0, other, Message(MessageKind.GOSSIP, BOOT, 0))
+                member.receive(0, other, Message(MessageKind.GOSSIP, BOOT_NUMBER, 0))
         member.start(0)
         member._anti_entropy._initial_buckets.clear()
         member._state.broadcasts = type(member.broadcasts)(member.config, member.local.member)
@@ -116,16 +119,16 @@
 
 
 def _ack(sender: int, ping: Message) -> Message:
-    return Message(MessageKind.ACK, BOOT, 0, sequence=ping.sequence, target=sender)
+    return Message(MessageKind.ACK, BOOT_NUMBER, 0, sequence=ping.sequence, target=sender)
 
 
 def measure_cost(report: Report) -> None:
-    """Add CPU time, traffic and memory of members at rest."""
+    """Report CPU time, traffic and memory of members of an idle fleet."""
     _measure_cpu(report)
     rows: list[tuple[Cell, ...]] = []
-    for size in SIZES:
-        # In a process of its own, as the memory that others freed would be counted for what it is not.
+    for size in FLEET_SIZES:
+        # A new process for each size, as memory that an earlier one had freed would distort the figure.
         figures = call(ROOT, "membership_cost.simulate", size, SIMULATED_S)
         rows.append((str(size), *(f"{figure:.2f}" for figure in figures)))
     columns = ("members", "datagrams/s", "bytes/s", "MB")
-    report.add_table("Cores alone at rest, in virtual time", columns, *rows)
+    report.add_table("The protocol alone when idle, in virtual time", columns, *rows)
--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -1,7 +1,7 @@
-"""Measurements in pairs, taken in turn, and the spread of repeated values.
+"""Takes measurements in pairs, and computes the spread of repeated values.
 
-What else runs on the machine changes from minute to minute. Two programs are therefore compared by pairs
-that are measured right after one another, and a figure that is compared is reported with its spread.
+The other load on the machine changes from minute to minute. Two programs are therefore compared by pairs of
+measurements that directly follow each other, and a compared figure is reported with its spread.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Median, quartiles and extremes of repeated values."""
+    """Minimum, quartiles, median and maximum of repeated values."""
 
     minimum: float
     lower: float
@@ -33,15 +33,15 @@
         """
         ordered = sorted(values)
         if not ordered:
-            raise ValueError("found no values, wanted at least one")
+            raise ValueError("cannot compute the spread of no values, at least one is needed")
         lower, median, upper = statistics.quantiles(ordered, n=4) if len(ordered) > 1 else ordered * 3
         minimum, maximum = ordered[0], ordered[-1]
-        # The quartiles of two values would lie outside of them.
+        # The quartiles that `statistics` extrapolates from two values lie outside of them.
         return cls(minimum, max(minimum, lower), median, min(maximum, upper), maximum)
 
     @property
     def quartiles(self) -> str:
-        """The middle half of the values."""
+        """The range of the middle half of the values, as text."""
         return f"{self.lower:.3f} to {self.upper:.3f}"
 
     def __str__(self) -> str:
@@ -50,24 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """A figure and the one that it is compared with, measured one right after the other."""
+    """A figure and its reference, from directly successive measurements."""
 
     measured: float
     reference: float
 
     @property
     def ratio(self) -> float:
-        """How many times the reference was measured."""
+        """The figure divided by its reference."""
         return self.measured / self.reference
 
     @property
     def difference(self) -> float:
-        """What was measured, less the reference."""
+        """The figure minus its reference."""
         return self.measured - self.reference
 
 
 def pair_up(measured: Iterable[float], reference: Iterable[float]) -> list[Pair]:
-    """Pair figures by position; both have the same number of them."""
+    """Pair figures by position; both iterables have the same length."""
     return [Pair(*figures) for figures in zip(measured, reference, strict=True)]
 
 
@@ -82,7 +82,7 @@
 
 
 def in_turn(arms: Sequence[Arm], rounds: int) -> Iterator[Arm]:
-    """Yield each arm once a round. Every other round is reversed, so that a drift falls on all alike."""
+    """Yield each arm once per round. Every other round is reversed, so that drift affects all alike."""
     for number in range(rounds):
         yield from arms if number % 2 == 0 else arms[::-1]
 
@@ -90,9 +90,9 @@
 def measure_pairs(
     measured: Callable[[], float], reference: Callable[[], float], count: int
 ) -> Iterator[Pair]:
-    """Call both functions in turn and yield `count` pairs of what they return.
+    """Call both functions alternately, and yield `count` pairs of their results.
 
-    Every other pair begins with the reference, so that a drift of the machine falls on both alike.
+    Every other pair begins with the reference, so that a drift of the machine affects both equally.
     """
     for number in range(count):
         if number % 2 == 0:
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -1,7 +1,8 @@
-"""The model beside real processes: six scenarios of the library, the same requests in both.
+"""Compares the model with real processes on six scenarios of the library, with the same requests in both.
 
-Sidecars are real processes over loopback; a run whose clients were late themselves is void and says so. The
-objective for each scenario: no rule broken, and service and rejections at most 0.03 apart.
+Sidecars are real processes over loopback. A run whose clients sent their requests late is void, and
+reported as such. The objective for each scenario: no rule is broken, and service and rejections differ by at
+most 0.03.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 SECONDS = 20.0
 WARMUP_S = 4.0
 SEED = 1
-MAX_DIFFERENCE = 0.03  # of service and of rejections
+MAX_DIFFERENCE = 0.03
+"""Maximum difference of the shares of service and of rejections."""
 
 
 def _load(name: str) -> Scenario:
@@ -35,21 +37,21 @@
     for name in SCENARIOS:
         loaded = _load(name)
         model = experiments.one(Case(name, loaded, "ours", SEED)).figures
-        played = live.play_unless_void(report, name, loaded, SEED)
-        if played is None:
+        run = live.play_unless_void(report, name, loaded, SEED)
+        if run is None:
             continue
-        real = played.metrics.figures()
-        _add_row(report, name, model, real, played)
-        report.check_objective(not played.broken, f"{name}: {played.broken or 'rules kept'}")
+        real = run.metrics.figures()
+        _add_row(report, name, model, real, run)
+        report.check_objective(not run.broken, f"{name}: {run.broken or 'rules kept'}")
         comparison.add(name, real, model)
         comparison.check_objectives(report, name)
     comparison.add_notes(report)
 
 
 def _add_row(
-    report: Report, name: str, model: dict[str, Any], real: dict[str, Any], played: LiveRunResult
+    report: Report, name: str, model: dict[str, Any], real: dict[str, Any], run: LiveRunResult
 ) -> None:
-    attempts = max(1, played.metrics.tries)
+    attempts = max(1, run.metrics.tries)
     report.add_row(
         name,
         real["asked"],
@@ -61,8 +63,8 @@
         real["p50_ms"],
         model["p99_ms"],
         real["p99_ms"],
-        played.late_ms(),
-        f"{1000 * sum(played.cpu_s) / attempts:.2f}",
+        run.late_ms(),
+        f"{1000 * sum(run.cpu_s) / attempts:.2f}",
     )
 
 
--- a/benchmarks/records/__init__.py
+++ b/benchmarks/records/__init__.py
@@ -1,8 +1,8 @@
-"""Request records: what they cost, that a stalled receiver costs nothing, and that their account holds.
+"""Measures the cost of request records, the effect of a stalled receiver, and the accuracy of their counts.
 
-A real sidecar with records and one without are measured in turn, with a receiver in a process of its own that
-is paused and resumed, so that every comparison is of pairs within one run. The objectives are stated in each
-part: `latency`, `cpu`, `stall`, `soak`, `escaping`, `trace`. About five minutes.
+A real sidecar with records and one without are run alternately, so that the compared pairs are from one run.
+The receiver, a separate process, is paused and resumed. The modules `latency`, `cpu`, `stall`, `soak`,
+`escaping` and `trace` state their objectives. A run takes about five minutes.
 """
 
 from __future__ import annotations
--- a/benchmarks/records/cpu.py
+++ b/benchmarks/records/cpu.py
@@ -1,6 +1,6 @@
-"""CPU time of a sidecar with records, in pairs with one without.
+"""Measures the CPU time of a sidecar with records, in pairs with one without.
 
-The objective: a record costs at most 5 % of a request.
+The objective: a record costs at most 5 % of the CPU time of a request.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 PAIRS = 10
 WINDOW_S = 2.0
 REQUESTS_PER_S = 500.0
-MAX_COST = 0.05
+MAX_COST_SHARE = 0.05
 
 
 async def _measure_pairs() -> list[Pair]:
-    """Return microseconds a request with records, and without as the reference."""
+    """Return the microseconds per request with records, paired with those without as the reference."""
     cpu_us: dict[str, list[float]] = {name: [] for name in SIDECARS}
     async with run_testbed() as testbed:
         await testbed.warm_up(REQUESTS_PER_S)
@@ -31,7 +31,7 @@
 
 
 def measure_cpu(report: Report) -> None:
-    """Add what a record costs."""
+    """Report the CPU cost of a record."""
     pairs = asyncio.run(_measure_pairs())
     request_us = statistics.median(pair.reference for pair in pairs)
     record_us = statistics.median(pair.difference for pair in pairs)
@@ -42,5 +42,5 @@
         (f"{request_us:.0f}", f"{record_us:.1f}", f"{spread.median:.3f}", spread.quartiles),
     )
     cost_percent = 100 * (spread.median - 1)
-    text = f"a record is {cost_percent:.1f} % of a request, {100 * MAX_COST:g} wanted"
-    report.check_objective(spread.median <= 1 + MAX_COST, text)
+    text = f"a record costs {cost_percent:.1f} % of a request, at most {100 * MAX_COST_SHARE:g} wanted"
+    report.check_objective(spread.median <= 1 + MAX_COST_SHARE, text)
--- a/benchmarks/records/escaping.py
+++ b/benchmarks/records/escaping.py
@@ -1,6 +1,6 @@
-"""Names drawn by hypothesis, each in a record, through the strict receiver's parser and back.
+"""Checks that names drawn by hypothesis survive escaping in a record and the strict receiver's parser.
 
-The objective: 100,000 names come back as they were.
+The objective: 100,000 names are decoded unchanged.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 
 NAMES = 100_000
 NAMES_PER_EXAMPLE = 100
-MAX_NAME = 200  # characters or bytes
+MAX_NAME_LENGTH = 200
+"""Characters of a text, or bytes of a byte string."""
 MAX_VALUE_BYTES = 4000
 MAX_MESSAGE_BYTES = 5000
 SPECIAL_CHARACTERS = '"\\]\n\r\0%\u2028\u0085\ud800ñ界'
@@ -34,23 +35,23 @@
     """Encode a record with `name` and parse it again.
 
     Raises:
-        AssertionError: The name came back as another.
+        AssertionError: The decoded name differs.
     """
     octets = name if isinstance(name, bytes) else name.encode("utf-8", "surrogatepass")
     element = Element(ELEMENT, [Param("member", escape_value(name, MAX_VALUE_BYTES))])
     data = encode_message(HEADER, [element], max_bytes=MAX_MESSAGE_BYTES)
     decoded, is_truncated = unescape_value(parse(data).first(ELEMENT)["member"])
     if decoded != octets or is_truncated:
-        raise AssertionError(f"{name!r} came back as {decoded!r}")
+        raise AssertionError(f"{name!r} was decoded as {decoded!r}")
 
 
 def _check_drawn_names() -> int:
-    """Check names drawn by hypothesis, and return how many."""
+    """Check names drawn by hypothesis, and return their number."""
     from hypothesis import HealthCheck, Phase, given, settings
     from hypothesis import strategies as st
 
     characters = st.one_of(st.sampled_from(SPECIAL_CHARACTERS), st.characters())
-    name = st.one_of(st.text(characters, max_size=MAX_NAME), st.binary(max_size=MAX_NAME))
+    name = st.one_of(st.text(characters, max_size=MAX_NAME_LENGTH), st.binary(max_size=MAX_NAME_LENGTH))
     checked = 0
 
     @settings(
@@ -72,10 +73,10 @@
 
 
 def measure_escaping(report: Report) -> None:
-    """Add how many names came back as they were."""
+    """Report how many names were decoded unchanged."""
     start = time.monotonic()
     checked = _check_drawn_names()
     took_s = time.monotonic() - start
-    text = f"{checked} records with names drawn by hypothesis came back as they were, {took_s:.0f} s"
+    text = f"{checked} records with names drawn by hypothesis decoded unchanged in {took_s:.0f} s"
     report.add_note(text)
-    report.check_objective(checked >= NAMES, f"{checked} names, {NAMES} wanted")
+    report.check_objective(checked >= NAMES, f"{checked} names checked, at least {NAMES} wanted")
--- a/benchmarks/records/latency.py
+++ b/benchmarks/records/latency.py
@@ -1,7 +1,7 @@
-"""Latency of requests while the receiver of their records reads, and while it is paused.
+"""Compares the latency of requests while the receiver of their records reads and while it is paused.
 
-Windows of four arms in turn. The objective: the paused arm's quantiles are within 1 % of the running one's,
-or within the middle half of what two arms without records differ among themselves, whichever is more.
+Windows of four arms alternate. The objective: the paused arm's quantiles are within 1 % of the running arm's,
+or within the middle half of the differences between the two arms without records, whichever is more.
 """
 
 from __future__ import annotations
@@ -17,16 +17,18 @@
 WINDOW_S = 1.5
 REQUESTS_PER_S = 250.0
 QUANTILES = (0.5, 0.99)
-MAX_DIFFERENCE = 0.01
+MAX_DIFFERENCE_SHARE = 0.01
 
 
 class Arm(Enum):
-    """What a window measures. The value is its printed name."""
+    """The configuration of a window. The value is its printed name."""
 
     RUNNING = "running"
     PAUSED = "paused"
-    NONE = "none"  # without records
+    NONE = "none"
+    """The sidecar without records."""
     NONE_AGAIN = "none again"
+    """The same again, as a baseline."""
 
     @property
     def sidecar(self) -> str:
@@ -34,7 +36,8 @@
         return WITH_RECORDS if self in (Arm.RUNNING, Arm.PAUSED) else WITHOUT_RECORDS
 
 
-Windows = dict[Arm, list[list[float]]]  # latencies in ms
+Windows = dict[Arm, list[list[float]]]
+"""Latencies in ms, in a list for each window."""
 
 
 async def _run_windows() -> Windows:
@@ -59,29 +62,29 @@
 
 
 def _add_quantile(report: Report, windows: Windows, quantile: float) -> tuple[Cell, ...]:
-    """Check the objective of a quantile, and return its row."""
+    """Check the objective for a quantile, and return its row."""
     by_arm = {arm: [_quantile(window, quantile) for window in windows[arm]] for arm in Arm}
     pooled = [_quantile([ms for window in windows[arm] for ms in window], quantile) for arm in Arm]
     paused = ratios(pair_up(by_arm[Arm.PAUSED], by_arm[Arm.RUNNING]))
-    unchanged = ratios(pair_up(by_arm[Arm.NONE_AGAIN], by_arm[Arm.NONE]))
-    allowed = max(MAX_DIFFERENCE, abs(unchanged.upper - 1), abs(1 - unchanged.lower))
+    baseline = ratios(pair_up(by_arm[Arm.NONE_AGAIN], by_arm[Arm.NONE]))
+    allowed = max(MAX_DIFFERENCE_SHARE, abs(baseline.upper - 1), abs(1 - baseline.lower))
     name = f"p{100 * quantile:g}"
-    text = f"{name} paused over running {paused.median:.3f}, wanted within {allowed:.3f} of 1"
+    text = f"{name} paused / running {paused.median:.3f}, within {allowed:.3f} of 1 wanted"
     report.check_objective(abs(paused.median - 1) <= allowed, text)
-    report.add_note(f"{name} paused over running, {PAIRS} pairs: {paused}")
+    report.add_note(f"{name} paused / running, {PAIRS} pairs: {paused}")
     return (
         name,
         *(f"{ms:.2f}" for ms in pooled),
         f"{paused.median:.3f}",
-        f"{unchanged.median:.3f}",
-        unchanged.quartiles,
+        f"{baseline.median:.3f}",
+        baseline.quartiles,
     )
 
 
 def measure_latency(report: Report) -> None:
-    """Add the latency by arm."""
+    """Report the latency of each arm."""
     windows = asyncio.run(_run_windows())
     rows = [_add_quantile(report, windows, quantile) for quantile in QUANTILES]
     columns = ("", *(f"{arm.value} ms" for arm in Arm), "paused / running", "none / none", "its middle half")
-    title = f"Latency at {REQUESTS_PER_S:g} a second, {PAIRS} pairs of {WINDOW_S:g} s"
+    title = f"Latency at {REQUESTS_PER_S:g} requests per second, {PAIRS} pairs of {WINDOW_S:g} s"
     report.add_table(title, columns, *rows)
--- a/benchmarks/records/soak.py
+++ b/benchmarks/records/soak.py
@@ -1,6 +1,6 @@
-"""Soak runs of the recorder against a receiver that stalls, resets its connections and restarts.
+"""Runs the recorder against a receiver that stalls, resets its connections and restarts.
 
-The objective: in none of 50 seeded runs does the receiver's count contradict the recorder's account.
+The objective: in none of 50 seeded runs do the receiver's counts contradict the recorder's.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 def measure_soak(report: Report) -> None:
-    """Add the sums over all runs."""
+    """Report the sums over all runs."""
     with ProcessPoolExecutor(os.cpu_count()) as pool:
         runs = list(pool.map(_run, range(1, SEEDS + 1)))
     report.add_table(
-        "Evenings with stalls, resets and restarts, counted by the receiver",
+        "Soak runs with stalls, resets and restarts, counted by the receiver",
         ("seeds", "answered", "came", "told as dropped", "told as unsure", "cut in a record"),
         (
             SEEDS,
@@ -36,5 +36,5 @@
         ),
     )
     faults = [fault for run in runs for fault in run.failures]
-    text = f"{len(faults)} faults in the account, the first: {faults[:1]}"
+    text = f"{len(faults)} contradictions in the counts, the first: {faults[:1]}"
     report.check_objective(not faults, text)
--- a/benchmarks/records/stall.py
+++ b/benchmarks/records/stall.py
@@ -1,7 +1,7 @@
-"""A receiver that stalls for a minute while requests come as fast as one process can send them.
+"""Stalls the receiver for a minute, while one process sends requests to the sidecar as fast as it can.
 
 Objectives: at most 1 MB more memory in the last third of the stall, every record arrives or is reported as
-dropped, and the receiver finds nothing wrong in what it reads.
+dropped, and the receiver finds no fault in the records.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StallRun:
-    """What became of the records.
+    """The outcome of a stall.
 
     Attributes:
-        answered: Requests that were answered.
-        memory_mb: The sidecar's memory, each second of the stall.
-        counts: What the receiver counted.
+        answered: Number of answered requests.
+        memory_mb: The sidecar's memory in each second of the stall.
+        counts: The receiver's counts.
     """
 
     answered: int
@@ -43,15 +43,15 @@
         return int(self.counts["seen"].get("gap.dropped", 0))
 
     @property
-    def third(self) -> int:
-        """How many samples are a third of the stall."""
+    def samples_per_third(self) -> int:
+        """Number of memory samples in a third of the stall."""
         return len(self.memory_mb) // 3
 
     @property
     def growth_mb(self) -> float:
-        """The greatest memory of the last third, less that of the second."""
-        second = self.memory_mb[self.third : 2 * self.third]
-        last = self.memory_mb[2 * self.third :]
+        """The peak memory of the last third, minus that of the second."""
+        second = self.memory_mb[self.samples_per_third : 2 * self.samples_per_third]
+        last = self.memory_mb[2 * self.samples_per_third :]
         return max(last) - max(second)
 
 
@@ -71,11 +71,11 @@
 
 
 def measure_stall(report: Report) -> None:
-    """Add what became of the records, and of the sidecar's memory."""
+    """Report the counts of records and the sidecar's memory."""
     run = asyncio.run(_run_stall())
-    samples = (0, run.third, 2 * run.third, -1)
+    samples = (0, run.samples_per_third, 2 * run.samples_per_third, -1)
     report.add_table(
-        f"A stall of {STALL_S:g} s, as fast as one process can ask",
+        f"A stall of {STALL_S:g} s, requests as fast as one process can send them",
         ("answered", "a second", "MB at 1, 20, 40, 60 s", "last third", "came", "told as dropped"),
         (
             run.answered,
@@ -86,9 +86,9 @@
             run.dropped,
         ),
     )
-    text = f"{run.growth_mb:.2f} MB more in the last third of the stall, {MAX_GROWTH_MB:g} wanted"
+    text = f"{run.growth_mb:.2f} MB more in the last third of the stall, at most {MAX_GROWTH_MB:g} wanted"
     report.check_objective(run.growth_mb <= MAX_GROWTH_MB, text)
-    text = f"{run.received} came and {run.dropped} were told as dropped of {run.answered}"
+    text = f"{run.received} records arrived and {run.dropped} were reported as dropped, of {run.answered}"
     report.check_objective(run.received + run.dropped == run.answered, text)
     faults = run.counts["faults"]
     report.check_objective(not faults, f"the receiver found faults: {faults[:1]}")
--- a/benchmarks/records/testbed.py
+++ b/benchmarks/records/testbed.py
@@ -1,4 +1,4 @@
-"""Two real sidecars, one with records and one without, an endpoint, and a syslog receiver on loopback."""
+"""Runs a sidecar with records and one without, an endpoint, and a syslog receiver on loopback."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 from anisespool.fakes.local_fleet import LocalFleet
 from anisespool.fakes.platform import member
 
-WITH_RECORDS = "with"  # the names of the two sidecars
+WITH_RECORDS = "with"
+"""Name of the sidecar with records."""
 WITHOUT_RECORDS = "none"
+"""Name of the sidecar without records."""
 SIDECARS = (WITH_RECORDS, WITHOUT_RECORDS)
 WARMUP_S = 2.0
-CLIENTS = 16  # of a closed loop
-PATHS = 997  # different paths that are requested
+CLOSED_LOOP_CLIENTS = 16
+DISTINCT_PATHS = 997
 KB_PER_MB = 1024
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -46,31 +48,31 @@
         return json.loads(await self._process.stdout.readline())
 
     async def address(self) -> Address:
-        """Read its address, which it prints first."""
+        """Return its address, the first line that it prints."""
         return Address(*await self._read())
 
     async def pause(self) -> None:
-        """Let it stop reading."""
+        """Make it stop reading."""
         await self._command("stall")
 
     async def resume(self) -> None:
-        """Let it read again."""
+        """Make it read again."""
         await self._command("go on")
 
     async def counts(self) -> dict[str, Any]:
-        """Return what it has received: counts by kind, and the faults it found."""
+        """Return its counts by kind of record, and the faults that it found."""
         await self._command("count")
         counts: dict[str, Any] = await self._read()
         return counts
 
     async def kill(self) -> None:
-        """End it."""
+        """Kill its process."""
         self._process.kill()
         await self._process.wait()
 
 
 class RecordsTestbed:
-    """The sidecars and the receiver, and clients of the sidecars."""
+    """The two sidecars, their clients, and the receiver."""
 
     def __init__(self, fleet: LocalFleet, receiver: SyslogReceiver) -> None:
         self.receiver = receiver
@@ -78,22 +80,22 @@
         self._requests = 0
 
     async def warm_up(self, per_s: float) -> None:
-        """Send requests at both sidecars that are not measured."""
+        """Send warm-up requests to both sidecars; their latency is discarded."""
         for name in SIDECARS:
             await self.open_loop(name, WARMUP_S, per_s)
 
     def cpu_us(self, name: str) -> float:
-        """Return the microseconds on a core so far, as the scheduler counts them."""
+        """Return the sidecar's CPU time in microseconds, as the scheduler counts it."""
         pid = self._fleet.sidecars[name].pid
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e3
 
     def rss_mb(self, name: str) -> float:
-        """Return the sidecar's memory."""
+        """Return the sidecar's resident memory."""
         text = Path(f"/proc/{self._fleet.sidecars[name].pid}/status").read_text()
         return int(text.split("VmRSS:")[1].split()[0]) / KB_PER_MB
 
     async def stop(self, name: str) -> None:
-        """Shut a sidecar down, and wait for its end."""
+        """Shut a sidecar down, and wait for its exit."""
         process = self._fleet.sidecars[name]
         process.terminate()
         await process.wait()
@@ -103,50 +105,50 @@
 
     def _next_request(self) -> bytes:
         self._requests += 1
-        line = b"GET /token-lookup/%d HTTP/1.1\r\n" % (self._requests % PATHS)
+        line = b"GET /token-lookup/%d HTTP/1.1\r\n" % (self._requests % DISTINCT_PATHS)
         trace = b"Host: a\r\nX-Trace-Id: t%d\r\n" % self._requests
         return line + trace + b"X-Customer: tiendas-sol\r\nX-Expires-In-Ms: 1000\r\n\r\n"
 
     async def open_loop(self, name: str, seconds: float, per_s: float) -> list[float]:
-        """Send requests at a steady rate on connections that are kept.
+        """Send requests at a steady rate on kept-alive connections.
 
         Returns:
-            Latencies in ms, each from when its request was due.
+            Latencies in ms, each from the time at which its request was due.
         """
         latencies_ms: list[float] = []
         idle: list[Streams] = []
 
-        async def send(due: float) -> None:
+        async def send(due_s: float) -> None:
             reader, writer = idle.pop() if idle else await self._connect(name)
             writer.write(self._next_request())
             await http1.read_response(reader)
-            latencies_ms.append(1e3 * (time.monotonic() - due))
+            latencies_ms.append(1e3 * (time.monotonic() - due_s))
             idle.append((reader, writer))
 
         start = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for number in range(int(seconds * per_s)):
-                due = start + number / per_s
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
-                group.create_task(send(due))
+                due_s = start + number / per_s
+                await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+                group.create_task(send(due_s))
         for _, writer in idle:
             writer.close()
         return latencies_ms
 
     async def closed_loop(self, name: str, seconds: float) -> int:
-        """Send requests as fast as CLIENTS connections can, and return how many were answered."""
-        end = time.monotonic() + seconds
-        return sum(await asyncio.gather(*(self._client(name, end) for _ in range(CLIENTS))))
+        """Send requests as fast as CLOSED_LOOP_CLIENTS connections can, and return how many were answered."""
+        end_s = time.monotonic() + seconds
+        return sum(await asyncio.gather(*(self._client(name, end_s) for _ in range(CLOSED_LOOP_CLIENTS))))
 
-    async def _client(self, name: str, end: float) -> int:
+    async def _client(self, name: str, end_s: float) -> int:
         answered = 0
         reader, writer = await self._connect(name)
-        while time.monotonic() < end:
+        while time.monotonic() < end_s:
             try:
                 writer.write(self._next_request())
                 await http1.read_response(reader)
                 answered += 1
-            except (OSError, EOFError):  # the sidecar may close a connection between requests
+            except (OSError, EOFError):  # The sidecar may close a connection between requests.
                 writer.close()
                 reader, writer = await self._connect(name)
         writer.close()
@@ -155,13 +157,13 @@
 
 @asynccontextmanager
 async def run_testbed() -> AsyncIterator[RecordsTestbed]:
-    """Run the testbed, and end all its processes whatever happens."""
+    """Run the testbed, and end all its processes on exit."""
     async with _receiver() as receiver, Endpoint().serve() as endpoint:
         address = await receiver.address()
         listed = [member("push-0", endpoint.address)]
-        async with DiscoveryService(listed).serve() as roster:
+        async with DiscoveryService(listed).serve() as discovery:
             with tempfile.TemporaryDirectory() as folder:
-                fleet = LocalFleet(Path(folder), roster.address, listed)
+                fleet = LocalFleet(Path(folder), discovery.address, listed)
                 try:
                     await _start_sidecars(fleet, Path(folder), address)
                     yield RecordsTestbed(fleet, receiver)
--- a/benchmarks/records/trace.py
+++ b/benchmarks/records/trace.py
@@ -1,6 +1,6 @@
-"""`anisespool trace` on a log of a million records among other lines: time and memory of five queries.
+"""Measures time and memory of five `anisespool trace` queries on a log of a million records and other lines.
 
-The objective: each query prints the rows that it should.
+The objective: each query prints the expected number of rows.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 
 SEED = 5
 RECORDS = 1_000_000
-OTHER_LINE_EVERY = 10  # records
+RECORDS_PER_OTHER_LINE = 10
 OTHER_LINE = b"Jul 28 20:00:00 lima kernel: something else\n"
-MEMBERS = 50
-ENDPOINTS = 40  # that record_soak draws from
+TENANTS = 50
+ENDPOINTS = 40
+"""Number of endpoints from which `record_soak` draws."""
 FIRST_RECORD_NS = 1_785_286_800_000_000_000
 RECORD_INTERVAL_NS = 1_000_000
 KB_PER_MB = 1024
 
-# The command line, which prints its greatest memory in kB at the end.
+# Runs the command line, and prints its peak memory in kB at the end.
 COMMAND = """import sys
 from anisespool.__main__ import main
 status = main()
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Arguments of `trace`, and how many rows it should print."""
+    """Arguments of `trace`, and the expected number of rows."""
 
     arguments: tuple[str, ...]
     rows: int
@@ -45,7 +46,7 @@
 
 QUERIES = (
     Query(("--id", "t777777"), 1),
-    Query(("--by", "member"), MEMBERS),
+    Query(("--by", "member"), TENANTS),
     Query(("--by", "endpoint"), ENDPOINTS),
     Query(("--worst", "10"), 10),
     Query(("--dropped",), 0),
@@ -58,34 +59,34 @@
     random = Random(SEED)
     with path.open("wb") as file:
         for number in range(RECORDS):
-            record = record_soak.random_request(random, number, b"member-%d" % (number % MEMBERS))
-            at = FIRST_RECORD_NS + number * RECORD_INTERVAL_NS
-            file.write(encoder.encode_request(number + 1, record, at) + b"\n")
-            if number % OTHER_LINE_EVERY == 0:
+            record = record_soak.random_request(random, number, b"member-%d" % (number % TENANTS))
+            at_ns = FIRST_RECORD_NS + number * RECORD_INTERVAL_NS
+            file.write(encoder.encode_request(number + 1, record, at_ns) + b"\n")
+            if number % RECORDS_PER_OTHER_LINE == 0:
                 file.write(OTHER_LINE)
 
 
 def _run_query(report: Report, path: Path, query: Query) -> tuple[Cell, ...]:
-    """Check the objective of a query, and return its row."""
-    words = " ".join(query.arguments)
+    """Check the objective for a query, and return its row."""
+    query_arguments = " ".join(query.arguments)
     command = [sys.executable, "-c", COMMAND, "trace", str(path), *query.arguments, "--json"]
     start = time.monotonic()
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
+    finished = subprocess.run(command, capture_output=True, text=True, check=True)
     took_s = time.monotonic() - start
-    peak_mb = int(done.stderr.split()[-1]) // KB_PER_MB
-    rows = len(done.stdout.splitlines())
-    report.check_objective(rows == query.rows, f"trace {words}: {rows} rows, {query.rows} wanted")
-    return words, f"{took_s:.1f}", peak_mb, rows
+    peak_mb = int(finished.stderr.split()[-1]) // KB_PER_MB
+    rows = len(finished.stdout.splitlines())
+    report.check_objective(rows == query.rows, f"trace {query_arguments}: {rows} rows, {query.rows} wanted")
+    return query_arguments, f"{took_s:.1f}", peak_mb, rows
 
 
 def measure_trace(report: Report) -> None:
-    """Add time and memory of each query."""
+    """Report time and memory of each query."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "records.log"
         _write_log(path)
         rows = [_run_query(report, path, query) for query in QUERIES]
     report.add_table(
-        f"trace on {RECORDS:,} records and {RECORDS // OTHER_LINE_EVERY:,} other lines",
+        f"trace on {RECORDS:,} records and {RECORDS // RECORDS_PER_OTHER_LINE:,} other lines",
         ("words", "seconds", "peak MB", "rows"),
         *rows,
     )
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""The result of a benchmark: tables for people, one JSON object for scripts, and the objectives it missed."""
+"""The report of a benchmark: printed tables, one JSON object for scripts, and the missed objectives."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 
 @dataclass
 class Report:
-    """A table with notes, further tables, and the objectives that were missed."""
+    """A main table, further tables, notes, and the missed objectives.
+
+    The further tables are printed before the notes and the objectives.
+    """
 
     title: str
     columns: tuple[str, ...]
     rows: list[tuple[Cell, ...]] = field(default_factory=list)
     missed_objectives: list[str] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
-    tables: list[Report] = field(default_factory=list)  # printed before notes and objectives
+    tables: list[Report] = field(default_factory=list)
 
     def add_row(self, *cells: Cell) -> None:
         """Add a row to the main table, one cell for each column."""
@@ -32,12 +35,12 @@
         self.tables.append(Report(title, columns, list(rows)))
 
     def check_objective(self, met: bool, text: str) -> None:
-        """Check an objective that was stated before the run; one that is missed makes the run end with 1."""
+        """Check an objective that was stated before the run; a missed one gives exit status 1."""
         if not met:
             self.missed_objectives.append(text)
 
     def print_to(self, out: TextIO) -> None:
-        """Print the tables, the notes, and the objectives that were missed."""
+        """Print the tables, the notes, and the missed objectives."""
         self._print_table(out)
         for table in self.tables:
             table._print_table(out)
@@ -56,7 +59,7 @@
             print("  ".join(text.rjust(width) for text, width in zip(line, widths, strict=True)), file=out)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the report as one JSON object; a row is an object by column."""
+        """Return the report as one JSON object, with each row as an object that is keyed by column."""
         return {
             "title": self.title,
             "rows": [dict(zip(self.columns, row, strict=True)) for row in self.rows],
--- a/benchmarks/request.py
+++ b/benchmarks/request.py
@@ -1,8 +1,9 @@
-"""CPU time of one request through a real sidecar, in pairs with an older checkout's.
+"""Measures the CPU time of one request through a real sidecar, in pairs with an older checkout's.
 
 BURST_BEFORE names the older checkout; without it this checkout is compared with itself. A run's CPU time
-holds the start of the process as well: a run of the same length with hardly any request says how much, and
-is subtracted. The objective is at most 1.05 times the older checkout's, in the median of the pairs' ratios.
+includes the start of the process. It is therefore reduced by the CPU time of a run of the same length with
+almost no requests. The objective is at most 1.05 times the older checkout's, as the median of the pairs'
+ratios.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 REQUESTS_PER_S = 500
 IDLE_REQUESTS_PER_S = 1
 MAX_RATIO = 1.05
-SCENARIO: dict[str, Any] = {
+BASE_SCENARIO: dict[str, Any] = {
     "warm_s": 1,
     "seconds": 6,
     "sidecars": 1,
@@ -35,21 +36,21 @@
 }
 
 
-def _play(requests_per_s: int, checkout: Path | None) -> tuple[float, int]:
-    """Return the sidecar's CPU time in seconds, and how many requests its clients sent."""
-    scenario = from_raw(SCENARIO | {"traffic": {"per_s": requests_per_s}}, "request")
-    played = live.play(scenario, SEED, checkout)
-    assert not played.broken, played.broken
-    return played.cpu_s[0], played.lateness.get_total_count()
+def _run(requests_per_s: int, checkout: Path | None) -> tuple[float, int]:
+    """Return the sidecar's CPU time in seconds, and the number of requests that its clients sent."""
+    scenario = from_raw(BASE_SCENARIO | {"traffic": {"per_s": requests_per_s}}, "request")
+    run = live.play(scenario, SEED, checkout)
+    assert not run.broken, run.broken
+    return run.cpu_s[0], run.lateness.get_total_count()
 
 
 def _idle_cpu_s(checkout: Path | None) -> float:
-    """Return the CPU time of a sidecar that starts and has next to nothing to do."""
-    return statistics.median(_play(IDLE_REQUESTS_PER_S, checkout)[0] for _ in range(IDLE_RUNS))
+    """Return the CPU time of a sidecar that starts and then serves almost no requests."""
+    return statistics.median(_run(IDLE_REQUESTS_PER_S, checkout)[0] for _ in range(IDLE_RUNS))
 
 
 def _microseconds_per_request(checkout: Path | None, idle_cpu_s: float) -> float:
-    cpu_s, requests = _play(REQUESTS_PER_S, checkout)
+    cpu_s, requests = _run(REQUESTS_PER_S, checkout)
     return (cpu_s - idle_cpu_s) / requests * 1e6
 
 
@@ -72,7 +73,7 @@
     spread = ratios(pairs)
     report.add_note(f"ratio: {spread}")
     report.add_note(f"start and idle, CPU s: {idle.measured:.2f} now, {idle.reference:.2f} before")
-    text = f"{spread.median:.3f} times the cost before, at most {MAX_RATIO} wanted"
+    text = f"{spread.median:.3f} times the older cost, at most {MAX_RATIO} wanted"
     report.check_objective(spread.median <= MAX_RATIO, text)
 
 
--- a/benchmarks/runner.py
+++ b/benchmarks/runner.py
@@ -1,7 +1,7 @@
-"""The command line of the benchmarks, and what each benchmark declares.
+"""The command line of the benchmarks, and the declaration of a benchmark.
 
-A benchmark is a module `benchmarks.NAME` with a `BENCHMARK`. Only the module that was named is imported:
-what the other benchmarks need does not have to be installed.
+A benchmark is a module `benchmarks.NAME` with a `BENCHMARK`. Only the requested module is imported, so the
+dependencies of the others don't have to be installed.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     Attributes:
         title: The heading of its main table.
         columns: The columns of its main table.
-        measure: Measures, and adds rows, notes and objectives to the report.
+        measure: Takes the measurements, and adds rows, notes and objectives to the report.
     """
 
     title: str
@@ -48,21 +48,21 @@
     measure: Callable[[Report], None]
 
     def run(self) -> Report:
-        """Measure, and return the report."""
+        """Take the measurements, and return the report."""
         report = Report(self.title, self.columns)
         self.measure(report)
         return report
 
 
 def load(name: str) -> Benchmark:
-    """Import the benchmark called `name`, and no other."""
+    """Import the benchmark called `name`, without the others."""
     benchmark = import_module(f"benchmarks.{name}").BENCHMARK
     assert isinstance(benchmark, Benchmark)
     return benchmark
 
 
 def run(benchmark: Benchmark, out: TextIO, *, as_json: bool = False) -> int:
-    """Run a benchmark and print its report; with `as_json` the last line is one JSON object.
+    """Run a benchmark, and print its report; with `as_json` the last line is one JSON object.
 
     Returns:
         The exit status: 1 if an objective was missed, otherwise 0.
@@ -79,5 +79,5 @@
     parser = argparse.ArgumentParser(prog="python -m benchmarks", description=DESCRIPTION)
     parser.add_argument("name", choices=NAMES)
     parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
-    chosen = parser.parse_args(arguments)
-    return run(load(chosen.name), sys.stdout, as_json=chosen.json)
+    parsed = parser.parse_args(arguments)
+    return run(load(parsed.name), sys.stdout, as_json=parsed.json)
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -1,9 +1,9 @@
-"""The operators' standing days in the lab's model: hundreds of sidecars of little traffic each, priced.
+"""Simulates the operators' standing days in the lab's model: hundreds of sidecars with little traffic each.
 
-Each day over some seeds, beside an older checkout (BURST_BEFORE), paired by seed. `net` is the service as the
-operators weigh it, less the prices. Further tables: how soon endpoints that are new carry their share, and
-how a fleet serves of which seven in ten sidecars were killed. Objectives: no rule broken, at most 5 % of the
-attempts rejected on the calm day, and a net at most 0.01 below the older checkout's.
+Each day runs with several seeds, and is paired by seed with an older checkout (BURST_BEFORE). `net` is the
+service by the operators' weights, minus the prices. Further tables show how soon new endpoints receive their
+share of attempts, and the service after seven in ten sidecars were killed. Objectives: no rule is broken, at
+most 5 % of the attempts are rejected on the day `calm`, and a net at most 0.01 below the older checkout's.
 """
 
 from __future__ import annotations
@@ -43,19 +43,23 @@
 )
 NET = FIGURES.index("net")
 ATTEMPTS_REJECTED = FIGURES.index("tries_refused")
-KILLED_S = 8  # of the scenario standing-herd
+KILL_AT_S = 8
+"""Time in the scenario `standing-herd`."""
 SECONDS_BEFORE_KILL = 2
 SECONDS_AFTER_KILL = 10
-REPLACED_S = 6  # of the scenario standing-join, from then on
-AGES = range(1, 12)  # in seconds
-ESTABLISHED = -1  # the age of an endpoint that was there from the start
+REPLACED_FROM_S = 6
+"""Time in the scenario `standing-join`."""
+AGES_S = range(1, 12)
+ESTABLISHED_AGE = -1
+"""Age of an endpoint that exists from the start."""
 SECOND_NS = 10**9
-MAX_ATTEMPTS_REJECTED = 0.05  # on the calm day
-MAX_NET_LOSS = 0.01
+MAX_ATTEMPTS_REJECTED_SHARE = 0.05
+"""Objective for the day `calm`."""
+MAX_NET_LOSS_SHARE = 0.01
 
 
 def day(name: str, seed: int) -> list[float]:
-    """Return FIGURES of a day.
+    """Return the FIGURES of a day.
 
     Raises:
         AssertionError: A rule was broken.
@@ -68,24 +72,24 @@
 
 
 class ArrivalCounter(World):
-    """A world that counts by an endpoint's age what it is sent, and what it could do.
+    """A world that adds up attempts and capacity of the endpoints by their age in seconds.
 
     Attributes:
-        sent: Attempts that arrived at endpoints of that age in seconds, since the first was replaced.
-        capacity: What the endpoints of that age could do, summed over the seconds.
+        sent: Attempts of requests that arrived after the first replacement, by the age of their endpoint.
+        capacity: Capacity of all endpoints by age, summed over the seconds.
     """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         super().__init__(scenario, seed)
         self.sent: Counter[int] = Counter()
         self.capacity: defaultdict[int, float] = defaultdict(float)
-        for second in range(REPLACED_S, int(scenario.seconds)):
+        for second in range(REPLACED_FROM_S, int(scenario.seconds)):
             self.clock.at(self.begin + second * SECOND_NS, self._add_capacity)
 
     def arrive(self, job: Job) -> None:
-        """Count an attempt, and serve it."""
+        """Count an attempt, and process it."""
         age = self._age_s(self.endpoints[job.endpoint - 1])
-        self.sent[age] += job.client_request.arrived_at >= self.begin + REPLACED_S * SECOND_NS
+        self.sent[age] += job.client_request.arrived_at >= self.begin + REPLACED_FROM_S * SECOND_NS
         super().arrive(job)
 
     def _add_capacity(self) -> None:
@@ -95,13 +99,14 @@
                 self.capacity[self._age_s(endpoint)] += endpoint.spec.cores * endpoint.spec.speed * warmth
 
     def _age_s(self, endpoint: Endpoint) -> int:
-        return (self.clock.now - endpoint.started) // SECOND_NS if endpoint.started else ESTABLISHED
+        return (self.clock.now - endpoint.started) // SECOND_NS if endpoint.started else ESTABLISHED_AGE
 
 
 def fresh(seed: int) -> list[float]:
-    """Return by AGES how much of its share a replaced endpoint was sent, on the day `join`.
+    """Return, for each age in AGES_S, the fraction of its share that a replaced endpoint received.
 
-    Its share is what an established endpoint of its capacity was sent, times how far it has warmed up.
+    An endpoint's share is the number of attempts that an established endpoint of the same capacity receives,
+    times the endpoint's warm-up so far. The day is `join`.
 
     Raises:
         AssertionError: A rule was broken.
@@ -109,19 +114,21 @@
     world = ArrivalCounter(load("standing-join"), seed)
     world.run()
     _check_rules(world, "join", seed)
-    rate = {age: world.sent[age] / world.capacity[age] for age in world.sent if world.capacity[age]}
-    return [rate.get(age, 0.0) / rate[ESTABLISHED] for age in AGES]
+    attempts_per_capacity = {
+        age: world.sent[age] / world.capacity[age] for age in world.sent if world.capacity[age]
+    }
+    return [attempts_per_capacity.get(age, 0.0) / attempts_per_capacity[ESTABLISHED_AGE] for age in AGES_S]
 
 
 def herd(seed: int) -> list[float]:
-    """Return the service by second from two seconds before seven in ten sidecars are killed.
+    """Return the service by second, from two seconds before seven in ten sidecars are killed.
 
     Raises:
         AssertionError: A rule was broken.
     """
 
     world = World(load("standing-herd"), seed)
-    seconds = world.run().by_second()[KILLED_S - SECONDS_BEFORE_KILL : KILLED_S + SECONDS_AFTER_KILL]
+    seconds = world.run().by_second()[KILL_AT_S - SECONDS_BEFORE_KILL : KILL_AT_S + SECONDS_AFTER_KILL]
     _check_rules(world, "herd", seed)
     return [in_time / max(1.0, total) for in_time, total in seconds]
 
@@ -133,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """A function of this module to be called for each seed, with the packages of a checkout."""
+    """A function of this module to call for each seed, with the packages of `checkout`."""
 
     function: str
     arguments: tuple[str, ...]
@@ -141,19 +148,19 @@
 
 
 class Runs(dict[int, list[float]]):
-    """Figures by seed; a run that broke a rule has none."""
+    """Figures by seed, without the runs that broke a rule."""
 
     def means(self) -> list[float]:
         """Return the mean of each figure over the seeds."""
         return [sum(column) / len(self) for column in zip(*self.values(), strict=True)]
 
     def net_pairs(self, older: Runs) -> list[Pair]:
-        """Pair the net with the older checkout's by seed."""
+        """Pair the net with that of the older checkout, by seed."""
         return [Pair(self[seed][NET], older[seed][NET]) for seed in self.keys() & older.keys()]
 
 
 def _figures_of_run(task: Task, seed: int) -> list[float]:
-    """Return the figures of a run, or none if it broke a rule, which is printed."""
+    """Return the figures of a run; if it broke a rule, print the rule and return no figures."""
     try:
         return call(task.checkout, f"standing.{task.function}", *task.arguments, seed)
     except subprocess.CalledProcessError as error:
@@ -167,45 +174,45 @@
 
 
 def _run_all(tasks: Sequence[Task]) -> dict[Task, Runs]:
-    with ThreadPoolExecutor(os.cpu_count()) as pool, ThreadPoolExecutor(len(tasks)) as waiting:
-        return dict(zip(tasks, waiting.map(partial(_runs, pool), tasks), strict=True))
+    with ThreadPoolExecutor(os.cpu_count()) as pool, ThreadPoolExecutor(len(tasks)) as task_pool:
+        return dict(zip(tasks, task_pool.map(partial(_runs, pool), tasks), strict=True))
 
 
 def _add_day(report: Report, name: str, runs: Runs, older: Runs) -> None:
     means = runs.means()
     before: Cell = "-"
-    lost: Cell = "-"
+    pairs_lost: Cell = "-"
     if older:
         pairs = runs.net_pairs(older)
         before = 100 * older.means()[NET]
-        lost = f"{sum(pair.difference < 0 for pair in pairs)}/{len(pairs)}"
-    report.add_row(name, *(100 * figure for figure in means), before, lost)
+        pairs_lost = f"{sum(pair.difference < 0 for pair in pairs)}/{len(pairs)}"
+    report.add_row(name, *(100 * figure for figure in means), before, pairs_lost)
 
 
 def _check_net(report: Report, name: str, runs: Runs, older: Runs) -> None:
     net = runs.means()[NET]
     before = older.means()[NET]
-    report.check_objective(net >= before - MAX_NET_LOSS, f"{name}: net {net:.3f}, before {before:.3f}")
+    report.check_objective(net >= before - MAX_NET_LOSS_SHARE, f"{name}: net {net:.3f}, before {before:.3f}")
     if pairs := runs.net_pairs(older):
-        report.add_note(f"{name}: net less the net before, {len(pairs)} seeds: {differences(pairs)}")
+        report.add_note(f"{name}: net minus the net before, {len(pairs)} seeds: {differences(pairs)}")
 
 
 def _check_attempts_rejected(report: Report, calm: Runs) -> None:
     rejected = calm.means()[ATTEMPTS_REJECTED] if calm else 1.0
-    text = f"calm: {rejected:.1%} of tries refused, {MAX_ATTEMPTS_REJECTED:.0%} wanted"
-    report.check_objective(rejected <= MAX_ATTEMPTS_REJECTED, text)
+    text = f"calm: {rejected:.1%} of attempts rejected, at most {MAX_ATTEMPTS_REJECTED_SHARE:.0%} wanted"
+    report.check_objective(rejected <= MAX_ATTEMPTS_REJECTED_SHARE, text)
 
 
-def _add_tables(report: Report, fresh_endpoints: Runs, killed: Runs) -> None:
+def _add_tables(report: Report, replaced_endpoints: Runs, service_after_kill: Runs) -> None:
     report.add_table(
-        "Fresh endpoints by age: sent, over what their warmth should have beside a warm one (join)",
-        tuple(f"{age} s" for age in AGES),
-        tuple(f"{share:.2f}" for share in fresh_endpoints.means()),
+        "Replaced endpoints by age: attempts received / their share of attempts (join)",
+        tuple(f"{age} s" for age in AGES_S),
+        tuple(f"{share:.2f}" for share in replaced_endpoints.means()),
     )
     report.add_table(
-        "Service by second, seven in ten killed at 0 s (herd)",
+        "Service by second, seven in ten sidecars killed at 0 s (herd)",
         tuple(f"{second} s" for second in range(-SECONDS_BEFORE_KILL, SECONDS_AFTER_KILL)),
-        tuple(f"{share:.3f}" for share in killed.means()),
+        tuple(f"{share:.3f}" for share in service_after_kill.means()),
     )
 
 
@@ -231,7 +238,7 @@
 
 
 BENCHMARK = Benchmark(
-    f"Standing days in the lab, points in 100, means of {len(SEEDS)} seeds",
+    f"Standing days in the lab's model, in percent, means of {len(SEEDS)} seeds",
     (
         "day",
         "net",
