--- a/tests/golden/adapters.py
+++ b/tests/golden/adapters.py
@@ -1,7 +1,6 @@
-"""All that the golden tests need of inside names: this module alone follows a renaming.
+"""Adapters between the golden data and the code, so that only this module changes when code is renamed.
 
-Each function takes and returns outside values only: bytes, and plain values under the names that the golden
-data gives them.
+Each function takes and returns bytes, and plain values under the names that they have in the golden data.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 def encode_record(inputs: dict[str, Any], classes: list[str]) -> bytes:
-    """Encode one RFC 5424 record from the inputs in record_inputs.json."""
+    """Encode one RFC 5424 record from a row of record_inputs.json."""
     encoder = _record_encoder(inputs, classes)
     unix_ns = inputs["unix_ns"]
     if inputs["msgid"] == "path":
@@ -56,7 +55,7 @@
 
 
 def frame_record(record: bytes, framing: str) -> bytes:
-    """Frame a record for a stream, by the operator's key `records.framing`."""
+    """Frame a record for a stream; `framing` is a value of the operator's key `records.framing`."""
     return FRAMINGS[framing](record)
 
 
@@ -100,9 +99,9 @@
 
 def encode_datagram(values: dict[str, Any]) -> bytes:
     """Encode a membership message from the values in gossip.json."""
-    claims = [
-        MemberUpdate(number, boot, incarnation, MemberState(state), accuser, age)
-        for number, boot, incarnation, state, accuser, age in values["claims"]
+    updates = [
+        MemberUpdate(number, boot, incarnation, MemberState(state), reporter, age)
+        for number, boot, incarnation, state, reporter, age in values["claims"]
     ]
     message = Message(
         MessageKind(values["kind"]),
@@ -111,37 +110,37 @@
         values["seq"],
         values["target"],
         values["digest"],
-        tuple(claims),
+        tuple(updates),
         bytes.fromhex(values["payload"]),
     )
     return codec.encode(message)
 
 
 def decode_datagram(data: bytes) -> dict[str, Any]:
-    """Decode a membership message; for anything else, `{"reason": ...}` as it is counted."""
+    """Decode a membership message; for an invalid datagram return `{"reason": ...}`, as it is counted."""
     try:
-        kind, boot, incarnation, seq, target, digest, claims, payload = codec.decode(data)
+        kind, boot, incarnation, sequence, target, digest, updates, payload = codec.decode(data)
     except InvalidDatagramError as error:
         return {"reason": error.reason.value}
     return {
         "kind": int(kind),
         "boot": boot,
         "incarnation": incarnation,
-        "seq": seq,
+        "seq": sequence,
         "target": target,
         "digest": digest,
-        "claims": [[int(value) for value in claim] for claim in claims],
+        "claims": [[int(value) for value in update] for update in updates],
         "payload": payload.hex(),
     }
 
 
 def read_operator_file(path: Path) -> dict[str, Any]:
-    """Read an operator's file; its values under the keys of the file, with the defaults."""
+    """Read an operator's file, and return its values and the defaults under the file's keys."""
     values: dict[str, Any] = msgspec.to_builtins(operator.read_operator_config(str(path)))
     return values
 
 
 def digest_document(document: dict[str, Any]) -> tuple[str, str]:
-    """Return the canonical JSON and the digest of a live change."""
+    """Return the canonical JSON and the digest of a live change of the configuration."""
     checked = operator.parse_live_config(document, "document")
     return operator.canonical_json(checked).decode(), operator.digest(checked)
--- a/tests/golden/compare_checkouts.py
+++ b/tests/golden/compare_checkouts.py
@@ -1,12 +1,12 @@
-"""Plays the same seeded event streams through this checkout's decision program and an older one's.
+"""Compares the decisions of this checkout with those of an older one, on the same seeded event streams.
 
-By hand; exit status 1 if an action differs, its text for the log included:
+It is run by hand. The exit status is 1 if an action differs, including its text for the log:
 
     python -m tests.golden.compare_checkouts OLDER_CHECKOUT --seeds 500
     python -m tests.golden.compare_checkouts OLDER_CHECKOUT --golden
 
-The first form varies the worlds of the golden streams by new seeds, the second plays the golden streams to
-their ends. The older program's actions decide what happens next in the world of a stream.
+The first form plays the worlds of the golden streams with new seeds, the second plays the golden streams to
+their ends. The world of a stream reacts to the older program's actions.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Stream:
-    """A world to play, and up to how many events."""
+    """A world to play, and the number of events after which it ends."""
 
     plan: dict[str, Any]
     events: int
@@ -37,12 +37,15 @@
 
 @dataclass(frozen=True)
 class Comparison:
-    """What came of one stream played through both programs."""
+    """The result of one stream played through both programs.
+
+    `difference` is the first one, or empty if there is none.
+    """
 
     name: str
     events: int
     actions: int
-    difference: str  # the first one; empty if there is none
+    difference: str
 
 
 def compare(stream: Stream, older: Path) -> Comparison:
@@ -61,7 +64,7 @@
                 return Comparison(name, world.event_count, actions, f"{first[0]} became {first[1]}")
             actions += len(expected)
             for action in expected:
-                world.take(action)
+                world.apply(action)
     finally:
         for program in programs:
             program.close()
@@ -69,7 +72,7 @@
 
 
 def new_streams(count: int) -> Iterator[Stream]:
-    """The golden streams' worlds in turn, each with a seed of its own."""
+    """Yield the golden streams' worlds in turn, each with a new seed."""
     plans = load_plans()
     for number in range(count):
         plan = plans[number % len(plans)] | {"seed": FIRST_NEW_SEED + number}
@@ -77,13 +80,13 @@
 
 
 def golden_streams() -> Iterator[Stream]:
-    """The golden streams, to their ends."""
+    """Yield the golden streams, to their ends."""
     for plan in load_plans():
         yield Stream(plan, CHECKPOINT_EVENTS * len(plan["checkpoints"]))
 
 
 def main() -> int:
-    """Compare all streams; exit status 1 if one of them differs."""
+    """Compare all streams, and return 1 as the exit status if one of them differs."""
     parser = argparse.ArgumentParser(description="Compare the decisions of two checkouts.")
     parser.add_argument("older", type=Path, metavar="OLDER_CHECKOUT")
     parser.add_argument("--seeds", type=int, default=0)
--- a/tests/golden/decision_streams.py
+++ b/tests/golden/decision_streams.py
@@ -1,13 +1,12 @@
-"""Seeded event streams for the decision program, and hashes of what it decides.
+"""Seeded event streams for the decision program, and hashes of its decisions.
 
-The world here plays endpoints, clients, discovery and the other sidecars: what happens next depends on the
-actions that came. By hand, all events of all streams against the golden hashes (exit status 1 if one
-differs):
+A simulated world of endpoints, clients, discovery and other sidecars reacts to the program's actions. The
+following compares all events of all streams with the golden hashes. The exit status is 1 if one differs:
 
     python -m tests.golden.decision_streams
     python -m tests.golden.decision_streams --write-actions FOLDER
 
-The second form also writes every action as text, a file for each stream, to compare two versions by `diff`.
+The second form also writes every action as text to a file for each stream, to compare versions by `diff`.
 """
 
 from __future__ import annotations
@@ -30,9 +29,9 @@
 STREAMS = Path(__file__).parent / "data" / "decision_streams.json"
 CHECKPOINT_EVENTS = 1_000
 MS = 1_000_000
-STRANGE_NUMBERS = (0, 1, 2**31, 2**32 - 1)
-STRANGE_TIMES = (0, 1, 2**40, 2**63 - 1)
-STRANGE_FLOATS = (float("nan"), float("inf"), -1.0, 0.0, 3e38, 1e-30)
+EXTREME_NUMBERS = (0, 1, 2**31, 2**32 - 1)
+EXTREME_TIMES = (0, 1, 2**40, 2**63 - 1)
+EXTREME_FLOATS = (float("nan"), float("inf"), -1.0, 0.0, 3e38, 1e-30)
 FAILURES = (
     wire.ERROR,
     wire.FULL,
@@ -44,8 +43,8 @@
 )
 
 
-# Settings that are incomplete or absurd: the program has to say that it is broken.
-STRANGE_SETTINGS: tuple[dict[str, Any], ...] = (
+# Incomplete or invalid settings, which the program answers with the action `Broken`.
+INVALID_SETTINGS: tuple[dict[str, Any], ...] = (
     {"guarantees": {}},
     {"guarantees": 7},
     {"zone": "east"},
@@ -61,7 +60,8 @@
 
     is_stream: bool
     concluded: bool = False
-    endpoints: list[int] = field(default_factory=list)  # of each attempt
+    endpoints: list[int] = field(default_factory=list)
+    """The endpoint of each attempt."""
     open_attempts: set[int] = field(default_factory=set)
 
 
@@ -77,11 +77,13 @@
 
 
 class World:
-    """Endpoints, clients, discovery and peers around the instances of one stream.
+    """The simulated endpoints, clients, discovery and peers of one stream.
 
     `plan` is a row of decision_streams.json: `settings`, `seed`, the numbers of `instances` and `endpoints`,
-    `turn_ms` between two batches, at most so many `arrivals` in each, `work_ms` of an answer, and the shares
-    `failing` of attempts, `hostile` of events, `churn` of turns and `restarts` of an instance's turns.
+    the time `turn_ms` between two batches, the maximum number of `arrivals` in a batch, the service time
+    `work_ms`, and shares. `failing` is the share of attempts that fail, `hostile` that of events with invalid
+    values, `churn` that of turns that change the endpoint list, and `restarts` that of an instance's turns in
+    which it restarts.
     """
 
     def __init__(self, plan: dict[str, Any]) -> None:
@@ -101,7 +103,7 @@
             tuple[int, int, Instance, int | None, Callable[..., None], tuple[Any, ...]]
         ] = []
         self._scheduled_count = 0
-        self._consequences: dict[str, Callable[..., None]] = {
+        self._handlers: dict[str, Callable[..., None]] = {
             "Relay": self._start_attempt,
             "AbortAttempt": self._cancel_attempt,
             "Reject": self._conclude,
@@ -110,39 +112,39 @@
             "HealthCheck": self._check_health,
             "Fetch": self._fetch_list,
             "StreamChanges": self._subscribe,
-            "Broken": self._break,
-            "Signal": self._pass_message,
+            "Broken": self._stop_broken,
+            "Signal": self._send_message,
         }
 
     def next_batch(self) -> list[bytes]:
-        """Advance the clock by one turn and gather what happens in it."""
+        """Advance the clock by one turn, and return the records of its events."""
         self.batch = []
         self.now += self.plan["turn_ms"] * MS + self.random.randrange(MS)
         for instance in self.instances:
             if not instance.is_up:
                 self._boot(instance)
-            elif self._happens("restarts"):
+            elif self._occurs("restarts"):
                 self._event("Down", instance)
                 self._boot(instance)
         self._deliver_due()
-        if self._happens("churn"):
+        if self._occurs("churn"):
             self._change_list()
         for _ in range(self.random.randrange(self.plan["arrivals"] + 1)):
             self._arrive(self._any_instance())
-        if self._happens("hostile"):
-            self._send_hostile(self._any_instance())
+        if self._occurs("hostile"):
+            self._send_invalid_event(self._any_instance())
         return self.batch
 
-    def take(self, action: Action) -> None:
-        """Let an action of the program have its consequence."""
-        if action.name in self._consequences:
-            self._consequences[action.name](self.instances[action.instance], *action.values)
+    def apply(self, action: Action) -> None:
+        """Simulate the effect of an action of the program."""
+        if action.name in self._handlers:
+            self._handlers[action.name](self.instances[action.instance], *action.values)
 
     def _event(self, name: str, instance: Instance, *values: int, content: bytes = b"") -> None:
         self.batch.append(encode_event(name, instance.number, *values, content=content))
         self.event_count += 1
 
-    def _happens(self, share: str) -> bool:
+    def _occurs(self, share: str) -> bool:
         return self.random.random() < float(self.plan[share])
 
     def _any_instance(self) -> Instance:
@@ -154,16 +156,14 @@
         instance.is_subscribed = self.settings.get("discovery", "push") == "push"
         instance.requests = {}
         settings = self.settings | {"self-index": instance.number}
-        if self._happens("hostile"):
-            settings = settings | self.random.choice(STRANGE_SETTINGS)
+        if self._occurs("hostile"):
+            settings = settings | self.random.choice(INVALID_SETTINGS)
         params = json.dumps(settings).encode()
         self._event("Boot", instance, self.random.getrandbits(64), len(params), content=params)
         self._send_list([instance], wire.CACHED_LIST, self.endpoints)
 
-    # Discovery --------------------------------------------------------------------------------------
-
     def _new_entry(self, state: int) -> tuple[float, int, int, int, int, int]:
-        """Weight, cell, kind, zone, state and start of an endpoint."""
+        """Return weight, cell, machine type, zone, state and start time of a new endpoint."""
         zone = self.random.randrange(2)
         cell = 2 * self.random.randrange(2) + zone
         weight = 0.5 + self.random.random()
@@ -187,11 +187,11 @@
             changes[replacement] = self.endpoints[replacement] = self._new_entry(wire.READY)
         else:
             self.endpoints[endpoint] = changes[endpoint]
-        if self._happens("hostile"):
-            strange = self.random.choice(STRANGE_NUMBERS)
-            weight = self.random.choice(STRANGE_FLOATS)
-            changes[strange] = (weight, 65535, 65535, 65535, wire.READY, self.now * 2)
-            self.endpoints[strange] = changes[strange]
+        if self._occurs("hostile"):
+            extreme_endpoint = self.random.choice(EXTREME_NUMBERS)
+            weight = self.random.choice(EXTREME_FLOATS)
+            changes[extreme_endpoint] = (weight, 65535, 65535, 65535, wire.READY, self.now * 2)
+            self.endpoints[extreme_endpoint] = changes[extreme_endpoint]
         self.list_version += 1
         receivers = [instance for instance in self.instances if instance.is_up and instance.is_subscribed]
         self._send_list(receivers, wire.DELTA_LIST, changes)
@@ -204,34 +204,32 @@
         self._schedule(20 * MS, instance, self._deliver_list)
 
     def _deliver_list(self, instance: Instance) -> None:
-        form = wire.FAILED_LIST if self._happens("failing") else wire.FULL_LIST
+        form = wire.FAILED_LIST if self._occurs("failing") else wire.FULL_LIST
         self._send_list([instance], form, self.endpoints)
 
-    # Clients ----------------------------------------------------------------------------------------
-
     def _arrive(self, instance: Instance) -> None:
         classes = self.settings["request-classes"]
         number = self.random.randrange(len(classes))
-        left = classes[number]["deadline-ns"]
+        deadline_left_ns = classes[number]["deadline-ns"]
         if self.random.random() < 0.2:
-            left = int(left * self.random.random())
-        hint = self._work()
+            deadline_left_ns = int(deadline_left_ns * self.random.random())
+        work_hint_ns = self._work()
         key = self.random.randrange(12) * 0x9E3779B97F4A7C15 % 2**64
         flags = self.random.randrange(8)
         tenant = self.random.randrange(5)
-        if self._happens("hostile"):
-            hint = self.random.choice(STRANGE_TIMES)
-            left = self.random.choice(STRANGE_TIMES)
+        if self._occurs("hostile"):
+            work_hint_ns = self.random.choice(EXTREME_TIMES)
+            deadline_left_ns = self.random.choice(EXTREME_TIMES)
             tenant = 65535
             number = (number, number, 255)[self.random.randrange(3)]
         request = self.next_request
         self.next_request += 1
-        self._event("Arrival", instance, request, hint, key, left, tenant, flags, number)
+        self._event("Arrival", instance, request, work_hint_ns, key, deadline_left_ns, tenant, flags, number)
         is_stream = number < len(classes) and bool(classes[number].get("stream"))
         instance.requests[request] = Request(is_stream)
-        self._schedule(min(left, 60_000 * MS), instance, self._give_up, request)
+        self._schedule(min(deadline_left_ns, 60_000 * MS), instance, self._disconnect_client, request)
 
-    def _give_up(self, instance: Instance, number: int) -> None:
+    def _disconnect_client(self, instance: Instance, number: int) -> None:
         request = instance.requests[number]
         if not request.concluded:
             request.concluded = True
@@ -241,8 +239,6 @@
         if number in instance.requests:
             instance.requests[number].concluded = True
 
-    # Endpoints --------------------------------------------------------------------------------------
-
     def _work(self) -> int:
         return int(self.plan["work_ms"] * MS * (0.2 + 2 * self.random.random()))
 
@@ -255,11 +251,11 @@
         request.open_attempts.add(attempt)
         duration = self._work()
         status = wire.OK
-        if self._happens("failing"):
+        if self._occurs("failing"):
             status = FAILURES[self.random.randrange(len(FAILURES))]
         if request.is_stream and status == wire.OK:
             half = duration // 2
-            self._schedule(half, instance, self._begin_answer, number, attempt, half)
+            self._schedule(half, instance, self._send_first_byte, number, attempt, half)
         if 0 < timeout < duration:
             duration = timeout
             status = wire.TIMEOUT
@@ -268,7 +264,7 @@
     def _cancel_attempt(self, instance: Instance, number: int, attempt: int) -> None:
         self._schedule(MS, instance, self._end_attempt, number, attempt, MS, wire.CANCELLED)
 
-    def _begin_answer(self, instance: Instance, number: int, attempt: int, duration: int) -> None:
+    def _send_first_byte(self, instance: Instance, number: int, attempt: int, duration: int) -> None:
         request = instance.requests[number]
         if attempt in request.open_attempts and not request.concluded:
             self._event("AckFirst", instance, number, request.endpoints[attempt], duration, attempt)
@@ -283,24 +279,22 @@
         self._event("Answer", instance, *values, content=self._load_report())
 
     def _check_health(self, instance: Instance, endpoint: int) -> None:
-        self._schedule(self.plan["work_ms"] * MS, instance, self._answer_check, endpoint)
+        self._schedule(self.plan["work_ms"] * MS, instance, self._answer_health_check, endpoint)
 
-    def _answer_check(self, instance: Instance, endpoint: int) -> None:
+    def _answer_health_check(self, instance: Instance, endpoint: int) -> None:
         values = (wire.OK, endpoint, self.plan["work_ms"] * MS)
         self._event("ProbeResult", instance, *values, content=self._load_report())
 
     def _load_report(self, value: float | None = None) -> bytes:
-        """A load report of as many columns as the settings name, or of none."""
+        """Return a load report with the columns that the settings name, or at random without columns."""
         columns = len(self.settings.get("report", {}).get("columns", []))
         if value is None and self.random.random() < 0.3:
             columns = 0
         values = [value if value is not None else 20 * self.random.random() for _ in range(columns)]
         return struct.pack(f"<B{columns}f", columns, *values)
 
-    # Time, peers, and what no sound simulator sends -------------------------------------------------
-
     def _schedule(self, delay: int, instance: Instance, callback: Callable[..., None], *values: Any) -> None:
-        """Call back after a delay, unless the instance has died meanwhile."""
+        """Call `callback` after a delay, unless the instance has restarted or stopped by then."""
         self._push(delay, instance, instance.incarnation, callback, values)
 
     def _push(
@@ -327,10 +321,10 @@
     def _remind(self, instance: Instance, token: int) -> None:
         self._event("Wakeup", instance, token)
 
-    def _break(self, instance: Instance, text: bytes) -> None:
+    def _stop_broken(self, instance: Instance, text: bytes) -> None:
         instance.is_up = False
 
-    def _pass_message(self, instance: Instance, peer: int, payload: bytes) -> None:
+    def _send_message(self, instance: Instance, peer: int, payload: bytes) -> None:
         if peer < len(self.instances):
             values = (instance.number, payload)
             self._push(3 * MS, self.instances[peer], None, self._deliver_message, values)
@@ -338,13 +332,13 @@
     def _deliver_message(self, instance: Instance, sender: int, payload: bytes) -> None:
         self._event("FromPeer", instance, sender, len(payload), content=payload)
 
-    def _send_hostile(self, instance: Instance) -> None:
-        """Send an event of an unknown request or endpoint, with absurd figures."""
-        request = self.random.choice(STRANGE_NUMBERS)
-        endpoint = self.random.choice(STRANGE_NUMBERS)
-        time = self.random.choice(STRANGE_TIMES)
+    def _send_invalid_event(self, instance: Instance) -> None:
+        """Send an event with extreme values, of an unknown request or endpoint."""
+        request = self.random.choice(EXTREME_NUMBERS)
+        endpoint = self.random.choice(EXTREME_NUMBERS)
+        time = self.random.choice(EXTREME_TIMES)
         status = self.random.randrange(8)
-        load = self._load_report(self.random.choice(STRANGE_FLOATS))
+        load = self._load_report(self.random.choice(EXTREME_FLOATS))
         payload = self.random.randbytes(self.random.choice((0, 1, 7, 8, 15, 255)))
         events: tuple[tuple[str, tuple[int, ...], bytes], ...] = (
             ("Answer", (request, endpoint, 65535, time, status, 1), load),
@@ -361,14 +355,14 @@
 
 @dataclass
 class Result:
-    """What came of a stream: a hash at each checkpoint, and every action as a line of text."""
+    """The result of a stream: a hash at each checkpoint, and every action as a line of text."""
 
     checkpoints: list[str]
     lines: list[str]
 
 
 def play(plan: dict[str, Any], checkpoint_count: int) -> Result:
-    """Play a stream and hash all its actions so far at each 1,000 events."""
+    """Play a stream, and hash all its actions so far after every 1,000 events."""
     world = World(plan)
     program = DecisionProgram()
     digest = hashlib.sha256()
@@ -378,7 +372,7 @@
             line = f"{world.event_count} {action.canonical()}\n"
             digest.update(line.encode())
             result.lines.append(line)
-            world.take(action)
+            world.apply(action)
         if world.event_count >= (len(result.checkpoints) + 1) * CHECKPOINT_EVENTS:
             result.checkpoints.append(digest.hexdigest()[:24])
     program.close()
@@ -386,12 +380,12 @@
 
 
 def load_plans() -> list[dict[str, Any]]:
-    """The streams: how the world is, and the golden hashes."""
+    """Return the plans of the streams' worlds, with the golden hashes."""
     return cast(list[dict[str, Any]], json.loads(STREAMS.read_text()))
 
 
 def describe(golden: list[str], found: list[str]) -> str:
-    """Where a stream first differs from its golden hashes; empty if it does not."""
+    """Return where a stream first differs from its golden hashes, or an empty text if it does not."""
     for number, pair in enumerate(zip(golden, found, strict=True)):
         if pair[0] != pair[1]:
             first = number * CHECKPOINT_EVENTS
@@ -400,7 +394,7 @@
 
 
 def main() -> int:
-    """Play all streams; exit status 1 if one of them differs."""
+    """Play all streams, and return 1 as the exit status if one of them differs."""
     parser = argparse.ArgumentParser(description="Compare all decisions with the golden hashes.")
     parser.add_argument("--write-actions", type=Path, metavar="FOLDER")
     folder = parser.parse_args().write_actions
--- a/tests/golden/simulator_wire.py
+++ b/tests/golden/simulator_wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire, as the platform's page states it, and the decision program at its other end.
+"""Codec of the simulator's binary protocol, and a client of the decision program that speaks it.
 
-The wire is fixed by the platform, so this module knows nothing of the program's inside: it starts the command
-named `sim` in deploy/balancer.toml and speaks bytes.
+The platform fixes the protocol, so this module uses none of the program's code. It starts the command `sim`
+of deploy/balancer.toml, and exchanges bytes with it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 from typing import IO, Any, cast
 
 ROOT = Path(__file__).parents[2]
-RECORD_HEAD = struct.Struct("<HI")  # code, instance
+RECORD_HEAD = struct.Struct("<HI")
+"""Code and instance."""
 ENTRY = struct.Struct("<IfHHHBQ")
 GONE, READY, DRAINING = range(3)
 FAILED_LIST, DELTA_LIST, FULL_LIST, CACHED_LIST = range(4)
 ERROR, OK, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(8)
 
-# Of each event: its code, and its fields after code and instance; variable content follows them.
+# Code of each event, and its fields after code and instance. Content of variable length follows the fields.
 EVENTS = {
     "Boot": (1000, struct.Struct("<QI")),
     "RosterChange": (1010, struct.Struct("<QBI")),
@@ -36,7 +37,7 @@
     "FromPeer": (1080, struct.Struct("<HH")),
     "Down": (1090, struct.Struct("<")),
 }
-# Of each action code: its name, and its fields after code and instance.
+# Name of each action by its code, and its fields after code and instance.
 ACTIONS = {
     1000: ("Lose", struct.Struct("<Q")),
     1010: ("Remind", struct.Struct("<QI")),
@@ -51,45 +52,47 @@
     1100: ("Signal", struct.Struct("<IH")),
     1110: ("HealthCheck", struct.Struct("<I")),
 }
-WITH_TEXT = {"Broken", "WriteLog"}  # texts for people: they may change, that one was written may not
-WITH_CONTENT = WITH_TEXT | {"Signal"}  # the last field is the length of bytes that follow
+WITH_TEXT = {"Broken", "WriteLog"}
+"""Actions with a text for people, which may change; the action itself may not."""
+WITH_CONTENT = WITH_TEXT | {"Signal"}
+"""Actions whose last field is the length of the bytes that follow."""
 
 
 @dataclass(frozen=True)
 class Action:
-    """One action of a reply: its name on the wire, the instance, its values in order."""
+    """One action of a reply: its name, its instance, and its values in order."""
 
     name: str
     instance: int
     values: tuple[Any, ...]
 
     def canonical(self) -> str:
-        """The form that is hashed: without texts for people."""
+        """Return the text that is hashed, which has no texts for people."""
         values = () if self.name in WITH_TEXT else self.values
         texts = [value.hex() if isinstance(value, bytes) else str(value) for value in values]
         return " ".join([self.name, str(self.instance), *texts])
 
 
 def encode_event(name: str, instance: int, *values: int, content: bytes = b"") -> bytes:
-    """One event as a record."""
+    """Encode an event as a record."""
     code, layout = EVENTS[name]
     return RECORD_HEAD.pack(code, instance) + layout.pack(*values) + content
 
 
 def encode_list(number: int, entries: dict[int, tuple[float, ...]]) -> bytes:
-    """A numbered endpoint list as a record (`SnapshotRows`, code 1100)."""
+    """Encode a numbered endpoint list as a record (`SnapshotRows`, code 1100)."""
     rows = [ENTRY.pack(endpoint, *entry) for endpoint, entry in entries.items()]
     return struct.pack("<HII", 1100, number, len(rows)) + b"".join(rows)
 
 
 def encode_batch(now: int, records: list[bytes]) -> bytes:
-    """A batch with its header."""
+    """Encode a batch with its header."""
     body = b"".join(records)
     return struct.pack("<IIQ", len(records), len(body) + 8, now) + body
 
 
 def decode_actions(body: bytes) -> Iterator[Action]:
-    """The records of a reply."""
+    """Yield the actions of a reply."""
     position = 0
     while position < len(body):
         code, instance = RECORD_HEAD.unpack_from(body, position)
@@ -105,21 +108,21 @@
 
 
 def simulator_command(root: Path = ROOT) -> list[str]:
-    """The command `sim` of a checkout's deploy/balancer.toml, run by this interpreter."""
+    """Return the command `sim` of a checkout's deploy/balancer.toml, to run with this interpreter."""
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
     words = shlex.split(deploy["sim"].removeprefix("exec "))
     return [sys.executable, *words[1:]]
 
 
 class DecisionProgram:
-    """The running program of a checkout: a batch in, its actions out."""
+    """The running decision program of a checkout, which answers each batch with its actions."""
 
     def __init__(self, root: Path = ROOT) -> None:
         pipe = subprocess.PIPE
         self._process = subprocess.Popen(simulator_command(root), cwd=root, stdin=pipe, stdout=pipe)
 
     def exchange(self, now: int, records: list[bytes]) -> list[Action]:
-        """Send one batch and read its reply."""
+        """Send one batch, and return the actions of its reply."""
         writer = cast(IO[bytes], self._process.stdin)
         reader = cast(IO[bytes], self._process.stdout)
         writer.write(encode_batch(now, records))
@@ -130,5 +133,5 @@
         return actions
 
     def close(self) -> None:
-        """End the program by the end of its input."""
+        """Close the program's input, at which it ends, and wait for its end."""
         self._process.communicate()
--- a/tests/golden/support.py
+++ b/tests/golden/support.py
@@ -1,4 +1,4 @@
-"""What the golden tests share: the command in this process, processes beside it, volatile fields."""
+"""Runs commands and processes for the golden tests, and normalizes their output."""
 
 from __future__ import annotations
 
@@ -20,72 +20,72 @@
 
 ROOT = Path(__file__).parents[2]
 DATA = Path(__file__).parent / "data"
-PATIENCE_S = 20.0
-# Fields that differ from run to run: each value is replaced by its type's name.
-VOLATILE = {"pid", "boot", "build", "started_ms", "uptime_s", "at_ns", "n", "next", "listen"}
-VOLATILE |= {"age_ms", "datagrams", "health", "in_vain", "pauses"}  # of GET /v1/peers
-VOLATILE |= {"uptime_ms", "silent_ms"}  # of `anisespool list`
+TIMEOUT_S = 20.0
+# Fields that differ from run to run. Each value is replaced by the name of its type.
+VOLATILE_FIELDS = {"pid", "boot", "build", "started_ms", "uptime_s", "at_ns", "n", "next", "listen"}
+VOLATILE_FIELDS |= {"age_ms", "datagrams", "health", "in_vain", "pauses"}  # GET /v1/peers
+VOLATILE_FIELDS |= {"uptime_ms", "silent_ms"}  # `anisespool list`
 
 
-def normalised(value: Any) -> Any:
-    """A JSON value without what differs from run to run.
+def normalize(value: Any) -> Any:
+    """Return a JSON value without the parts that differ from run to run.
 
-    Volatile fields show their type only, and `stalled` events, which a busy machine brings about, are left
-    out.
+    Volatile fields have the name of their type as value. `stalled` events are left out, as they depend on the
+    load of the machine.
     """
     if isinstance(value, list):
         items = [item for item in value if not (isinstance(item, dict) and item.get("what") == "stalled")]
-        return [normalised(item) for item in items]
+        return [normalize(item) for item in items]
     if not isinstance(value, dict):
         return value
     return {
-        key: f"<{type(item).__name__}>" if key in VOLATILE else normalised(item)
+        key: f"<{type(item).__name__}>" if key in VOLATILE_FIELDS else normalize(item)
         for key, item in value.items()
     }
 
 
-class Answer(NamedTuple):
-    """What a command gave: its exit status, and the lines that it wrote."""
+class CommandResult(NamedTuple):
+    """The result of a command: its exit status, and the lines of its standard output and error."""
 
     status: int
     output: list[str]
     errors: list[str]
 
 
-def run_command(words: list[str]) -> Answer:
-    """Run `anisespool WORDS` in this process."""
+def run_command(arguments: list[str]) -> CommandResult:
+    """Run `anisespool ARGUMENTS` in this process."""
     output, errors = io.StringIO(), io.StringIO()
     with (
-        patch.object(sys, "argv", ["anisespool", *words]),
+        patch.object(sys, "argv", ["anisespool", *arguments]),
         contextlib.redirect_stdout(output),
         contextlib.redirect_stderr(errors),
     ):
         status = int(main())
-    return Answer(status, output.getvalue().splitlines(), errors.getvalue().splitlines())
+    return CommandResult(status, output.getvalue().splitlines(), errors.getvalue().splitlines())
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, for so long at most."""
-    deadline = time.monotonic() + PATIENCE_S
+    """Wait until a condition holds, for TIMEOUT_S at most."""
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition() and time.monotonic() < deadline:
         time.sleep(0.01)
 
 
-def accepts(path: Path) -> bool:
-    """Whether a Unix socket is there and takes connections: a path exists from bind on, before listen."""
+def accepts_connections(path: Path) -> bool:
+    """Return whether a Unix socket accepts connections. Its path exists from bind on, before listen."""
     with socket.socket(socket.AF_UNIX) as client:
         try:
-            client.connect(os.path.relpath(path))  # an address may have 107 characters at most
+            client.connect(os.path.relpath(path))  # An address has at most 107 characters.
         except OSError:
             return False
     return True
 
 
 @contextmanager
-def running(words: list[str], folder: Path, ready: Path) -> Iterator[subprocess.Popen[bytes]]:
-    """`anisespool WORDS` as a process in a folder, from the moment at which the socket `ready` accepts.
+def running(arguments: list[str], folder: Path, ready: Path) -> Iterator[subprocess.Popen[bytes]]:
+    """Run `anisespool ARGUMENTS` as a process in a folder, and yield it when the socket `ready` accepts.
 
-    The sidecar among them has the configuration of data/control, whose endpoints do not exist.
+    A sidecar has the configuration of data/control, whose endpoints do not exist.
     """
     for name in ("config.json", "operator.toml"):
         shutil.copy(DATA / "control" / name, folder)
@@ -96,11 +96,11 @@
         "LB_DISCOVERY": "127.0.0.1:9",
         "LB_CONFIG": "config.json",
     }
-    command = [sys.executable, "-m", "anisespool", *words, "--config", "operator.toml"]
+    command = [sys.executable, "-m", "anisespool", *arguments, "--config", "operator.toml"]
     process = subprocess.Popen(command, cwd=folder, env=environment, stderr=subprocess.DEVNULL)
     try:
-        wait_until(lambda: accepts(ready) or process.poll() is not None)
-        assert accepts(ready), f"{words[0]} is not ready, its exit status is {process.poll()}"
+        wait_until(lambda: accepts_connections(ready) or process.poll() is not None)
+        assert accepts_connections(ready), f"{arguments[0]} is not ready, its exit status is {process.poll()}"
         yield process
     finally:
         process.kill()
--- a/tests/golden/test_agent_store.py
+++ b/tests/golden/test_agent_store.py
@@ -1,8 +1,9 @@
-"""An agent goes on from a database of the old code, and writes to it what the old code would have written.
+"""An agent continues from a database of an earlier version, and writes the same rows as that version.
 
-A sidecar and an agent run as processes; data/agent_store/session.json holds commands and their answers, and
-the database as SQL after the last of them. A command that only reads is asked until its answer is the
-recorded one: the agent works in the background. Of a change that is followed the last line is compared.
+A sidecar and an agent run as processes. data/agent_store/session.json has commands with their answers, and
+the database as SQL after the last command. A command that only reads is repeated until its answer is the
+recorded one, as the agent works in the background. For a command that follows a change, only the last line is
+compared.
 """
 
 from __future__ import annotations
@@ -18,47 +19,48 @@
 
 import pytest
 
-from tests.golden.support import DATA, PATIENCE_S, normalised, run_command, running
+from tests.golden.support import DATA, TIMEOUT_S, normalize, run_command, running
 
 STORE = DATA / "agent_store"
-READING = {"status", "list", "inspect", "peers"}
-FOLLOWED = {"apply", "rollback", "drain", "undrain"}
-RECORDED_MS = range(1_785_286_800_000, 1_785_286_900_000)  # Unix times in the database of the data
+READ_COMMANDS = {"status", "list", "inspect", "peers"}
+STREAMING_COMMANDS = {"apply", "rollback", "drain", "undrain"}
+RECORDED_MS = range(1_785_286_800_000, 1_785_286_900_000)
+"""Range of the Unix times in the recorded database."""
 
 
-def answer_of(words: list[str]) -> dict[str, Any]:
-    """Run one command against the agent; its status, its volatile fields normalised."""
-    answer = run_command([*words, "--json", "--config", "operator.toml"])
-    lines = [json.loads(line.replace(f"@{os.uname().nodename}", "@host")) for line in answer.output]
-    if words[0] in FOLLOWED:
+def run_agent_command(words: list[str]) -> dict[str, Any]:
+    """Run one command against the agent, and return its exit status and normalized output."""
+    result = run_command([*words, "--json", "--config", "operator.toml"])
+    lines = [json.loads(line.replace(f"@{os.uname().nodename}", "@host")) for line in result.output]
+    if words[0] in STREAMING_COMMANDS:
         lines = lines[-1:]
     if words[0] == "resume":
-        lines = [with_undelivered_together(line) for line in lines]
-    return {"status": answer.status, "output": plain(lines), "error_lines": len(answer.errors)}
+        lines = [add_sent_to_lacks(line) for line in lines]
+    return {"status": result.status, "output": normalize_answer(lines), "error_lines": len(result.errors)}
 
 
-def with_undelivered_together(progress: dict[str, Any]) -> dict[str, Any]:
-    """A rollout's progress, in which `lacks` also counts the instances in flight.
+def add_sent_to_lacks(progress: dict[str, Any]) -> dict[str, Any]:
+    """Return a rollout's progress in which `lacks` includes the instances counted by `sent`.
 
-    Whether the reconciler has sent the change by the moment of the answer depends on the machine alone.
+    Whether the reconciler has sent the change before the answer depends on the speed of the machine.
     """
     return progress | {"lacks": progress["lacks"] + progress["sent"], "sent": 0}
 
 
-def plain(value: Any) -> Any:
-    """A JSON value, normalised, and without the times at which this test made a change."""
-    text = json.dumps(normalised(value))
-    text = re.sub(r'(?<="created_ms": )\d+', lambda found: recorded_time(found[0]), text)
+def normalize_answer(value: Any) -> Any:
+    """Return a normalized JSON value, with 0 for the times of changes that this test made."""
+    text = json.dumps(normalize(value))
+    text = re.sub(r'(?<="created_ms": )\d+', lambda found: keep_recorded_time(found[0]), text)
     return json.loads(text)
 
 
-def recorded_time(milliseconds: str) -> str:
-    """A time as it is, if it is one of the data; 0 for any other."""
+def keep_recorded_time(milliseconds: str) -> str:
+    """Return a time of the recorded database unchanged, and 0 for any other."""
     return milliseconds if int(milliseconds) in RECORDED_MS else "0"
 
 
 def dump(path: Path) -> list[str]:
-    """The database as SQL, and what its header says, without the times, host and boots of this test."""
+    """Return the database's header and its SQL, without the times, host and boot numbers of this test."""
     database = sqlite3.connect(path)
     header = [
         f"{name} {database.execute(f'PRAGMA {name}').fetchone()[0]}"
@@ -67,11 +69,11 @@
     lines = [*header, *database.iterdump()]
     database.close()
     text = "\n".join(lines).replace(f"@{os.uname().nodename}", "@host")
-    text = re.sub(r"\b\d{13}\b", lambda found: recorded_time(found[0]), text)
+    text = re.sub(r"\b\d{13}\b", lambda found: keep_recorded_time(found[0]), text)
     return re.sub(r"('n0',)'[^']+'", r"\1'<boot>'", text).splitlines()
 
 
-def test_an_agent_goes_on_from_the_database(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_agent_continues_from_an_earlier_database(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     session = json.loads((STORE / "session.json").read_text())
     monkeypatch.chdir(tmp_path)
     monkeypatch.setenv("LOGNAME", "ana")
@@ -82,19 +84,21 @@
     socket = tmp_path / "sockets" / "n0.sock"
     with running(["sidecar"], tmp_path, socket), running(["agent"], tmp_path, state / "agent.sock") as agent:
         for step in session["steps"]:
-            found = answer_of(step["words"])
-            deadline = time.monotonic() + PATIENCE_S
-            while step["words"][0] in READING and found != step["answer"] and time.monotonic() < deadline:
+            found = run_agent_command(step["words"])
+            deadline = time.monotonic() + TIMEOUT_S
+            while (
+                step["words"][0] in READ_COMMANDS and found != step["answer"] and time.monotonic() < deadline
+            ):
                 time.sleep(0.1)
-                found = answer_of(step["words"])
+                found = run_agent_command(step["words"])
             assert found == step["answer"], step["words"]
         agent.terminate()
-        assert agent.wait(PATIENCE_S) == 0
+        assert agent.wait(TIMEOUT_S) == 0
     assert dump(state / "agent.db") == session["database"]
 
 
-def test_a_new_database_has_the_same_tables(tmp_path: Path) -> None:
-    """Asked of the file that an agent makes of nothing."""
+def test_a_new_database_has_the_recorded_tables(tmp_path: Path) -> None:
+    """The database is the one that an agent creates when it has none."""
     (tmp_path / "state").mkdir(mode=0o700)
     with running(["agent"], tmp_path, tmp_path / "state" / "agent.sock"):
         found = dump(tmp_path / "state" / "agent.db")
--- a/tests/golden/test_control_socket.py
+++ b/tests/golden/test_control_socket.py
@@ -1,7 +1,7 @@
-"""Every verb of the control socket, asked of a real sidecar: each answer is as it was recorded.
+"""Every request of the control socket gets the recorded response from a real sidecar.
 
-The transcript is data/control/transcript.json; volatile fields are as support.VOLATILE says, and the length
-of a body that has some is not compared.
+The transcript is data/control/transcript.json. The fields in support.VOLATILE_FIELDS are compared only by
+type. The length of a body is not compared, as it depends on them.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from tests.golden.support import DATA, PATIENCE_S, normalised, running
+from tests.golden.support import DATA, TIMEOUT_S, normalize, running
 
 
 def encode(request: dict[str, Any]) -> bytes:
-    """The bytes of a request of the transcript."""
+    """Return the bytes of a request of the transcript."""
     if "raw" in request:
         return str(request["raw"]).encode("latin-1")
     body = b"" if request["body"] is None else json.dumps(request["body"]).encode()
@@ -24,9 +24,9 @@
 
 
 def exchange(path: Path, request: dict[str, Any]) -> dict[str, Any]:
-    """Send one request on a connection of its own; the head of the answer and its JSON."""
+    """Send one request on a new connection, and return the head and the JSON of the response."""
     with socket.socket(socket.AF_UNIX) as connection:
-        connection.settimeout(PATIENCE_S)
+        connection.settimeout(TIMEOUT_S)
         connection.connect(str(path))
         connection.sendall(encode(request))
         with connection.makefile("rb") as stream:
@@ -36,14 +36,14 @@
                 if name == "Content-Length":
                     size, value = int(value), "<size>"
                 head.append([name, value])
-            return {"head": head, "body": normalised(json.loads(stream.read(size)))}
+            return {"head": head, "body": normalize(json.loads(stream.read(size)))}
 
 
-def test_every_answer_is_as_it_was_recorded(tmp_path: Path) -> None:
+def test_every_response_is_the_recorded_one(tmp_path: Path) -> None:
     transcript = json.loads((DATA / "control" / "transcript.json").read_text())
     path = tmp_path / "sockets" / "n0.sock"
     with running(["sidecar"], tmp_path, path) as process:
         for number, entry in enumerate(transcript):
             found = exchange(path, entry["request"])
             assert found == entry["response"], f"request {number}: {entry['request']}"
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(TIMEOUT_S) == 0
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,4 +1,4 @@
-"""The first events of every decision stream, against the golden hashes (all of them: decision_streams.py)."""
+"""The first events of every stream against the golden hashes; decision_streams.py plays all events."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 @pytest.mark.parametrize("plan", load_plans(), ids=lambda plan: str(plan["name"]))
-def test_the_decisions_are_the_same(plan: dict[str, Any]) -> None:
+def test_decisions_match_the_golden_hashes(plan: dict[str, Any]) -> None:
     assert play(plan, 1).checkpoints == plan["checkpoints"][:1]
 
 
-WRONG_BATCHES = {
+INVALID_BATCHES = {
     "unknown code": encode_batch(0, [b"\xff\xff"]),
     "record cut off": encode_batch(0, [b"\xfc\x03"]),
     "a byte too many": encode_batch(0, [])[:4] + b"\x09" + bytes(12),
@@ -24,8 +24,8 @@
 }
 
 
-@pytest.mark.parametrize("batch", WRONG_BATCHES.values(), ids=WRONG_BATCHES)
-def test_a_wrong_batch_ends_the_program_after_its_earlier_answers(batch: bytes) -> None:
+@pytest.mark.parametrize("batch", INVALID_BATCHES.values(), ids=INVALID_BATCHES)
+def test_an_invalid_batch_ends_the_program_after_its_earlier_replies(batch: bytes) -> None:
     data = encode_batch(0, []) + batch
-    done = subprocess.run(simulator_command(), cwd=ROOT, input=data, capture_output=True)
-    assert (done.returncode, done.stdout) == (2, bytes(8))
+    finished = subprocess.run(simulator_command(), cwd=ROOT, input=data, capture_output=True)
+    assert (finished.returncode, finished.stdout) == (2, bytes(8))
--- a/tests/golden/test_formats.py
+++ b/tests/golden/test_formats.py
@@ -1,4 +1,4 @@
-"""What is written and read byte by byte: records, datagrams, the operator's file, digests of documents."""
+"""Formats that other programs read and write: records, datagrams, the operator's file, document digests."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 @pytest.mark.parametrize("message", GOSSIP["messages"], ids=lambda message: str(message["name"]))
-def test_datagrams_are_encoded_and_decoded_alike(message: dict[str, Any]) -> None:
+def test_datagrams_are_encoded_to_and_decoded_from_the_same_bytes(message: dict[str, Any]) -> None:
     datagram = bytes.fromhex(message["datagram"])
     assert adapters.encode_datagram(message["values"]) == datagram
     payload = message.get("decoded_payload", message["values"]["payload"])
     assert adapters.decode_datagram(datagram) == message["values"] | {"payload": payload}
 
 
-def test_wrong_datagrams_are_rejected_for_the_same_reasons() -> None:
+def test_invalid_datagrams_are_rejected_for_the_same_reasons() -> None:
     assert {row["values"]["kind"] for row in GOSSIP["messages"]} == set(range(1, 8))
     for row in GOSSIP["rejected"]:
         assert adapters.decode_datagram(bytes.fromhex(row["datagram"])) == {"reason": row["reason"]}
