--- a/tests/benchmarks/test_live.py
+++ b/tests/benchmarks/test_live.py
@@ -1,4 +1,4 @@
-"""A run with real processes that says nothing is a missed objective, not a traceback."""
+"""A void run of real processes counts as a missed objective and does not raise."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert report.missed_objectives == ["site: void: sent 24.6 ms late"]
 
 
-def test_a_void_run_of_a_pair_ends_the_measurement_with_a_missed_objective(
+def test_a_void_run_of_a_pair_is_a_missed_objective(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(live_run, "play", void_run)
--- a/tests/benchmarks/test_report.py
+++ b/tests/benchmarks/test_report.py
@@ -1,4 +1,4 @@
-"""The common part of the benchmarks: pairs and their spread, objectives, the report's forms, the runner."""
+"""Tests of what benchmarks share: pairs and their spread, objectives, reports, the runner, checkouts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from benchmarks.runner import NAMES, Benchmark, load, main, run
 
 
-def report_of(*, met: bool) -> Callable[[Report], None]:
+def sample_measurement(*, met: bool) -> Callable[[Report], None]:
     def measure(report: Report) -> None:
         report.add_row("served", 69.04, 63)
         report.add_note("quiet machine")
@@ -28,7 +28,7 @@
 
 
 def benchmark(*, met: bool) -> Benchmark:
-    return Benchmark("CPU", ("case", "now", "before"), report_of(met=met))
+    return Benchmark("CPU", ("case", "now", "before"), sample_measurement(met=met))
 
 
 def test_spread_of_repeated_values() -> None:
@@ -42,32 +42,32 @@
     assert Spread.of([2.5]) == Spread(2.5, 2.5, 2.5, 2.5, 2.5)
 
 
-def test_quartiles_of_two_values_are_not_outside_of_them() -> None:
+def test_quartiles_of_two_values_lie_between_them() -> None:
     assert Spread.of([2.0, 1.0]) == Spread(1.0, 1.0, 1.5, 2.0, 2.0)
 
 
-def test_no_spread_of_nothing() -> None:
+def test_spread_of_no_values_is_an_error() -> None:
     with pytest.raises(ValueError, match="at least one"):
         Spread.of([])
 
 
-def test_ratio_and_difference_are_of_the_pairs_not_of_their_means() -> None:
+def test_ratios_and_differences_are_computed_for_each_pair() -> None:
     pairs = pair_up([2.0, 30.0, 4.0], [1.0, 10.0, 4.0])
     assert [pair.ratio for pair in pairs] == [2.0, 3.0, 1.0]
     assert ratios(pairs).median == 2.0
     assert differences(pairs).median == 1.0
 
 
-def test_figures_without_a_partner_are_no_pairs() -> None:
+def test_pairing_different_numbers_of_figures_is_an_error() -> None:
     with pytest.raises(ValueError, match="shorter"):
         pair_up([1.0, 2.0], [1.0])
 
 
-def test_arms_come_in_turn_and_every_other_round_reversed() -> None:
+def test_in_turn_reverses_every_other_round() -> None:
     assert list(in_turn(("a", "b", "c"), 3)) == ["a", "b", "c", "c", "b", "a", "a", "b", "c"]
 
 
-def test_pairs_are_measured_in_turn() -> None:
+def test_every_other_pair_measures_the_reference_first() -> None:
     calls: list[str] = []
 
     def measured() -> float:
@@ -87,7 +87,7 @@
     assert run(benchmark(met=met), io.StringIO()) == status
 
 
-def test_printed_form() -> None:
+def test_printed_report() -> None:
     out = io.StringIO()
     run(benchmark(met=False), out)
     assert out.getvalue().splitlines() == [
@@ -102,13 +102,13 @@
     ]
 
 
-def test_printed_form_says_that_all_objectives_were_met() -> None:
+def test_printed_report_when_all_objectives_are_met() -> None:
     out = io.StringIO()
     run(benchmark(met=True), out)
     assert out.getvalue().splitlines()[-1] == "all objectives met"
 
 
-def test_json_form_is_the_last_line() -> None:
+def test_json_report_is_the_last_line() -> None:
     out = io.StringIO()
     run(benchmark(met=False), out, as_json=True)
     assert json.loads(out.getvalue().splitlines()[-1]) == {
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_each_name_is_a_benchmark(name: str) -> None:
+def test_each_name_loads_a_benchmark(name: str) -> None:
     declared = load(name)
     assert declared.title
     assert declared.columns
@@ -134,18 +134,18 @@
     assert "invalid choice: 'unknown'" in capsys.readouterr().err
 
 
-def test_a_benchmark_is_loaded_without_the_others() -> None:
+def test_loading_a_benchmark_does_not_import_the_others() -> None:
     code = (
         "import sys; from benchmarks.runner import NAMES, load; load('decision');"
         "print(*[name for name in NAMES if f'benchmarks.{name}' in sys.modules])"
     )
-    done = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-c", code], cwd=checkout.ROOT, capture_output=True, text=True, check=True
     )
-    assert done.stdout.split() == ["decision"]
+    assert finished.stdout.split() == ["decision"]
 
 
-def test_a_function_of_another_checkout_is_called_with_its_packages(tmp_path: Path) -> None:
+def test_a_function_of_another_checkout_is_called_with_that_checkouts_packages(tmp_path: Path) -> None:
     package = tmp_path / "benchmarks"
     package.mkdir()
     (package / "__init__.py").touch()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Runs the tests that are coroutine functions; they need no decorator."""
+"""Lets tests be coroutine functions, without a decorator."""
 
 from __future__ import annotations
 
@@ -9,16 +9,15 @@
 
 from tests.harness.async_runner import run_async_test
 
-# GNU readline, which pytest loads, exports a terminal size (80 x 24 without a terminal) to the worker
-# processes that pytest-xdist starts. A rich console made at import would keep it, whatever a test sets
-# COLUMNS to.
+# pytest loads GNU readline, which exports a terminal size (80 x 24 without a terminal) to the workers of
+# pytest-xdist. A rich console that is created at import would keep this size, even if a test sets COLUMNS.
 for name in ("COLUMNS", "LINES"):
     os.environ.pop(name, None)
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a coroutine function with its fixtures; pytest calls any other."""
+    """Run a coroutine function with its fixtures; pytest itself calls any other function."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = inspect.signature(pyfuncitem.obj).parameters
--- a/tests/harness/__init__.py
+++ b/tests/harness/__init__.py
@@ -1,1 +1,1 @@
-"""What several packages' tests need to run sidecars and fleets; one module for each job."""
+"""Helpers with which the tests of several packages run sidecars and fleets."""
--- a/tests/harness/async_runner.py
+++ b/tests/harness/async_runner.py
@@ -1,4 +1,4 @@
-"""How a test that is a coroutine function runs: on an event loop of its own, with a timeout."""
+"""Runs a test that is a coroutine function, on a new event loop and with a timeout."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-TEST_TIMEOUT_S = 60.0  # no test may hang; far above what any takes, on a busy machine too
+TEST_TIMEOUT_S = 60.0
+"""Ends a test that hangs; far above the duration of any test, even on a busy machine."""
 
 
 def run_async_test(
@@ -14,9 +15,9 @@
     arguments: dict[str, Any],
     timeout_s: float = TEST_TIMEOUT_S,
 ) -> None:
-    """Run the test with its fixtures' values to its end.
+    """Run the test with its fixtures' values, until it ends or times out.
 
     Raises:
-        TimeoutError: It did not end in time, and was cancelled.
+        TimeoutError: The test did not end in time, and was cancelled.
     """
     asyncio.run(asyncio.wait_for(test(**arguments), timeout_s))
--- a/tests/harness/client.py
+++ b/tests/harness/client.py
@@ -1,4 +1,4 @@
-"""A client of a sidecar that writes the bytes of its requests itself."""
+"""A client that sends the raw bytes of its requests to a sidecar."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from tests.harness.waiting import POLL_INTERVAL_S
 
 HEALTH_CHECK = b"GET /healthz HTTP/1.1\r\n\r\n"
-DEADLINE_TOLERANCE_S = 0.07  # past a deadline, as the rules count it on sockets
+DEADLINE_TOLERANCE_S = 0.07
+"""Time after a deadline that the rules still allow on sockets."""
 
 
 def request_bytes(
@@ -19,7 +20,7 @@
     body: bytes = b"",
     headers: str = "",
 ) -> bytes:
-    """The bytes of one request of a class, with `left_ms` until its deadline."""
+    """Return the bytes of one request of a class, with `left_ms` until its deadline."""
     method = "GET" if request_class == "look" else "POST"
     head = f"{method} /{request_class}/00ab?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {trace_id}\r\n"
     head += f"X-Customer: acme\r\nX-Expires-In-Ms: {left_ms}\r\n{headers}"
@@ -29,7 +30,7 @@
 
 
 async def send_request(address: Address, request: bytes) -> http1.Response:
-    """Send one request on a connection of its own, and read the response."""
+    """Send one request on a new connection, and return the response."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(request)
@@ -39,6 +40,6 @@
 
 
 async def wait_until_health(address: Address, status: int) -> None:
-    """Wait until the sidecar's health check has this status."""
+    """Wait until the sidecar's health check returns `status`."""
     while (await send_request(address, HEALTH_CHECK)).status != status:
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/harness/connection_internals.py
+++ b/tests/harness/connection_internals.py
@@ -1,4 +1,4 @@
-"""Internals of a sidecar's own connections that tests need, and why each has no public form."""
+"""Access to private attributes of a sidecar's connections, with the reason why tests need each."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 def transport_of(connection: object) -> asyncio.Transport:
-    """The transport of a client's connection, or of one to an endpoint.
+    """Return the transport of a client's connection, or of a connection to an endpoint.
 
-    Private, as only the connection itself may write to its transport or pause it. Tests stop its reading, so
-    that input stays in the kernel at an instant that no peer could hit, and read its socket's options.
+    It is private because only the connection itself may write to its transport or pause it. Tests pause its
+    reading, so that input stays in the kernel at an instant that no peer could time, and read its socket
+    options.
     """
     assert isinstance(connection, ClientConnection | Connection)
     transport = connection._transport
@@ -21,9 +22,10 @@
 
 
 def parsed_bytes(connection: object) -> int:
-    """Bytes of the response that a connection to an endpoint has parsed; 0 where it has no attempt.
+    """Return how many bytes of the response a connection to an endpoint has parsed; 0 without an attempt.
 
-    Private, as a response is used only once it is complete. Tests end a connection at a given byte of one.
+    The parser is private because a response is used only when it is complete. Tests close a connection at a
+    given byte of the response.
     """
     assert isinstance(connection, Connection)
     parser = connection._parser
--- a/tests/harness/platform_config.py
+++ b/tests/harness/platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of a sidecar, as a file and the environment that names it."""
+"""Writes the platform's configuration file of a sidecar, and returns the environment that names it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from anisespool.fakes import platform
 from tests.support import raw_settings
 
-NO_LISTENER = Address("127.0.0.1", 1)  # connections there are refused
+NO_LISTENER = Address("127.0.0.1", 1)
+"""An address that refuses connections."""
 
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
-    """The settings of tests/support.py, with names.
+    """Return the settings of tests/support.py, with names for classes, tenants, zones and machine types.
 
-    Requests of class `look` are idempotent, those of `keyed` by their key, those of `once` are not.
+    Requests of class `look` are idempotent, those of `keyed` by their key, and those of `once` are not.
     """
     raw = raw_settings(**changes)
     for row, name in zip(raw["request-classes"], ("look", "keyed", "once"), strict=True):
@@ -35,12 +36,12 @@
     """Write the configuration file, and return the environment that names it.
 
     Args:
-        folder: Where the file goes.
+        folder: The folder of the file.
         discovery: The discovery service's address.
         known: The initial endpoint list.
-        listen: Where the sidecar listens.
-        sockets: File descriptors that the platform allows.
-        changes: Of the settings, as `raw_settings` takes them.
+        listen: The sidecar's listen address.
+        sockets: Maximum number of file descriptors.
+        changes: Changes of the settings, as in `raw_settings`.
     """
     settings = platform_settings(**changes)
     return platform.write_config(folder, discovery, known, settings, listen=listen, sockets=sockets)
--- a/tests/harness/running_sidecar.py
+++ b/tests/harness/running_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar in the test's own process, between the project's fakes."""
+"""Runs a sidecar in the test's process, with a fake discovery service and fake endpoints."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(slots=True)
 class RunningSidecar:
-    """A sidecar in this process, and its discovery service.
+    """A sidecar in this process, and its fake discovery service.
 
     Attributes:
-        address: Where it listens for clients.
-        discovery: Its discovery service, a fake.
-        signals: In place of the process's signals.
-        task: Runs it.
+        address: The address on which it listens for clients.
+        discovery: The fake discovery service.
+        signals: Used instead of the process's signals.
+        task: The task that runs the sidecar.
     """
 
     address: Address
@@ -43,10 +43,10 @@
     """Run a sidecar whose initial list has these endpoints, `s-0`, `s-1` and so on.
 
     Args:
-        folder: For its configuration file.
-        endpoints: Fakes that are already being served.
-        operator_config: What an operator's file would switch on.
-        changes: As `write_config` takes them.
+        folder: The folder of its configuration file.
+        endpoints: Fake endpoints that are already serving.
+        operator_config: The content of an operator's file; None without one.
+        changes: Changes as in `write_config`.
     """
     async with ScriptedDiscovery().serve() as discovery:
         known = [
--- a/tests/harness/waiting.py
+++ b/tests/harness/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for something that a test can see but that announces itself to nobody."""
+"""Waits for a condition that a test can check but is not notified of."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait until `condition()` holds; the test's own timeout ends a wait that never does."""
+    """Wait until `condition()` holds; if it never does, the test's timeout ends the wait."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""docs/architecture.md names modules and packages that exist, and every package."""
+"""docs/architecture.md names only modules that exist, and has a row for every package."""
 
 from __future__ import annotations
 
--- a/tests/test_async_runner.py
+++ b/tests/test_async_runner.py
@@ -1,4 +1,4 @@
-"""Tests that are coroutine functions: that they run at all, can fail, and have a timeout."""
+"""Tests that are coroutine functions run with their fixtures, can fail, and have a timeout."""
 
 from __future__ import annotations
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/capacity.md lists every constant of the decision module, each with the value that the code has."""
+"""docs/capacity.md lists every constant of the decision module, with its value in the code."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 BALANCER = PACKAGE / "balancer"
 SECTIONS = (ROOT / "docs/capacity.md").read_text().split("\n## ")
 ROW = re.compile(r"^\| `(?P<name>[\w.]+)` \| `(?P<value>[^`]+)` \| `(?P<module>[\w/]+\.py)` \|", re.MULTILINE)
-OTHER_THAN_DECISIONS = {"interface.py", "inspection.py"}
+NOT_DECISION_MODULES = {"interface.py", "inspection.py"}
 
 
 class Row(NamedTuple):
-    """A constant as the page has it."""
+    """A row of the page: a constant and its value."""
 
     module: str
     """Path below `anisespool`."""
     name: str
-    """Of the constant, or `Type.field` for a field's default."""
+    """The constant's name, or `Type.field` for a field's default."""
     value: float
 
 
@@ -42,8 +42,8 @@
     return float(numerator) / float(denominator or 1)
 
 
-DECISIONS = _rows("Constants of the decision module", "balancer/")
-OTHERS = _rows("Constants of other packages", "")
+DECISION_ROWS = _rows("Constants of the decision module", "balancer/")
+OTHER_ROWS = _rows("Constants of other packages", "")
 
 
 def _import(module: str) -> ModuleType:
@@ -57,7 +57,7 @@
 
 
 def _constants(path: Path) -> set[str]:
-    """Return the names of a module's numeric constants, and of the defaults of its types of limits."""
+    """Return the names of a module's numeric constants, and of the defaults of its `...Limits` types."""
     module = _import(str(path.relative_to(PACKAGE)))
     names = set()
     for node in ast.parse(path.read_text()).body:
@@ -80,19 +80,19 @@
         for path in sorted(BALANCER.rglob("*.py"))
         if "simulator" not in path.parts
         and not path.name.startswith("settings")
-        and path.name not in OTHER_THAN_DECISIONS
+        and path.name not in NOT_DECISION_MODULES
     ]
 
 
-@pytest.mark.parametrize("row", [*DECISIONS, *OTHERS], ids=lambda row: f"{row.module}:{row.name}")
+@pytest.mark.parametrize("row", [*DECISION_ROWS, *OTHER_ROWS], ids=lambda row: f"{row.module}:{row.name}")
 def test_a_constant_has_the_value_on_the_page(row: Row) -> None:
     assert _value(row) == row.value
 
 
-def test_no_row_of_the_page_is_left_out() -> None:
+def test_every_row_of_the_page_is_parsed() -> None:
     constants, _, _ = "\n## ".join(SECTIONS).partition("\n## Targets and results")
     rows = [line for line in constants.splitlines() if re.match(r"\| `.*\.py` \|", line)]
-    assert len(rows) == len(DECISIONS) + len(OTHERS)
+    assert len(rows) == len(DECISION_ROWS) + len(OTHER_ROWS)
 
 
 def test_every_constant_of_the_decision_module_is_on_the_page() -> None:
@@ -100,4 +100,4 @@
         (str(path.relative_to(PACKAGE)), name) for path in _decision_modules() for name in _constants(path)
     }
     assert len(in_code) > 70
-    assert sorted((row.module, row.name) for row in DECISIONS) == sorted(in_code)
+    assert sorted((row.module, row.name) for row in DECISION_ROWS) == sorted(in_code)
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -1,4 +1,4 @@
-"""docs/decisions.md names what exists, and has every constant of the decision module and of other rules."""
+"""docs/decisions.md names existing code, and has every constant of the decision module and of other rules."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs/decisions.md").read_text()
-RULE_MODULES = (  # beside the decision module's
+# Modules of rules outside of the decision module.
+RULE_MODULES = (
     "listener/eviction.py",
     "listener/keepalive.py",
     "listener/shutdown.py",
@@ -43,7 +44,7 @@
 
 
 def rules() -> Iterator[Rule]:
-    """The rows of all tables."""
+    """Yield the rows of all tables."""
     for line in PAGE.splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
         if line.startswith("| ") and len(cells) == len(COLUMNS) and cells[0] not in ("---", COLUMNS[0]):
@@ -54,12 +55,12 @@
 
 
 def names(cell: str) -> list[str]:
-    """What a cell has in code quotes."""
+    """Return the names that a cell has in backquotes."""
     return re.findall(r"`([^`]+)`", cell)
 
 
 def definitions(path: Path) -> set[str]:
-    """Functions, methods (`Class.method`) and classes of a module."""
+    """Return the functions, methods (`Class.method`) and classes of a module."""
     found = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
@@ -71,7 +72,7 @@
 
 
 def constants(path: Path) -> set[str]:
-    """Numeric constants of a module, and fields of its `...Limits` types."""
+    """Return the numeric constants of a module, and the fields of its `...Limits` types."""
     found = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.Assign) and isinstance(node.targets[0], ast.Name):
@@ -92,7 +93,7 @@
 
 
 @pytest.mark.parametrize("rule", RULES, ids=lambda rule: rule.question.partition(":")[0].strip("*"))
-def test_a_rule_names_what_exists(rule: Rule) -> None:
+def test_a_rule_names_existing_definitions(rule: Rule) -> None:
     assert rule.inputs
     assert rule.rule
     module, function = names(rule.function)
@@ -103,7 +104,7 @@
         assert event in events_in_code()
 
 
-def test_each_constant_of_a_rule_has_its_row() -> None:
+def test_the_page_has_exactly_the_constants_of_the_rules() -> None:
     in_code = set().union(*(constants(ROOT / "anisespool" / module) for module in MODULES))
     on_page = {name for rule in RULES for name in names(rule.constants)}
     assert len(in_code) > 50
@@ -111,7 +112,7 @@
 
 
 def value(module: str, constant: str) -> float:
-    """A constant's value, or the default of a field of a `...Limits` type."""
+    """Return a constant's value, or the default of a field of a `...Limits` type."""
     name, _, field = constant.partition(".")
     found = getattr(import_module(f"anisespool.{module.removesuffix('.py').replace('/', '.')}"), name)
     return float(getattr(found(), field) if field else found)
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Who may import whom, as docs/architecture.md says, and what a sidecar without arguments never loads."""
+"""Imports follow docs/architecture.md, and a sidecar without arguments loads no optional module."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-BASE = {"balancer", "codec", "config", "log"}  # what everything may use
-MAY: dict[str, set[str]] = {
+COMMON_PACKAGES = {"balancer", "codec", "config", "log"}
+"""Packages that most others may import."""
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "log": set(),
     "backoff": set(),
     "balancer": {"log"},
     "config": {"balancer", "log"},
     "codec": set(),
-    "discovery": BASE | {"backoff"},
-    "upstream": BASE,
-    "proxy": BASE | {"upstream", "discovery"},
-    "listener": BASE | {"proxy"},
-    "records": BASE | {"backoff", "proxy", "upstream"},
-    "control": BASE | {"proxy", "discovery"},
-    "membership": BASE,
-    "agent": BASE | {"control"},
+    "discovery": COMMON_PACKAGES | {"backoff"},
+    "upstream": COMMON_PACKAGES,
+    "proxy": COMMON_PACKAGES | {"upstream", "discovery"},
+    "listener": COMMON_PACKAGES | {"proxy"},
+    "records": COMMON_PACKAGES | {"backoff", "proxy", "upstream"},
+    "control": COMMON_PACKAGES | {"proxy", "discovery"},
+    "membership": COMMON_PACKAGES,
+    "agent": COMMON_PACKAGES | {"control"},
     "lab": {
         "balancer",
         "config",
@@ -38,12 +39,14 @@
         "upstream",
         "discovery",
     },
-    "cli": BASE | {"agent", "fakes", "sidecar", "lab", "records"},
-    "fakes": BASE | {"agent", "backoff", "records"},
-    "sidecar": BASE | {"proxy", "listener", "upstream", "discovery", "control", "records", "membership"},
+    "cli": COMMON_PACKAGES | {"agent", "fakes", "sidecar", "lab", "records"},
+    "fakes": COMMON_PACKAGES | {"agent", "backoff", "records"},
+    "sidecar": COMMON_PACKAGES
+    | {"proxy", "listener", "upstream", "discovery", "control", "records", "membership"},
     "__main__": {"sidecar", "cli"},
 }
-PURE = (  # modules that decide: no I/O, no clock, no asyncio; time and randomness are passed in
+# Modules that decide, without I/O, clock or asyncio: time and randomness are passed in.
+PURE_MODULES = (
     "agent/desired_state.py",
     "agent/errors.py",
     "agent/instance_state.py",
@@ -138,8 +141,19 @@
     "records/sampling.py",
     "upstream/attempt_outcome.py",
 )
-IMPURE = {"asyncio", "datetime", "io", "os", "pathlib", "selectors", "signal", "socket", "sqlite3", "ssl"}
-IMPURE |= {"subprocess", "sys", "threading", "time"}
+IMPURE_MODULES = {
+    "asyncio",
+    "datetime",
+    "io",
+    "os",
+    "pathlib",
+    "selectors",
+    "signal",
+    "socket",
+    "sqlite3",
+    "ssl",
+}
+IMPURE_MODULES |= {"subprocess", "sys", "threading", "time"}
 
 
 def imported(path: Path) -> set[str]:
@@ -152,32 +166,32 @@
     return names
 
 
-@pytest.mark.parametrize("package", sorted(MAY))
-def test_imports_follow_the_arrows(package: str) -> None:
-    place = ROOT / "anisespool" / package
-    for path in sorted(place.rglob("*.py")) if place.is_dir() else [place.with_suffix(".py")]:
+@pytest.mark.parametrize("package", sorted(ALLOWED_IMPORTS))
+def test_a_package_imports_only_allowed_packages(package: str) -> None:
+    location = ROOT / "anisespool" / package
+    for path in sorted(location.rglob("*.py")) if location.is_dir() else [location.with_suffix(".py")]:
         for name in imported(path):
             assert name.partition(".")[0] not in ("tests", "benchmarks"), f"{path}: {name}"
-            inner = name.split(".")
-            if inner[0] == "anisespool" and len(inner) > 1 and not inner[1].startswith("__"):
-                assert inner[1] in MAY[package] | {package}, f"{path}: {name}"
+            parts = name.split(".")
+            if parts[0] == "anisespool" and len(parts) > 1 and not parts[1].startswith("__"):
+                assert parts[1] in ALLOWED_IMPORTS[package] | {package}, f"{path}: {name}"
 
 
-@pytest.mark.parametrize("module", PURE)
+@pytest.mark.parametrize("module", PURE_MODULES)
 def test_a_pure_module_imports_no_io_clock_or_asyncio(module: str) -> None:
-    """Of the log a pure module may use format_event, which only makes a text; log_event writes."""
-    pure = {f"anisespool.{path.removesuffix('.py').replace('/', '.')}" for path in PURE}
+    """A pure module may use format_event, which only formats a text, but not log_event, which writes it."""
+    pure_names = {f"anisespool.{path.removesuffix('.py').replace('/', '.')}" for path in PURE_MODULES}
     for name in imported(ROOT / "anisespool" / module):
-        assert name.partition(".")[0] not in IMPURE, f"{module}: {name}"
+        assert name.partition(".")[0] not in IMPURE_MODULES, f"{module}: {name}"
         if name.startswith("anisespool.") and name not in ("anisespool.log", "anisespool.log.format_event"):
-            allowed = pure | {"anisespool.balancer.interface"}
+            allowed = pure_names | {"anisespool.balancer.interface"}
             package = name.removeprefix("anisespool.") == module.partition("/")[0]
-            assert package or any(name.startswith(one) for one in allowed), f"{module}: {name}"
+            assert package or any(name.startswith(prefix) for prefix in allowed), f"{module}: {name}"
 
 
-def test_every_package_has_its_place() -> None:
-    there = {p.stem for p in (ROOT / "anisespool").iterdir() if not p.name.startswith(".")}
-    assert there - {"__init__", "__pycache__"} <= set(MAY)
+def test_every_package_is_listed() -> None:
+    present = {p.stem for p in (ROOT / "anisespool").iterdir() if not p.name.startswith(".")}
+    assert present - {"__init__", "__pycache__"} <= set(ALLOWED_IMPORTS)
 
 
 NOT_LOADED_WITHOUT_A_FILE = (
@@ -211,7 +225,7 @@
 
 def test_a_sidecar_without_arguments_loads_nothing_that_a_file_enables() -> None:
     code = "import sys, anisespool.sidecar; print(*sys.modules)"
-    # Without site, whose finder of an editable installation imports urllib.parse by itself.
+    # -S disables `site`, in which the import hook of an editable installation loads urllib.parse.
     folders = [str(ROOT), sysconfig.get_path("purelib"), sysconfig.get_path("platlib")]
     finished = subprocess.run(
         [sys.executable, "-S", "-c", code],
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The README's examples run as printed."""
 
 from __future__ import annotations
 
