--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -30,7 +30,7 @@
 WORK_SPREADS = (0.0, 1.0)
 """Spreads of the service times: all alike, or exponential."""
 LIMITS = (20, 40, 60, 80, 100, 120, 140, 170, 200)
-"""Open requests per sidecar."""
+"""Limits on the open requests of a sidecar."""
 NO_LIMIT = 0
 """The balancer's own admission control."""
 SEEDS = (1, 2, 3)
@@ -39,14 +39,14 @@
 WARMUP_S = 5
 OVERLOAD_S = 6
 FIRST_COUNTED_SECOND = 1
-"""Second of the overload."""
+"""The first second of the overload that is counted."""
 RECOVERY_S = 2
 """Time after the overload that is not counted; COUNTED_AFTER_S follows."""
 COUNTED_AFTER_S = 3
 QUIET_SHARE = 0.1
-"""Quiet load / capacity."""
+"""The quiet load, as a share of the capacity."""
 AFTER_LOAD_FACTOR = 2
-"""Load after the recovery / quiet load."""
+"""The load after the recovery, as a multiple of the quiet load."""
 MIN_SHARE_OF_BEST = 0.95
 MIN_IN_TIME_SHARE_AFTER = 0.99
 MAX_GOODPUT_LOSS_SHARE = 0.01
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -44,11 +44,11 @@
 NET = FIGURES.index("net")
 ATTEMPTS_REJECTED = FIGURES.index("tries_refused")
 KILL_AT_S = 8
-"""Time in the scenario `standing-herd`."""
+"""Time of the kill in the scenario `standing-herd`."""
 SECONDS_BEFORE_KILL = 2
 SECONDS_AFTER_KILL = 10
 REPLACED_FROM_S = 6
-"""Time in the scenario `standing-join`."""
+"""Time of the first replacement in the scenario `standing-join`."""
 AGES_S = range(1, 12)
 ESTABLISHED_AGE = -1
 """Age of an endpoint that exists from the start."""
