--- a/anisespool/cli/lab/report_command.py
+++ b/anisespool/cli/lab/report_command.py
@@ -27,7 +27,7 @@
 from anisespool.cli.tables import Column, build_table
 from anisespool.lab import experiments
 from anisespool.lab.experiments import Case
-from anisespool.lab.model.timeline import ScenarioRun, rows
+from anisespool.lab.model.timeline import ScenarioRun, class_rows
 from anisespool.lab.scenario import Scenario
 
 REALITY = "reality"  # in place of a second policy: real processes
@@ -93,11 +93,11 @@
     from anisespool.lab import report
 
     if as_json:
-        for row in rows(run.metrics):
+        for row in class_rows(run.metrics):
             output.print_json({"run": run.name} | row)
         return
     columns = [_figure_column(figure) for figure in report.COLUMNS]
-    output.console.print(build_table(f"{name}, {run.name}", columns, rows(run.metrics)))
+    output.console.print(build_table(f"{name}, {run.name}", columns, class_rows(run.metrics)))
 
 
 def _figure_column(figure: str) -> Column[dict[str, Any]]:
--- a/anisespool/lab/experiments.py
+++ b/anisespool/lab/experiments.py
@@ -18,7 +18,7 @@
 from anisespool import balancer
 from anisespool.lab import scenario as scenarios
 from anisespool.lab.model.policies import POLICIES
-from anisespool.lab.model.timeline import Observer, ScenarioRun, utilization
+from anisespool.lab.model.timeline import ScenarioRun, TimelineSampler, utilization
 from anisespool.lab.model.world import World
 from anisespool.lab.results import Result, Results
 from anisespool.lab.scenario import Scenario, ScenarioError
@@ -63,7 +63,7 @@
 def run_with_timeline(case: Case) -> ScenarioRun:
     """Makes a run in this process, sampled over time for a report."""
     world = World(case.scenario, case.seed, POLICIES[case.policy])
-    observer = Observer(world, world.begin, world.end)
+    observer = TimelineSampler(world, world.scenario_start, world.scenario_end)
     metrics = world.run()
     return ScenarioRun(case.name, case.scenario, metrics, observer.samples, utilization(world), world.broken)
 
--- a/anisespool/lab/live/backend_messages.py
+++ b/anisespool/lab/live/backend_messages.py
@@ -14,7 +14,7 @@
 from anisespool.lab.live.arrival_log import Arrival, FaultNote, Stall
 from anisespool.lab.live.budget_server import BudgetPeak
 from anisespool.lab.live.datagram_network import DatagramCounts, HeardSlot, PeerAddress
-from anisespool.lab.model.links import Counts as LinkCounts
+from anisespool.lab.model.links import LinkCounts
 from anisespool.lab.model.timeline import TimelineSample
 from anisespool.lab.scenario import Scenario
 
--- a/anisespool/lab/live/clients.py
+++ b/anisespool/lab/live/clients.py
@@ -69,7 +69,7 @@
             await self._tasks.wait_all()
         finally:
             detector.cancel()
-        self._metrics.balance(time.monotonic_ns())
+        self._metrics.check_balance(time.monotonic_ns())
 
     async def _send_all(self, client_requests: Sequence[ClientRequest], first: int) -> None:
         for client_request in client_requests:
@@ -102,10 +102,10 @@
         timeout_ns = int(spec.deadline_ms * MS * client_request.patience)
         started = time.monotonic_ns()
         self._result.lateness.record_value(_histogram_us(started - due))
-        self._metrics.opened(started)
+        self._metrics.request_opened(started)
         response = await self._exchange(client_request, spec, started, timeout_ns)
         now = time.monotonic_ns()
-        self._metrics.closed(now, started)
+        self._metrics.request_closed(now, started)
         if response is None and now - started >= timeout_ns + RESPONSE_SLACK_NS:
             self._judge_unanswered(client_request, started, now)
         if response is not None and response.status == 200:
--- a/anisespool/lab/live/connection_proxy.py
+++ b/anisespool/lab/live/connection_proxy.py
@@ -95,8 +95,8 @@
         if self._dropped:
             return
         attempt = self._attempt
-        if attempt and not attempt.over and not attempt.stopped:
-            attempt.over = True
+        if attempt and not attempt.ended and not attempt.stopped:
+            attempt.ended = True
             self._proxy.handler.connection_closed(attempt)
         else:
             self._proxy.endpoint.connections -= 1
@@ -118,9 +118,9 @@
 
     def respond(self, attempt: InFlightAttempt, status: AttemptStatus, load_header: bytes) -> None:
         """Send the answer of an attempt, unless that is over. `load_header`: a header line, or empty."""
-        if attempt.over or attempt is not self._attempt:
+        if attempt.ended or attempt is not self._attempt:
             return
-        attempt.over = True
+        attempt.ended = True
         self._attempt = None
         not_executed = b"X-Never-Ran: 1\r\n" if status is AttemptStatus.FULL else b""
         body = attempt.trace if status is AttemptStatus.OK else b""
@@ -139,7 +139,7 @@
         """Reset the connection as when the endpoint's process dies."""
         self._dropped = True
         if self._attempt:
-            self._attempt.over = True
+            self._attempt.ended = True
         self._transport.abort()
 
 
--- a/anisespool/lab/live/datagram_network.py
+++ b/anisespool/lab/live/datagram_network.py
@@ -142,7 +142,7 @@
 
     def _pass_links(self, sender: int, receiver: int, data: bytes) -> None:
         now = self._clock.now
-        for copy in self._links.datagram(now, self.nodes[sender], self.nodes[receiver], data):
+        for copy in self._links.send_datagram(now, self.nodes[sender], self.nodes[receiver], data):
             if copy.at <= now:
                 self._deliver(sender, receiver, copy.data)
             else:
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -13,7 +13,7 @@
 from anisespool.lab.model.endpoint import Endpoint
 from anisespool.lab.model.link_selector import DISCOVERY, Node
 from anisespool.lab.model.links import Links
-from anisespool.lab.model.watch_delay import WatchDelay, listed
+from anisespool.lab.model.watch_delay import WatchDelay, listed_endpoints
 
 UPDATE_BYTES = 200  # of a change of the list, where a link's rate is bounded
 
@@ -62,13 +62,13 @@
         self._nodes = list(nodes)
         for node in nodes:
             entries = [self._build_entry(endpoint, node.number) for endpoint in endpoints]
-            known_starts = {endpoint.id: endpoint.started for endpoint in endpoints}
+            known_starts = {endpoint.id: endpoint.started_at for endpoint in endpoints}
             self._feeds.append(_Feed(DiscoveryService(entries), known_starts=known_starts))
         return [feed.roster for feed in self._feeds]
 
     def knows_start(self, sidecar: int, endpoint: Endpoint) -> bool:
         """Return whether the sidecar was notified of the endpoint's last start."""
-        return self._feeds[sidecar].known_starts.get(endpoint.id) == endpoint.started
+        return self._feeds[sidecar].known_starts.get(endpoint.id) == endpoint.started_at
 
     def not_ready_since(self, sidecar: int, endpoint: Endpoint) -> int | None:
         """Return when the sidecar was notified that the endpoint drains or is gone; none if it is ready."""
@@ -76,26 +76,26 @@
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Send a change of one endpoint to every sidecar, each in its own time."""
-        for sidecar, due_at, revision in self._watch_delay.change(self._clock.now):
+        for sidecar, due_at, revision in self._watch_delay.next_change(self._clock.now):
             entry = self._build_entry(endpoint, sidecar)
-            update = _Update(due_at, revision, endpoint.id, state, endpoint.started, entry)
+            update = _Update(due_at, revision, endpoint.id, state, endpoint.started_at, entry)
             self._feeds[sidecar].pending.append(update)
             self._clock.at(due_at, self._deliver_due, sidecar)
 
     def publish_complete(self, endpoints: list[Endpoint], is_empty: bool) -> None:
         """Send a complete list to all at once; an empty one is that of a registry that was wiped."""
-        self._watch_delay.whole()
+        self._watch_delay.complete_list()
         for sidecar, feed in enumerate(self._feeds):
             for endpoint in endpoints:
-                state = EndpointState.GONE if is_empty else endpoint.listed
-                self._note_state(feed, endpoint.id, state, endpoint.started)
-            remaining: Iterable[Endpoint] = () if is_empty else listed(endpoints)
+                state = EndpointState.GONE if is_empty else endpoint.list_state
+                self._note_state(feed, endpoint.id, state, endpoint.started_at)
+            remaining: Iterable[Endpoint] = () if is_empty else listed_endpoints(endpoints)
             feed.roster.publish_all([self._build_entry(endpoint, sidecar) for endpoint in remaining])
 
     def apply_links(self, now: int) -> None:
         """Cut discoveries off as the links demand now, and deliver what is due at the others."""
         for sidecar, feed in enumerate(self._feeds):
-            cut = self._links.is_cut(now, self._nodes[sidecar], DISCOVERY, "lists")
+            cut = self._links.cut_between(now, self._nodes[sidecar], DISCOVERY, "lists")
             if cut or feed.roster.is_cut:
                 feed.roster.cut(cut)
             self._deliver_due(sidecar)
@@ -117,7 +117,7 @@
                 self._clock.at(update.due_at, self._deliver_due, sidecar)
                 return
             feed.pending.popleft()
-            if self._watch_delay.takes(sidecar, update.revision):
+            if self._watch_delay.accepts(sidecar, update.revision):
                 self._note_state(feed, update.endpoint, update.state, update.started)
                 feed.roster.publish(update.entry)
 
@@ -125,7 +125,7 @@
         """Return by how much the link delays an update, ns. It does so once."""
         if not self._links or update.is_delayed:
             return 0
-        delay = self._links.stream(now, DISCOVERY, self._nodes[sidecar], UPDATE_BYTES, "lists")
+        delay = self._links.stream_delay(now, DISCOVERY, self._nodes[sidecar], UPDATE_BYTES, "lists")
         return delay if isinstance(delay, int) else 0
 
     def _note_state(self, feed: _Feed, endpoint: int, state: EndpointState, started: int) -> None:
--- a/anisespool/lab/live/fault_injection.py
+++ b/anisespool/lab/live/fault_injection.py
@@ -44,10 +44,10 @@
             tasks.spawn(self._inject(fault))
 
     async def _inject(self, fault: ProcessFault) -> None:
-        member = self._members[fault.number]
-        await sleep_until(self._span.begin + fault.at)
+        member = self._members[fault.sidecar]
+        await sleep_until(self._span.begin + fault.begins_at)
         if member.up:  # else an earlier fault hit it, and it is not yet back
-            until = min(self._span.end, self._span.begin + fault.over)
+            until = min(self._span.end, self._span.begin + fault.ends_at)
             await self._injections[fault.kind](member, fault, until)
 
     async def _kill_and_restart(self, member: ProcessHandle, fault: ProcessFault, until: int) -> None:
--- a/anisespool/lab/live/fault_stage.py
+++ b/anisespool/lab/live/fault_stage.py
@@ -25,7 +25,7 @@
     """What the faults act on (live_backend.py)."""
 
     scenario: Scenario
-    begin: int
+    scenario_start: int
     endpoints: list[Endpoint]
     watch_delay: WatchDelay
     clock: WallClock
@@ -34,7 +34,7 @@
     proxies: ProxyTable
     feeds: EndpointListFeeds
 
-    def machine(self, number: int, kind: int, spec: Endpoints, draws: RandomStream) -> Endpoint:
+    def make_endpoint(self, number: int, group: int, spec: Endpoints, random: RandomStream) -> Endpoint:
         """Return a new machine of a group."""
 
     def add_link(self, link: Link) -> None:
@@ -49,7 +49,7 @@
 
     def __init__(self, backend: FaultTarget, machine_draws: RandomStream) -> None:
         self.scenario: Scenario = backend.scenario
-        self.begin: int = backend.begin
+        self.scenario_start: int = backend.scenario_start
         self.endpoints: list[Endpoint] = backend.endpoints
         self.watch_delay: WatchDelay = backend.watch_delay
         self._backend = backend
@@ -65,19 +65,19 @@
         if words[0] == "trouble":
             self._backend.arrival_log.add_fault_note(self.clock.now, " ".join(map(str, words[1:])))
 
-    def set_rate(self, times: float) -> None:
+    def set_traffic_factor(self, factor: float) -> None:
         """Do nothing: the clients' plan contains it."""
 
-    def set_tenant(self, number: int, times: float) -> None:
+    def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Do nothing: the clients' plan contains it."""
 
-    def shift(self, zone: int, times: float) -> None:
+    def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
         """Do nothing: the clients' plan contains it."""
 
-    def process_fault(self, process_fault: ProcessFault) -> None:
+    def apply_process_fault(self, process_fault: ProcessFault) -> None:
         """Do nothing: whoever started the processes injects it."""
 
-    def cut(self, zone: int, begins: bool, until: int) -> None:
+    def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
         """Cut a zone off from all others, both ways; its sidecars' discoveries fall silent."""
         if not begins:
             return
@@ -95,18 +95,18 @@
             self._backend.add_link(msgspec.convert(link, Link))
         self._backend.apply_links()
         in_zone = [number for number, own_zone in enumerate(self._backend.zones) if own_zone == zone]
-        self.watch_delay.silent(until, in_zone)
+        self.watch_delay.hold_back(until, in_zone)
 
-    def replace(self, endpoint: Endpoint) -> Endpoint:
+    def add_replacement(self, endpoint: Endpoint) -> Endpoint:
         """Add another machine of the same group under another name, warming up."""
         number = len(self.endpoints) + 1
-        new = self._backend.machine(number, endpoint.kind, endpoint.spec, self._machine_draws)
+        new = self._backend.make_endpoint(number, endpoint.group, endpoint.spec, self._machine_draws)
         new.restart(self.clock.now)
         self.endpoints.append(new)
         self._backend.proxies.add(new)
         return new
 
-    def silence(self, endpoint: Endpoint) -> None:
+    def make_unreachable(self, endpoint: Endpoint) -> None:
         """Let new connections to the endpoint hang."""
         self._backend.proxies.shut(endpoint, ListenerState.SILENT)
 
@@ -116,12 +116,12 @@
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Send a change of the endpoint to every sidecar, each in its own time."""
-        endpoint.listed = state
+        endpoint.list_state = state
         if state is EndpointState.READY:
             self._backend.proxies.open(endpoint)
             self._backend.apply_links()  # they may say otherwise
         self._backend.feeds.publish(endpoint, state)
 
-    def publish_all(self, rows: bool) -> None:
+    def publish_all(self, with_entries: bool) -> None:
         """Send the complete list, or (a registry that was wiped) an empty one."""
-        self._backend.feeds.publish_complete(self.endpoints, is_empty=not rows)
+        self._backend.feeds.publish_complete(self.endpoints, is_empty=not with_entries)
--- a/anisespool/lab/live/live_backend.py
+++ b/anisespool/lab/live/live_backend.py
@@ -27,14 +27,14 @@
 from anisespool.lab.live.proxy_table import ProxyTable, proxy_groups
 from anisespool.lab.live.request_target import RequestTarget
 from anisespool.lab.live.wall_clock import WallClock
-from anisespool.lab.model.backend import RESETS, Backend, hop_ns, node_of, span_ns
+from anisespool.lab.model.backend import RESET_SHARE, Backend, hop_ns, node_of, span_ns
 from anisespool.lab.model.endpoint import Endpoint, Job
 from anisespool.lab.model.faults import schedule
 from anisespool.lab.model.link_selector import Node
-from anisespool.lab.model.links import Links, edges
+from anisespool.lab.model.links import Links, for_each_switch
 from anisespool.lab.model.metrics import ClientRequest
 from anisespool.lab.model.random_streams import RandomStreams
-from anisespool.lab.model.timeline import Observer, utilization
+from anisespool.lab.model.timeline import TimelineSampler, utilization
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import MS, SECOND, Link, Scenario
 
@@ -53,8 +53,8 @@
         self.clock: WallClock
         self._streams = RandomStreams(seed)
         super().__init__(scenario, self._streams, WallClock())
-        self.begin = 0  # of the scenario's own time
-        self.zones = scenario.places()
+        self.scenario_start = 0  # of the scenario's own time
+        self.zones = scenario.sidecar_zones()
         self.nodes = [Node("sidecar", number, zone) for number, zone in enumerate(self.zones)]
         self.links = Links(scenario.links, self._streams.named("links"))
         self.watch_delay = WatchDelay(scenario, self._streams.named("membership"))
@@ -65,7 +65,7 @@
         self.datagrams = DatagramNetwork(self.links, self.clock, self.zones)
         self.budget_server = BudgetServer(self.clock)
         self.arrival_log = ArrivalLog()
-        self.observer: Observer | None = None
+        self.observer: TimelineSampler | None = None
         self._client_requests: dict[int, ClientRequest] = {}
         self._class_indexes = {spec.name: index for index, spec in enumerate(scenario.classes)}
         self._hop_draws = self._streams.named("network")
@@ -91,12 +91,12 @@
 
     def start(self, first: int) -> None:
         """Begin the run; `first` is its first moment, monotonic ns."""
-        self.begin, end = span_ns(self.scenario, first)
-        self.links.start(self.begin)
-        edges(self.links, lambda when, fault, begins: self.clock.at(when, self.apply_links))
+        self.scenario_start, end = span_ns(self.scenario, first)
+        self.links.set_scenario_start(self.scenario_start)
+        for_each_switch(self.links, lambda when, fault, begins: self.clock.at(when, self.apply_links))
         stage = FaultStage(self, self._streams.named("machines"))
         schedule(stage, self._streams.named("troubles"), self._streams.named("processes"))
-        self.observer = Observer(self, self.begin, end)
+        self.observer = TimelineSampler(self, self.scenario_start, end)
         self._heartbeat(self.clock.now)
 
     def _heartbeat(self, due: int) -> None:
@@ -140,7 +140,7 @@
 
     def add_link(self, link: Link) -> None:
         """Add a faulty link during the run; its `at_s` is counted from now."""
-        since_s = (self.clock.now - self.begin) / SECOND
+        since_s = (self.clock.now - self.scenario_start) / SECOND
         shifted = msgspec.structs.replace(link, at_s=max(0.0, since_s + link.at_s))
         fault = self.links.add(shifted)
         self.clock.at(fault.begin, self.apply_links)
@@ -156,7 +156,7 @@
         """Return by how much a message on that connection is delayed, ns; none if the connection is reset."""
         if not self.links:
             return 0
-        delay = self.links.stream(self.clock.now, src, dst, MESSAGE_BYTES, "requests")
+        delay = self.links.stream_delay(self.clock.now, src, dst, MESSAGE_BYTES, "requests")
         if isinstance(delay, str):
             connection.reset()
             return None
@@ -175,7 +175,7 @@
         width = self.scenario.network.spread
         spread = self._hop_draws.uniform(1 - width, 1 + width) if width else 1.0
         is_same_zone = self.zones[job.sidecar] == endpoint.spec.zone
-        delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.faults.delay)
+        delay = link_delay + hops * hop_ns(self.scenario, is_same_zone, spread, endpoint.faults.delay_factor)
         if delay < LOOPBACK_NS:
             self.clock.call(callback, arguments)  # so that a broken rule is noted, however short the way
         else:
@@ -214,7 +214,7 @@
         return InFlightAttempt(
             sidecar=target.sidecar,
             request=target.client_request,
-            number=target.attempt,
+            attempt=target.attempt,
             endpoint=endpoint.id,
             sent_at=now,
             work_ns=target.work_ns,
@@ -262,8 +262,8 @@
         )
 
     def _arrive_unless_over(self, attempt: InFlightAttempt) -> None:
-        if not attempt.over or attempt.is_delayed:
-            self.arrive(attempt)
+        if not attempt.ended or attempt.is_delayed:
+            self.receive_request(attempt)
 
     def connection_closed(self, attempt: InFlightAttempt) -> None:
         """Tell the endpoint of the end of a connection, which passes the network as well."""
@@ -271,24 +271,28 @@
         endpoint = self.endpoints[attempt.endpoint - 1]
         delay: int | str = 0
         if self.links:
-            delay = self.links.stream(now, self.nodes[attempt.sidecar], node_of(endpoint), 0, "requests")
+            delay = self.links.stream_delay(
+                now, self.nodes[attempt.sidecar], node_of(endpoint), 0, "requests"
+            )
         delay_ns = 0 if isinstance(delay, str) else delay
         if attempt.is_delayed:  # the end does not overtake the request
             delay_ns = max(delay_ns, attempt.delivered_at + MS - now)
         if delay_ns > 0:
-            self.clock.after(delay_ns, self.stop, attempt)
+            self.clock.after(delay_ns, self.cancel_request, attempt)
         else:
-            self.stop(attempt)
+            self.cancel_request(attempt)
 
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Return whether the job's sidecar was notified of the endpoint's last start."""
         return self.feeds.knows_start(job.sidecar, endpoint)
 
-    def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def send_response(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         """Send an answer through the network; an endpoint may lose it."""
         assert isinstance(job, InFlightAttempt)
         assert job.connection
-        loss = endpoint.faults.loses
+        loss = endpoint.faults.response_loss
         if loss and self._loss_draws.uniform() < loss:
             self._lose_answer(job, job.connection)
             return
@@ -300,7 +304,7 @@
 
     def _lose_answer(self, attempt: InFlightAttempt, connection: SidecarConnection) -> None:
         """Reset the connection under an answer, or be silent until the sidecar gives up."""
-        if self._loss_draws.uniform() < RESETS and not attempt.over:
+        if self._loss_draws.uniform() < RESET_SHARE and not attempt.ended:
             connection.reset()
 
     def _load_header(self, load: tuple[float, ...]) -> bytes:
@@ -313,14 +317,14 @@
     def _list_entry(self, endpoint: Endpoint, sidecar: int) -> dict[str, Any]:
         """Return the endpoint's entry in a sidecar's list, in the platform's JSON."""
         monotonic_to_unix_ns = time.time_ns() - time.monotonic_ns()
-        up_since_ms = max(1, (endpoint.started + monotonic_to_unix_ns) // MS) if endpoint.started else 0
+        up_since_ms = max(1, (endpoint.started_at + monotonic_to_unix_ns) // MS) if endpoint.started_at else 0
         has_size = self.scenario.membership.weights == "nominal"
         return member(
             f"s-{endpoint.id}",
             Address(HOST, self.proxies.port(endpoint, sidecar)),
-            PHASES[endpoint.listed],
+            PHASES[endpoint.list_state],
             locality=f"z{endpoint.spec.zone}",
-            flavor=f"m{endpoint.kind}",
+            flavor=f"m{endpoint.group}",
             up_since_ms=up_since_ms,
             size=endpoint.spec.cores * endpoint.spec.speed if has_size else 1.0,
         )
--- a/anisespool/lab/live/live_run.py
+++ b/anisespool/lab/live/live_run.py
@@ -31,7 +31,7 @@
 from anisespool.lab.live.run_result import LiveRunResult
 from anisespool.lab.live.sidecar_process import SidecarOptions, SidecarProcess
 from anisespool.lab.live.timing import RunSpan, sleep_until, wait_bounded
-from anisespool.lab.model.arrivals import plan
+from anisespool.lab.model.arrivals import plan_client_requests
 from anisespool.lab.scenario import SECOND, Link, Scenario, ScenarioError
 
 __all__ = ["LiveRunResult", "Progress", "Rig", "check_limits", "play"]
@@ -59,7 +59,7 @@
     """
     max_members = MAX_GOSSIP_PROCESSES if scenario.plays == "talkers" else MAX_SIDECARS
     _check_count(source, "sidecars", scenario.sidecars, max_members)
-    _check_count(source, "endpoints", scenario.size, MAX_ENDPOINTS)
+    _check_count(source, "endpoints", scenario.endpoint_count, MAX_ENDPOINTS)
 
 
 def _check_count(source: str, key: str, count: int, maximum: int) -> None:
@@ -184,7 +184,9 @@
         try:
             await start_all(self._members, lambda count: progress("start", count))
             # Before the clock starts, as a long plan takes its time.
-            client_requests = plan(self._scenario, self._seed) if self._scenario.plays == "sidecars" else []
+            client_requests = (
+                plan_client_requests(self._scenario, self._seed) if self._scenario.plays == "sidecars" else []
+            )
             start_s = time.monotonic() - started
             span = RunSpan.of(self._scenario, time.monotonic_ns() + LEAD_NS)
             self._backend.begin(span.first)
--- a/anisespool/lab/live/proxy_table.py
+++ b/anisespool/lab/live/proxy_table.py
@@ -8,7 +8,7 @@
 from anisespool.lab.model.backend import node_of
 from anisespool.lab.model.endpoint import Endpoint
 from anisespool.lab.model.link_selector import Node
-from anisespool.lab.model.links import STRONGER, Links
+from anisespool.lab.model.links import CUTS_BY_STRENGTH, Links
 from anisespool.lab.scenario import Scenario
 
 MAX_PROXIES = 4000  # listeners; the sidecars of a larger fleet share them by zone
@@ -18,9 +18,9 @@
 
 def proxy_groups(scenario: Scenario) -> list[int]:
     """Return for each sidecar the group whose listeners it uses: its own, or in large fleets its zone's."""
-    if scenario.sidecars * scenario.size <= MAX_PROXIES:
+    if scenario.sidecars * scenario.endpoint_count <= MAX_PROXIES:
         return list(range(scenario.sidecars))
-    return scenario.places()
+    return scenario.sidecar_zones()
 
 
 class ProxyTable:
@@ -98,8 +98,8 @@
         for node, group in zip(self._nodes, self._groups, strict=True):
             if group != proxy.group:
                 continue
-            cut = self._links.is_cut(now, node, endpoint_node, "requests")
-            weakest = min(weakest, cut, key=STRONGER.index)
+            cut = self._links.cut_between(now, node, endpoint_node, "requests")
+            weakest = min(weakest, cut, key=CUTS_BY_STRENGTH.index)
             if weakest == NOT_CUT:
                 break
         return weakest
--- a/anisespool/lab/live/sidecar_process.py
+++ b/anisespool/lab/live/sidecar_process.py
@@ -148,7 +148,7 @@
 
 def platform_settings(scenario: Scenario, number: int) -> dict[str, Any]:
     """Return the settings that the platform would give the sidecar of that number."""
-    raw = scenarios.raw_settings(scenario, number, scenario.places()[number])
+    raw = scenarios.raw_settings(scenario, number, scenario.sidecar_zones()[number])
     zone_count = max(group.zone for group in scenario.endpoints) + 1
     raw["zones"] = [f"z{zone}" for zone in range(zone_count)]
     raw["skus"] = [f"m{kind}" for kind in range(len(scenario.endpoints))]
--- a/anisespool/lab/live/statements.py
+++ b/anisespool/lab/live/statements.py
@@ -62,7 +62,7 @@
 
 def _zone_share(history: History, statement: Statement) -> _ZoneShare:
     begin, end = history.span(statement)
-    places = history.scenario.places()
+    places = history.scenario.sidecar_zones()
     from_elsewhere = [
         arrival
         for arrival in history.arrivals
--- a/anisespool/lab/model/arrivals.py
+++ b/anisespool/lab/model/arrivals.py
@@ -56,38 +56,38 @@
     def __init__(
         self,
         scenario: Scenario,
-        draws: RandomStream,
+        random: RandomStream,
         clock: Clock,
         span: tuple[int, int, int],
         on_arrival: Callable[[ClientRequest], None],
     ) -> None:
         self._scenario = scenario
-        self._draws = draws
+        self._random = random
         self._clock = clock
         self._on_arrival = on_arrival
-        self._first, self._begin, self._end = span
+        self._first, self._scenario_start, self._end = span
         self._client_requests = 0
-        self._rate = 1.0
-        self._tenants_rate = 1.0  # times the usual traffic, by what tenants do
-        self._zone_rates = dict.fromkeys(scenario.zones(), 1.0)
-        self._tenant_rates = [1.0] * len(scenario.tenants)
+        self._traffic_factor = 1.0
+        self._tenant_traffic_factor = 1.0  # times the usual traffic, by what tenants do
+        self._zone_factors = dict.fromkeys(scenario.zones(), 1.0)
+        self._tenant_factors = [1.0] * len(scenario.tenants)
         self._quotas = QuotaBuckets(scenario.quotas_per_s())
         self._class_shares = cumulative_shares([c.share for c in scenario.classes])
         self._sidecar_shares: list[float] = []
         self._tenant_shares: list[float] = []
-        self.set_zone_rate(0, 1.0)
+        self.set_zone_traffic_factor(0, 1.0)
         if scenario.tenants:
-            self.set_tenant_rate(0, 1.0)
+            self.set_tenant_traffic_factor(0, 1.0)
 
-    def set_rate(self, times: float) -> None:
+    def set_traffic_factor(self, factor: float) -> None:
         """Multiplies the traffic by a fault's factor."""
-        self._rate = times
+        self._traffic_factor = factor
 
-    def set_zone_rate(self, zone: int, times: float) -> None:
+    def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
         """Multiplies one zone's traffic; the other zones have less, so that the sum stays as it is."""
-        self._zone_rates[zone] = times
+        self._zone_factors[zone] = factor
         usual = self._usual_shares()
-        rates = [self._zone_rates[place] for place in self._scenario.places()]
+        rates = [self._zone_factors[place] for place in self._scenario.sidecar_zones()]
         changed = [weight * rate for weight, rate in zip(usual, rates, strict=True)]
         added = sum(changed) - sum(usual)
         others = sum(weight for weight, rate in zip(usual, rates, strict=True) if rate == 1.0)
@@ -100,54 +100,54 @@
         """Traffic of each sidecar without faults, in relation to each other."""
         traffic = self._scenario.traffic
         count = max(1, self._scenario.sidecars)
-        zones = list(self._zone_rates)
+        zones = list(self._zone_factors)
         shares = []
-        for number, zone in enumerate(self._scenario.places()):
+        for number, zone in enumerate(self._scenario.sidecar_zones()):
             skew = 1 + traffic.zone_skew * (1 - 2 * zones.index(zone) / max(1, len(zones) - 1))
             shares.append((1 - traffic.uneven * number / count) * skew)
         return shares
 
-    def set_tenant_rate(self, number: int, times: float) -> None:
+    def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Multiplies one tenant's traffic, on top of the others'."""
-        self._tenant_rates[number] = times
+        self._tenant_factors[tenant] = factor
         usual = [tenant.share * tenant.usage for tenant in self._scenario.tenants]
-        changed = [share * rate for share, rate in zip(usual, self._tenant_rates, strict=True)]
-        self._tenants_rate = sum(changed) / sum(usual)
+        changed = [share * rate for share, rate in zip(usual, self._tenant_factors, strict=True)]
+        self._tenant_traffic_factor = sum(changed) / sum(usual)
         self._tenant_shares = cumulative_shares(changed)
 
     def start(self) -> None:
         """Schedules the first arrival and all bursts."""
         self._clock.at(self._first, self._next)
         for burst in self._scenario.bursts:
-            self._clock.at(self._begin + int(burst.at_s * SECOND), self._burst, burst)
+            self._clock.at(self._scenario_start + int(burst.at_s * SECOND), self._burst, burst)
 
     def _next(self) -> None:
         """An arrival of the traffic, and the time until the next."""
         now = self._clock.now
         rate_per_s = self._rate_per_s(now)
         if self._first < now < self._end:
-            class_index = self._draws.pick(self._class_shares)
-            tenant = self._draws.pick(self._tenant_shares) if self._tenant_shares else 0
+            class_index = self._random.pick(self._class_shares)
+            tenant = self._random.pick(self._tenant_shares) if self._tenant_shares else 0
             self._arrive(class_index, tenant)
         if now >= self._end:
             return
         if rate_per_s <= 0:
             self._clock.after(IDLE_NS, self._next)
             return
-        gap = self._draws.exponential() if self._scenario.traffic.arrivals == "poisson" else 1.0
+        gap = self._random.exponential() if self._scenario.traffic.arrivals == "poisson" else 1.0
         self._clock.after(max(1, int(gap / rate_per_s * SECOND)), self._next)
 
     def _rate_per_s(self, now: int) -> float:
         traffic = self._scenario.traffic
         rate = traffic.per_s
         if traffic.until_per_s is not None:
-            elapsed = (now - self._begin) / (self._end - self._begin)
+            elapsed = (now - self._scenario_start) / (self._end - self._scenario_start)
             rate += (traffic.until_per_s - rate) * min(1.0, max(0.0, elapsed))
-        return rate * (self._rate * self._tenants_rate)
+        return rate * (self._traffic_factor * self._tenant_traffic_factor)
 
     def _burst(self, burst: Burst) -> None:
         for _ in range(burst.count):
-            delay = int(self._draws.uniform() * burst.over_ms * MS)
+            delay = int(self._random.uniform() * burst.over_ms * MS)
             self._clock.after(delay, self._arrive, burst.cls)
         if burst.every_s and self._clock.now + burst.every_s * SECOND < self._end:
             self._clock.after(int(burst.every_s * SECOND), self._burst, burst)
@@ -155,12 +155,12 @@
     def _arrive(self, class_index: int, tenant: int = 0) -> None:
         """Makes a client request. The order of the draws is part of what a seed means."""
         clients = self._scenario.clients
-        draws = self._draws
+        random = self._random
         work = self._draw_work(self._scenario.classes[class_index])
         self._client_requests += 1
-        sidecar = draws.pick(self._sidecar_shares)
-        patience = draws.uniform(*clients.gives_up)
-        honors_retry_after = draws.uniform() < clients.honour
+        sidecar = random.pick(self._sidecar_shares)
+        patience = random.uniform(*clients.gives_up)
+        honors_retry_after = random.uniform() < clients.honour
         within_quota = self._quotas.take(tenant, self._clock.now)
         self._on_arrival(
             ClientRequest(
@@ -179,20 +179,20 @@
     def _draw_work(self, spec: Class) -> float:
         work = spec.work_ms * MS
         if spec.work == "exponential":
-            work *= self._draws.exponential()
+            work *= self._random.exponential()
         elif spec.work == "lognormal":
             variance = log(1 + spec.cv * spec.cv)
-            work *= exp(self._draws.normal() * sqrt(variance) - variance / 2)
+            work *= exp(self._random.normal() * sqrt(variance) - variance / 2)
         return work
 
 
-def plan(scenario: Scenario, seed: int) -> list[ClientRequest]:
+def plan_client_requests(scenario: Scenario, seed: int) -> list[ClientRequest]:
     """All client requests of a run, in order, as the simulation has them; times from its first moment."""
     clock = Clock(0)
     client_requests: list[ClientRequest] = []
     begin, end = span_ns(scenario, 0)
-    draws = RandomStreams(seed).named("arrivals")
-    arrivals = Arrivals(scenario, draws, clock, (0, begin, end), client_requests.append)
+    random = RandomStreams(seed).named("arrivals")
+    arrivals = Arrivals(scenario, random, clock, (0, begin, end), client_requests.append)
     arrivals.start()
     for fault in scenario.faults:
         starts_at = begin + int(fault.at_s * SECOND)
@@ -202,14 +202,14 @@
     return client_requests
 
 
-def _schedule_factor(clock: Clock, arrivals: Arrivals, fault: Fault, when: int, times: float) -> None:
+def _schedule_factor(clock: Clock, arrivals: Arrivals, fault: Fault, when: int, factor: float) -> None:
     """Schedules what a fault, if it is one of the traffic, multiplies from that moment on."""
     if fault.kind == "traffic":
-        clock.at(when, arrivals.set_rate, times)
+        clock.at(when, arrivals.set_traffic_factor, factor)
     elif fault.kind == "tenant":
-        clock.at(when, arrivals.set_tenant_rate, fault.tenant, times)
+        clock.at(when, arrivals.set_tenant_traffic_factor, fault.tenant, factor)
     elif fault.kind == "shift":
-        clock.at(when, arrivals.set_zone_rate, fault.zone, times)
+        clock.at(when, arrivals.set_zone_traffic_factor, fault.zone, factor)
 
 
 def cumulative_shares(weights: list[float]) -> list[float]:
--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -6,8 +6,8 @@
 
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus
-from anisespool.lab.model.backend import RESETS, hop_ns, node_of
-from anisespool.lab.model.checker import must
+from anisespool.lab.model.backend import RESET_SHARE, hop_ns, node_of
+from anisespool.lab.model.checker import require
 from anisespool.lab.model.clients import Clients, RequestKey
 from anisespool.lab.model.endpoint import Endpoint, Job
 from anisespool.lab.model.random_streams import RandomStreams
@@ -36,14 +36,14 @@
         self._metrics = run.metrics
         self._links = run.links
         self._clients = clients
-        self._network_draws = streams.named("network")
-        self._loss_draws = streams.named("lost")
+        self._network_random = streams.named("network")
+        self._loss_random = streams.named("lost")
         self._isolated_zones: set[int] = set()
         self._jobs: dict[AttemptKey, Job] = {}
 
     # The network ----------------------------------------------------------------------------------
 
-    def isolate(self, zone: int, begins: bool) -> None:
+    def isolate_zone(self, zone: int, begins: bool) -> None:
         """Cuts a zone off from all others, or ends that. Connections stay open; what is under way is lost."""
         if begins:
             self._isolated_zones.add(zone)
@@ -59,21 +59,27 @@
     def _hop(self, sidecar: Sidecar, endpoint: Endpoint) -> int:
         """Draws the time of one way between the two, ns."""
         width = self._scenario.network.spread
-        spread = self._network_draws.uniform(1 - width, 1 + width) if width else 1.0
-        return hop_ns(self._scenario, sidecar.zone == endpoint.spec.zone, spread, endpoint.faults.delay)
+        spread = self._network_random.uniform(1 - width, 1 + width) if width else 1.0
+        return hop_ns(
+            self._scenario, sidecar.zone == endpoint.spec.zone, spread, endpoint.faults.delay_factor
+        )
 
     def _request_delay(self, sidecar: Sidecar, endpoint: Endpoint) -> int | None:
         """How much links delay a request on an open connection, ns; None if they reset it."""
         if not self._links:
             return 0
-        late = self._links.stream(self._clock.now, sidecar.node, node_of(endpoint), MESSAGE_BYTES, "requests")
+        late = self._links.stream_delay(
+            self._clock.now, sidecar.node, node_of(endpoint), MESSAGE_BYTES, "requests"
+        )
         return late if isinstance(late, int) else None
 
     def _response_delay(self, sidecar: Sidecar, endpoint: Endpoint) -> int | None:
         """The same of a response."""
         if not self._links:
             return 0
-        late = self._links.stream(self._clock.now, node_of(endpoint), sidecar.node, MESSAGE_BYTES, "requests")
+        late = self._links.stream_delay(
+            self._clock.now, node_of(endpoint), sidecar.node, MESSAGE_BYTES, "requests"
+        )
         return late if isinstance(late, int) else None
 
     # From the sidecar to the endpoint -------------------------------------------------------------
@@ -82,14 +88,14 @@
         """Starts an attempt."""
         now = self._clock.now
         request = self._clients.open.get(RequestKey(sidecar.number, action.request))
-        must(request is not None, "rule 1: a send for a request that has ended")
+        require(request is not None, "rule 1: a send for a request that has ended")
         assert request
         client_request = request.client_request
         endpoint = self._run.endpoints[action.endpoint - 1]
         job = Job(
             sidecar=sidecar.number,
             request=action.request,
-            number=len(sidecar.checker.requests[action.request].copies) - 1,
+            attempt=len(sidecar.checker.requests[action.request].copies) - 1,
             endpoint=action.endpoint,
             sent_at=now,
             work_ns=client_request.work_ns,
@@ -98,7 +104,7 @@
         )
         self._jobs[_key(job)] = job
         self._metrics.attempts += 1
-        if endpoint.spec.zone != sidecar.zone and now >= self._run.begin:
+        if endpoint.spec.zone != sidecar.zone and now >= self._run.scenario_start:
             self._metrics.crossings += 1
         self._run.log("send", client_request.number, action.endpoint)
         timeout_at = now + action.timeout_ns
@@ -115,7 +121,7 @@
         job.fresh = True
         cut = ""
         if self._links:
-            cut = self._links.is_cut(self._clock.now, sidecar.node, node_of(endpoint), "requests")
+            cut = self._links.cut_between(self._clock.now, sidecar.node, node_of(endpoint), "requests")
         if self._is_unreachable(sidecar, endpoint) or cut == "silent":
             timeout = int(self._scenario.network.connect_timeout_ms * MS)
             self._clock.after(timeout, self._finish, job, AttemptStatus.CONNECT_FAILED)
@@ -130,7 +136,7 @@
 
     def _open_connection(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
         endpoint.connections += 1
-        if self._clock.now >= self._run.begin:
+        if self._clock.now >= self._run.scenario_start:
             self._metrics.handshakes += 1
         job.work_ns += int(self._scenario.network.handshake_work_ms * MS)
         trips = 2 * self._scenario.network.handshake_trips * hop
@@ -139,7 +145,7 @@
     def _connected(self, sidecar: Sidecar, endpoint: Endpoint, job: Job) -> None:
         if endpoint.incarnation != job.incarnation:
             self._finish(job, AttemptStatus.CONNECT_FAILED)
-        elif job.over:  # given up meanwhile: the connection is there for the next
+        elif job.ended:  # given up meanwhile: the connection is there for the next
             sidecar.add_idle_connection(endpoint.id)
         else:
             job.connected = True
@@ -154,19 +160,21 @@
             self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
             return
         job.held_until = self._clock.now + late if late else 0
-        self._clock.after(hop + late, self._run.arrive, job)
+        self._clock.after(hop + late, self._run.receive_request, job)
 
     # From the endpoint to the sidecar -------------------------------------------------------------
 
-    def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def send_response(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         """Sends an endpoint's response back, unless the network or the endpoint loses it."""
         sidecar = self._run.sidecars[job.sidecar]
-        loss = endpoint.faults.loses
+        loss = endpoint.faults.response_loss
         hop = self._hop(sidecar, endpoint)
         if self._is_isolated(sidecar, endpoint):
             return
-        if loss and self._loss_draws.uniform() < loss:  # a reset, or silence until the time-out
-            if self._loss_draws.uniform() < RESETS:
+        if loss and self._loss_random.uniform() < loss:  # a reset, or silence until the time-out
+            if self._loss_random.uniform() < RESET_SHARE:
                 self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
             return
         late = self._response_delay(sidecar, endpoint)
@@ -176,7 +184,7 @@
             self._clock.after(hop + late, self._answered, endpoint, job, status, load)
 
     def _answered(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
-        if not job.over and endpoint.incarnation == job.incarnation:
+        if not job.ended and endpoint.incarnation == job.incarnation:
             self._run.sidecars[job.sidecar].add_idle_connection(endpoint.id)
         self._finish(job, status, load)
 
@@ -201,7 +209,7 @@
 
     def _give_up(self, job: Job, status: AttemptStatus) -> None:
         """The sidecar stops waiting. What never had a connection cannot have been executed."""
-        if job.over:
+        if job.ended:
             return
         sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
@@ -210,20 +218,20 @@
         if job.connected:  # the connection's end can't overtake a request that a link holds
             hop = self._hop(sidecar, self._run.endpoints[job.endpoint - 1])
             link_delay = max(0, job.held_until - self._clock.now)
-            self._clock.after(hop + link_delay, self._run.stop, job)
+            self._clock.after(hop + link_delay, self._run.cancel_request, job)
         elif status is AttemptStatus.TIMEOUT:
             status = AttemptStatus.CONNECT_FAILED
         self._finish(job, status)
 
     def _finish(self, job: Job, status: AttemptStatus, load: tuple[float, ...] = ()) -> None:
         """Ends an attempt, once, and reports its outcome to the module."""
-        if job.over:
+        if job.ended:
             return
         sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._finish, job, status, load)
             return
-        job.over = True
+        job.ended = True
         del self._jobs[_key(job)]
         self._run.log("end", job.client_request.number, job.endpoint, status.value)
         key = RequestKey(job.sidecar, job.request)
@@ -233,15 +241,15 @@
         latency = self._clock.now - job.sent_at
         self._run.handle(
             sidecar,
-            api.AttemptOutcome(job.request, job.endpoint, job.number, latency, status, finished, load),
+            api.AttemptOutcome(job.request, job.endpoint, job.attempt, latency, status, finished, load),
         )
 
     def drop_all(self, sidecar: Sidecar) -> None:
         """Forgets all attempts of a sidecar whose process died."""
         for job in [job for job in self._jobs.values() if job.sidecar == sidecar.number]:
-            job.over = True
+            job.ended = True
             del self._jobs[_key(job)]
 
 
 def _key(job: Job) -> AttemptKey:
-    return AttemptKey(job.sidecar, job.request, job.number)
+    return AttemptKey(job.sidecar, job.request, job.attempt)
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -10,16 +10,16 @@
 from typing import Any, Protocol
 
 from anisespool.balancer.interface import AttemptStatus
-from anisespool.lab.model.checker import must
+from anisespool.lab.model.checker import require
 from anisespool.lab.model.endpoint import Endpoint, Job
 from anisespool.lab.model.link_selector import Node
 from anisespool.lab.model.random_streams import RandomStream, RandomStreams
 from anisespool.lab.scenario import MS, SECOND, Endpoints, Scenario
 
-RESETS = 0.5  # share of lost responses that end as a reset; the others end in silence
+RESET_SHARE = 0.5  # share of lost responses that end as a reset; the others end in silence
 
 
-class Ticks(Protocol):
+class Scheduler(Protocol):
     """A clock: virtual, or the machine's own."""
 
     @property
@@ -39,45 +39,47 @@
     Its methods raise RuleError where they see that rule 2 or 4 is broken.
     """
 
-    def __init__(self, scenario: Scenario, streams: RandomStreams, clock: Ticks) -> None:
+    def __init__(self, scenario: Scenario, streams: RandomStreams, clock: Scheduler) -> None:
         self.scenario = scenario
         self.clock = clock
-        self._failure_draws = streams.named("failures")
-        self._report_draws = streams.named("reports")
+        self._failure_random = streams.named("failures")
+        self._report_random = streams.named("reports")
         self.endpoints = list(self._build(streams))
 
     def _build(self, streams: RandomStreams) -> Iterator[Endpoint]:
-        draws = streams.named("endpoints")
+        random = streams.named("endpoints")
         number = 0
-        for kind, spec in enumerate(self.scenario.endpoints):
+        for group, spec in enumerate(self.scenario.endpoints):
             for _ in range(spec.count):
                 number += 1
-                yield self.machine(number, kind, spec, draws)
+                yield self.make_endpoint(number, group, spec, random)
 
-    def machine(self, number: int, kind: int, spec: Endpoints, draws: RandomStream) -> Endpoint:
+    def make_endpoint(self, number: int, group: int, spec: Endpoints, random: RandomStream) -> Endpoint:
         """Makes an endpoint of a group, with a speed of its own."""
-        speed = spec.speed * draws.uniform(1 - spec.speed_spread, 1 + spec.speed_spread)
-        return Endpoint(number, kind, spec, self.scenario.rules, speed)
+        speed = spec.speed * random.uniform(1 - spec.speed_spread, 1 + spec.speed_spread)
+        return Endpoint(number, group, spec, self.scenario.rules, speed)
 
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the sidecar that sent it knows of the endpoint's last start."""
         raise NotImplementedError
 
-    def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def send_response(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         """Sends a response, with a load report, back to the sidecar."""
         raise NotImplementedError
 
-    def arrive(self, job: Job) -> None:
+    def receive_request(self, job: Job) -> None:
         """Takes a request whose last byte has arrived."""
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or endpoint.faults.dead:
             return  # its sidecar was notified by a reset
         broken = endpoint.check_overload(self.clock.now, job.work_ns, self.is_notified_of(job, endpoint))
-        must(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
+        require(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
         if endpoint.overloaded or endpoint.faults.vanished:
             return
         failure_rate = endpoint.faults.failure_rate
-        if failure_rate and self._failure_draws.uniform() < failure_rate:
+        if failure_rate and self._failure_random.uniform() < failure_rate:
             job.client_request.executions += 1
             self._respond(endpoint, job, AttemptStatus.ERROR)
             return
@@ -86,7 +88,7 @@
             return
         self._start(endpoint)
 
-    def stop(self, job: Job) -> None:
+    def cancel_request(self, job: Job) -> None:
         """Takes the end of a connection, on which the group's kind of cancelling depends."""
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or job.stopped:
@@ -99,7 +101,7 @@
         elif endpoint.spec.cancel == "all":
             job.stopped = True
             job.running = False
-            endpoint.busy -= 1
+            endpoint.busy_cores -= 1
             self._start(endpoint)
 
     def _start(self, endpoint: Endpoint) -> None:
@@ -109,7 +111,7 @@
             client_request = job.client_request
             client_request.executions += 1
             unsafe = self.scenario.classes[client_request.class_index].effect == "once"
-            must(
+            require(
                 not unsafe or client_request.executions == 1,
                 f"rule 2: wish {client_request.number} ran twice",
             )
@@ -126,15 +128,15 @@
         job.running = False
         job.stopped = True
         self._respond(endpoint, job, AttemptStatus.OK)  # before `busy` falls: its load report counts itself
-        endpoint.busy -= 1
+        endpoint.busy_cores -= 1
         self._start(endpoint)
 
     def _respond(self, endpoint: Endpoint, job: Job, status: AttemptStatus) -> None:
         if endpoint.faults.vanished or endpoint.overloaded:
             return
         now = self.clock.now
-        valid_until = now + int(self._report_draws.uniform(*self.scenario.reports.every_ms) * MS)
-        self.answer(endpoint, job, status, endpoint.load_report(now, self.columns, valid_until))
+        valid_until = now + int(self._report_random.uniform(*self.scenario.reports.every_ms) * MS)
+        self.send_response(endpoint, job, status, endpoint.load_report(now, self.columns, valid_until))
 
     @property
     def columns(self) -> tuple[str, ...]:
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -21,7 +21,7 @@
     """A rule was broken; the text begins with its number."""
 
 
-def must(condition: bool, text: str) -> None:
+def require(condition: bool, text: str) -> None:
     """Raises RuleError with that text unless the condition holds."""
     if not condition:
         raise RuleError(text)
@@ -91,7 +91,7 @@
 
     # Events ---------------------------------------------------------------------------------------
 
-    def event(self, now: int, event: api.Event) -> None:
+    def observe(self, now: int, event: api.Event) -> None:
         """Notes an event, before the module handles it."""
         match event:
             case api.RequestArrived():
@@ -144,7 +144,7 @@
 
     # Actions --------------------------------------------------------------------------------------
 
-    def actions(self, now: int, actions: list[api.Action]) -> None:
+    def check(self, now: int, actions: list[api.Action]) -> None:
         """Judges what the module decided.
 
         Raises:
@@ -167,34 +167,34 @@
         """Actions that neither send a request nor end it."""
         match action:
             case api.Cancel():
-                must(self.settings.may_cancel, "cancel where it is not allowed")
+                require(self.settings.may_cancel, "cancel where it is not allowed")
                 known = self.requests.get(action.request)
-                must(known is None or action.attempt < len(known.copies), "unknown attempt")
+                require(known is None or action.attempt < len(known.copies), "unknown attempt")
             case api.SendHealthCheck():
-                must(self.settings.may_health_check, "a probe where it is not allowed")
+                require(self.settings.may_health_check, "a probe where it is not allowed")
             case api.SendGossip():
-                must(self.settings.may_gossip, "a message where it is not allowed")
+                require(self.settings.may_gossip, "a message where it is not allowed")
             case api.SetTimer():
-                must(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer out of bounds")
+                require(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer out of bounds")
             case _:
                 pass
 
     def _send(self, now: int, send: api.Send) -> None:
         ledger = self.requests.get(send.request)
-        must(ledger is not None, "rule 1: a send for a request that has ended")
+        require(ledger is not None, "rule 1: a send for a request that has ended")
         assert ledger
-        must(not ledger.answered, "rule 1: a send for a request that has ended")
-        must(send.endpoint in self._last_listings, "an endpoint no list has named")
+        require(not ledger.answered, "rule 1: a send for a request that has ended")
+        require(send.endpoint in self._last_listings, "an endpoint no list has named")
         assert send.timeout_ns >= 0
         unavailable_since = self._unavailable_since.get(send.endpoint)
         grace = self.settings.drain_grace_ns
-        must(
+        require(
             unavailable_since is None or now <= unavailable_since + grace,
             "rule 3: a send past the drain grace",
         )
-        must(len(ledger.copies) < self.settings.max_attempts, "more attempts than allowed")
+        require(len(ledger.copies) < self.settings.max_attempts, "more attempts than allowed")
         if not self.settings.may_hedge:
-            must(not any(copy.open for copy in ledger.copies), "two attempts outstanding")
+            require(not any(copy.open for copy in ledger.copies), "two attempts outstanding")
         self._check_effects(now, ledger, send.endpoint)
         self._check_order(now, send.request, ledger)
         ledger.copies.append(Copy(send.endpoint, now))
@@ -204,22 +204,22 @@
         risky = [copy for copy in ledger.copies if not copy.unrun]
         if not risky or ledger.cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        must(ledger.cls.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again")
-        must(now <= risky[0].sent + ledger.cls.dedup_window_ns, "rule 2: past the dedup window")
+        require(ledger.cls.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again")
+        require(now <= risky[0].sent + ledger.cls.dedup_window_ns, "rule 2: past the dedup window")
         here = self._last_listings[endpoint]
         first = self._last_listings[risky[0].endpoint]
         if ledger.cls.dedup_scope is DedupScope.ZONE:
-            must(here.zone == first.zone, "rule 2: outside the zone that drops repeats")
+            require(here.zone == first.zone, "rule 2: outside the zone that drops repeats")
         elif ledger.cls.dedup_scope is DedupScope.CELL:
-            must(here.cell == first.cell, "rule 2: outside the cell that drops repeats")
+            require(here.cell == first.cell, "rule 2: outside the cell that drops repeats")
 
     def _check_order(self, now: int, request: int, ledger: Ledger) -> None:
         if not ledger.key:
             return
         ordered = self._ordered[ledger.key]
         for earlier in ordered[: ordered.index(request)]:
-            must(self.requests[earlier].over(), "order: an earlier request of the key is not over")
-            must(now >= self.requests[earlier].key_settles_at, "order: the key's rest was cut short")
+            require(self.requests[earlier].over(), "order: an earlier request of the key is not over")
+            require(now >= self.requests[earlier].key_settles_at, "order: the key's rest was cut short")
 
     def _rejection(self, ledger: Ledger) -> None:
         """Rule 2: a rejection says that a retry is harmless."""
@@ -228,20 +228,20 @@
             return
         is_keyed = ledger.cls.idempotency is Idempotency.WITH_KEY
         by_key_all = is_keyed and ledger.cls.dedup_scope is DedupScope.ALL
-        must(by_key_all, "rule 2: a refusal of what may have run")
+        require(by_key_all, "rule 2: a refusal of what may have run")
 
     def _final(self, now: int, request: int) -> Ledger:
         """Rule 1, of a final response."""
         ledger = self.requests.get(request)
-        must(ledger is not None, "rule 1: a second final answer")
+        require(ledger is not None, "rule 1: a second final answer")
         assert ledger
-        must(not ledger.answered, "rule 1: a second final answer")
-        must(now <= ledger.due + self.settings.answer_slack_ns, "rule 1: a late final answer")
+        require(not ledger.answered, "rule 1: a second final answer")
+        require(now <= ledger.due + self.settings.answer_slack_ns, "rule 1: a late final answer")
         ledger.answered = True
         return ledger
 
-    def nothing_owed(self, now: int) -> None:
+    def check_all_answered(self, now: int) -> None:
         """Raises RuleError if a request whose time is over has no final response (rule 1)."""
         for request, ledger in self.requests.items():
             late = now > ledger.due + self.settings.answer_slack_ns
-            must(ledger.answered or not late, f"rule 1: request {request} was never answered")
+            require(ledger.answered or not late, f"rule 1: request {request} was never answered")
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from anisespool.balancer import interface as api
-from anisespool.lab.model.checker import must
+from anisespool.lab.model.checker import require
 from anisespool.lab.model.metrics import ClientRequest
 from anisespool.lab.model.sidecar import Sidecar
 from anisespool.lab.model.simulated_run import SimulatedRun
@@ -63,7 +63,7 @@
         deadline_ms = self._scenario.classes[client_request.class_index].deadline_ms
         remaining = int(deadline_ms * MS * client_request.patience)
         self.open[key] = OpenRequest(client_request, now + remaining, now)
-        self._metrics.opened(now)
+        self._metrics.request_opened(now)
         self._log_request(client_request)
         self._clock.at(now + remaining + RESPONSE_SLACK_NS, self._check_answered, key)
         self._arrive(sidecar, _arrival(key.request, client_request, remaining))
@@ -94,7 +94,7 @@
         if request is None:
             return
         sidecar = self._run.sidecars[key.sidecar]
-        must(
+        require(
             sidecar.frozen_until > request.opened_at,
             f"rule 1: request {key.request} of sidecar {key.sidecar} was not answered in time",
         )
@@ -110,7 +110,7 @@
     def close(self, key: RequestKey) -> ClientRequest:
         """Removes a request from the open ones; returns what its client wants."""
         request = self.open.pop(key)
-        self._metrics.closed(self._clock.now, request.opened_at)
+        self._metrics.request_closed(self._clock.now, request.opened_at)
         return request.client_request
 
     def close_all(self, sidecar: Sidecar) -> None:
@@ -121,7 +121,7 @@
     def respond(self, sidecar: Sidecar, action: api.Reject | api.Fail) -> None:
         """Hands the module's final response, a rejection or a failure, to the client."""
         key = RequestKey(sidecar.number, action.request)
-        must(key in self.open, "rule 1: a final answer to what is over")
+        require(key in self.open, "rule 1: a final answer to what is over")
         client_request = self.close(key)
         if isinstance(action, api.Reject):
             self._run.log("refuse", client_request.number)
@@ -144,7 +144,7 @@
         """A retry must be harmless (rule 2): the request can't have been executed, or is idempotent."""
         now = self._clock.now
         unsafe = self._scenario.classes[client_request.class_index].effect == "once"
-        must(
+        require(
             not (unsafe and client_request.executions),
             f"rule 2: wish {client_request.number} was refused, and had run",
         )
--- a/anisespool/lab/model/clock.py
+++ b/anisespool/lab/model/clock.py
@@ -22,11 +22,11 @@
         handled: Events so far.
     """
 
-    __slots__ = ("_heap", "_order", "handled", "now")
+    __slots__ = ("_heap", "_order", "events_handled", "now")
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
-        self.handled = 0
+        self.events_handled = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = count()
 
@@ -47,13 +47,13 @@
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, what, words = heappop(heap)
-            self.handled += 1
+            self.events_handled += 1
             what(*words)
             if len(heap) > MAX_EVENTS:
                 raise ClockError(f"over {MAX_EVENTS} events wait")
         self.now = max(self.now, until)
 
     @property
-    def waiting(self) -> int:
+    def events_pending(self) -> int:
         """Events still scheduled."""
         return len(self._heap)
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -32,13 +32,13 @@
 
     sidecar: int
     request: int
-    number: int
+    attempt: int
     endpoint: int
     sent_at: int
     work_ns: int
     client_request: ClientRequest
     incarnation: int = 0
-    over: bool = False
+    ended: bool = False
     connected: bool = False
     fresh: bool = False
     running: bool = False
@@ -65,8 +65,8 @@
     failure_rate: float = 0.0
     stolen_cpu: float = 0.0
     paused_until: int = 0
-    loses: float = 0.0
-    delay: float = 1.0
+    response_loss: float = 0.0
+    delay_factor: float = 1.0
     dead: bool = False
     vanished: bool = False
 
@@ -97,14 +97,14 @@
     """
 
     id: int
-    kind: int
+    group: int
     spec: Endpoints
     rules: Rules
     speed: float
-    started: int = 0
-    listed: EndpointState = EndpointState.READY
+    started_at: int = 0
+    list_state: EndpointState = EndpointState.READY
     overloaded: bool = False
-    busy: int = 0
+    busy_cores: int = 0
     connections: int = 0
     waiting: deque[Job] = field(default_factory=deque)
     faults: EndpointFaults = field(default_factory=EndpointFaults)
@@ -114,17 +114,17 @@
     _load_report_until: int = 0
     _warmup_arrivals: deque[WarmupArrival] = field(default_factory=deque)
 
-    def warmth(self, now: int) -> float:
+    def capacity_share(self, now: int) -> float:
         """Share of its capacity that it has: `start_capacity` at its start, rising evenly to 1."""
-        if not self.started:
+        if not self.started_at:
             return 1.0
         initial = self.rules.start_capacity
         warmup_ns = self.rules.cold_s * SECOND
-        return min(1.0, initial + (1 - initial) * (now - self.started) / warmup_ns)
+        return min(1.0, initial + (1 - initial) * (now - self.started_at) / warmup_ns)
 
     def core_speed(self, now: int) -> float:
         """Work done per second of one core now."""
-        return self.speed * self.warmth(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
+        return self.speed * self.capacity_share(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
 
     def check_overload(self, now: int, work_ns: int, notified: bool) -> bool:
         """Rule 4: counts work that has arrived, and overloads an endpoint that is still warming up by it.
@@ -141,14 +141,14 @@
         Returns:
             True if the rule was broken: two thirds came from sidecars that knew of the start.
         """
-        if not self.started or self.overloaded or self.warmth(now) >= 1:
+        if not self.started_at or self.overloaded or self.capacity_share(now) >= 1:
             return False
         arrivals = self._warmup_arrivals
         window_ns = self.rules.fall_ms * MS
         arrivals.append(WarmupArrival(now, work_ns, notified))
         while arrivals[0].at <= now - window_ns:
             arrivals.popleft()
-        limit = self.rules.fall_multiple * self.spec.cores * self.speed * self.warmth(now) * window_ns
+        limit = self.rules.fall_multiple * self.spec.cores * self.speed * self.capacity_share(now) * window_ns
         total = sum(arrival.work_ns for arrival in arrivals)
         largest = max(arrival.work_ns for arrival in arrivals)
         self.overloaded = total - largest > limit * OVERLOAD_SLACK
@@ -156,17 +156,17 @@
 
     def enqueue(self, job: Job) -> AttemptStatus | None:
         """Accepts a request; returns FULL if the queue has no room for it."""
-        if len(self.waiting) >= self.spec.waiting and self.busy >= self.spec.cores:
+        if len(self.waiting) >= self.spec.waiting and self.busy_cores >= self.spec.cores:
             return AttemptStatus.FULL
         self.waiting.append(job)
         return None
 
     def start_next(self) -> Job | None:
         """Takes the next request from the queue, if a core is free. Cancelled ones are dropped."""
-        while self.waiting and self.busy < self.spec.cores and not self.overloaded:
+        while self.waiting and self.busy_cores < self.spec.cores and not self.overloaded:
             job = self.waiting.popleft()
             if not job.stopped:
-                self.busy += 1
+                self.busy_cores += 1
                 job.running = True
                 return job
         return None
@@ -175,7 +175,7 @@
         """The load report that goes with a response; measured anew when the last has grown old."""
         if now >= self._load_report_until:
             queued = len(self.waiting)
-            loads = {"queue": float(queued), "inflight": float(queued + self.busy)}
+            loads = {"queue": float(queued), "inflight": float(queued + self.busy_cores)}
             self._load_report = tuple(loads[column] for column in columns)
             self._load_report_until = valid_until
         return self._load_report
@@ -184,9 +184,9 @@
         """Starts another process in its place, which has to warm up. Requests of the old one are lost."""
         self.waiting.clear()
         self._warmup_arrivals.clear()
-        self.busy = 0
+        self.busy_cores = 0
         self.connections = 0
-        self.started = now
+        self.started_at = now
         self.overloaded = False
         self.incarnation += 1
         self.faults.dead = False
--- a/anisespool/lab/model/endpoint_list.py
+++ b/anisespool/lab/model/endpoint_list.py
@@ -8,7 +8,7 @@
 from anisespool.lab.model.link_selector import DISCOVERY
 from anisespool.lab.model.sidecar import Sidecar
 from anisespool.lab.model.simulated_run import SimulatedRun
-from anisespool.lab.model.watch_delay import ListChange, listed
+from anisespool.lab.model.watch_delay import ListChange, listed_endpoints
 
 UPDATE_BYTES = 200  # size of an update on a link of bounded rate
 
@@ -27,22 +27,28 @@
         nominal = self._scenario.membership.weights == "nominal"
         weight = endpoint.spec.cores * endpoint.spec.speed if nominal else 1.0
         return api.EndpointListing(
-            endpoint.id, weight, 0, endpoint.kind, endpoint.spec.zone, endpoint.listed, endpoint.started
+            endpoint.id,
+            weight,
+            0,
+            endpoint.group,
+            endpoint.spec.zone,
+            endpoint.list_state,
+            endpoint.started_at,
         )
 
     def _listings(self) -> tuple[api.EndpointListing, ...]:
-        return tuple(map(self._listing, listed(self._run.endpoints)))
+        return tuple(map(self._listing, listed_endpoints(self._run.endpoints)))
 
     def initial(self, sidecar: Sidecar) -> api.EndpointListUpdate:
         """The complete list that a new process starts from."""
-        revision = self._watch_delay.begins(sidecar.slot, self._clock.now)
+        revision = self._watch_delay.start_watch(sidecar.slot, self._clock.now)
         return api.EndpointListUpdate(revision, EndpointListKind.CACHED, self._listings())
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Changes an endpoint's state; each sidecar is notified after its own delay."""
-        endpoint.listed = state
+        endpoint.list_state = state
         listing = self._listing(endpoint)
-        for change in self._watch_delay.change(self._clock.now):
+        for change in self._watch_delay.next_change(self._clock.now):
             event = api.EndpointListUpdate(change.revision, EndpointListKind.DELTA, (listing,))
             sidecar = self._run.serving(change.sidecar)
             arrives_at = self._arrives_at(change, sidecar) if self._run.links else change.at
@@ -51,24 +57,24 @@
     def _arrives_at(self, change: ListChange, sidecar: Sidecar) -> int:
         """Adds what links do to a watch, on which no change overtakes the one before."""
         links = self._run.links
-        late = links.stream(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
-        cut_until = links.between(change.at, DISCOVERY, sidecar.node, "lists").until
+        late = links.stream_delay(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
+        cut_until = links.impairment_between(change.at, DISCOVERY, sidecar.node, "lists").until
         arrives_at = change.at + late if isinstance(late, int) else cut_until
         arrives_at = max(arrives_at, self._last_arrival[change.sidecar])
         self._last_arrival[change.sidecar] = arrives_at
         return arrives_at
 
-    def publish_all(self, rows: bool) -> None:
+    def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list or, as a wiped registry does, an empty one."""
-        listings = self._listings() if rows else ()
-        event = api.EndpointListUpdate(self._watch_delay.whole(), EndpointListKind.FULL, listings)
+        listings = self._listings() if with_entries else ()
+        event = api.EndpointListUpdate(self._watch_delay.complete_list(), EndpointListKind.FULL, listings)
         for slot in range(self._scenario.sidecars):
             self._run.handle(self._run.serving(slot), event)
 
     def _receive(self, sidecar: Sidecar, incarnation: int, event: api.EndpointListUpdate) -> None:
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._receive, sidecar, incarnation, event)
-        elif sidecar.incarnation == incarnation and self._watch_delay.takes(sidecar.slot, event.version):
+        elif sidecar.incarnation == incarnation and self._watch_delay.accepts(sidecar.slot, event.version):
             _drop_stale_connections(sidecar, event)
             self._run.handle(sidecar, event)
 
--- a/anisespool/lab/model/faults.py
+++ b/anisespool/lab/model/faults.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Protocol
 
 from anisespool.balancer.interface import EndpointState
-from anisespool.lab.model.backend import Ticks
+from anisespool.lab.model.backend import Scheduler
 from anisespool.lab.model.endpoint import Endpoint
 from anisespool.lab.model.random_streams import RandomStream
 from anisespool.lab.model.watch_delay import WatchDelay
@@ -25,10 +25,10 @@
         over: When it ends, where it does.
     """
 
-    at: int
+    begins_at: int
     kind: Kind
-    number: int
-    over: int
+    sidecar: int
+    ends_at: int
     fault: Fault
 
 
@@ -40,36 +40,36 @@
     """
 
     scenario: Scenario
-    begin: int
+    scenario_start: int
     endpoints: list[Endpoint]
     watch_delay: WatchDelay
 
     @property
-    def clock(self) -> Ticks:
+    def clock(self) -> Scheduler:
         """The run's clock."""
 
     def log(self, *words: object) -> None:
         """Notes a fault in the run's history."""
 
-    def set_rate(self, times: float) -> None:
+    def set_traffic_factor(self, factor: float) -> None:
         """Multiplies the traffic."""
 
-    def set_tenant(self, number: int, times: float) -> None:
+    def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Multiplies one tenant's traffic."""
 
-    def shift(self, zone: int, times: float) -> None:
+    def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
         """Moves traffic to one zone's clients from the others'."""
 
-    def cut(self, zone: int, begins: bool, until: int) -> None:
+    def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
         """Isolates a zone; its sidecars get no endpoint updates before `until`."""
 
-    def replace(self, endpoint: Endpoint) -> Endpoint:
+    def add_replacement(self, endpoint: Endpoint) -> Endpoint:
         """Adds an endpoint that takes another's place, under another name, not yet listed."""
 
-    def silence(self, endpoint: Endpoint) -> None:
+    def make_unreachable(self, endpoint: Endpoint) -> None:
         """Its machine sends nothing from now on, and no connection to it comes up."""
 
-    def process_fault(self, process_fault: ProcessFault) -> None:
+    def apply_process_fault(self, process_fault: ProcessFault) -> None:
         """Applies a fault to a sidecar's process, if this run holds the processes."""
 
     def reset_connections(self, endpoint: Endpoint) -> None:
@@ -78,11 +78,11 @@
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Changes its state in the list, of which each sidecar is notified in its own time."""
 
-    def publish_all(self, rows: bool) -> None:
+    def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list, or an empty one."""
 
 
-def schedule(target: FaultTarget, draws: RandomStream, process_draws: RandomStream) -> None:
+def schedule(target: FaultTarget, random: RandomStream, process_random: RandomStream) -> None:
     """Schedules every fault of the scenario.
 
     Args:
@@ -90,18 +90,20 @@
         draws: Stream that chooses endpoints.
         process_draws: Stream that chooses sidecars (see `process_faults`).
     """
-    for process_fault in process_faults(target.scenario, process_draws):
-        target.clock.at(target.begin + process_fault.at, _apply_to_process, target, process_fault)
+    for process_fault in process_faults(target.scenario, process_random):
+        target.clock.at(
+            target.scenario_start + process_fault.begins_at, _apply_to_process, target, process_fault
+        )
     for fault in target.scenario.faults:
         if fault.kind in PROCESSES:
             continue
-        begins_at = target.begin + int(fault.at_s * SECOND)
+        begins_at = target.scenario_start + int(fault.at_s * SECOND)
         ends_at = begins_at + int(fault.for_s * SECOND)
         if fault.kind in OF_ALL:
             target.clock.at(begins_at, _apply_to_all, target, fault, True)
             target.clock.at(ends_at, _apply_to_all, target, fault, False)
             continue
-        endpoints = _choose_endpoints(target, fault, draws)
+        endpoints = _choose_endpoints(target, fault, random)
         for endpoint, late in zip(endpoints, _delays(fault, len(endpoints)), strict=True):
             target.clock.at(begins_at + late, _apply_to_endpoint, target, fault, endpoint, True)
             target.clock.at(ends_at + late, _apply_to_endpoint, target, fault, endpoint, False)
@@ -115,7 +117,7 @@
 # Faults of sidecars' processes --------------------------------------------------------------------
 
 
-def process_faults(scenario: Scenario, draws: RandomStream) -> list[ProcessFault]:
+def process_faults(scenario: Scenario, random: RandomStream) -> list[ProcessFault]:
     """Faults of sidecars' processes, in order.
 
     They have a stream of their own, so that the simulation and whoever holds real processes agree on them.
@@ -124,29 +126,29 @@
     for fault in scenario.faults:
         if fault.kind not in PROCESSES:
             continue
-        numbers = _choose_sidecars(scenario, fault, draws)
+        numbers = _choose_sidecars(scenario, fault, random)
         for number, late in zip(numbers, _delays(fault, len(numbers)), strict=True):
             begins_at = int(fault.at_s * SECOND) + late
             ends_at = begins_at + int(fault.for_s * SECOND)
             found.append(ProcessFault(begins_at, fault.kind, number, ends_at, fault))
-    return sorted(found, key=lambda process_fault: (process_fault.at, process_fault.number))
+    return sorted(found, key=lambda process_fault: (process_fault.begins_at, process_fault.sidecar))
 
 
-def _choose_sidecars(scenario: Scenario, fault: Fault, draws: RandomStream) -> list[int]:
+def _choose_sidecars(scenario: Scenario, fault: Fault, random: RandomStream) -> list[int]:
     """The sidecars named, all of a zone, or a share drawn at random; a rolling restart hits all."""
     if fault.kind == "sidecar":
         return [int(fault.part * (scenario.sidecars - 1))]
     if fault.sidecars:
         return list(fault.sidecars)
     if fault.zone is not None:
-        return [number for number, zone in enumerate(scenario.places()) if zone == fault.zone]
-    order = sorted(range(scenario.sidecars), key=lambda number: (draws.uniform(), number))
+        return [number for number, zone in enumerate(scenario.sidecar_zones()) if zone == fault.zone]
+    order = sorted(range(scenario.sidecars), key=lambda number: (random.uniform(), number))
     return order if fault.kind == "roll" else order[: max(1, round(fault.part * len(order)))]
 
 
 def _apply_to_process(target: FaultTarget, process_fault: ProcessFault) -> None:
-    target.log("trouble", process_fault.kind, process_fault.number)
-    target.process_fault(process_fault)
+    target.log("trouble", process_fault.kind, process_fault.sidecar)
+    target.apply_process_fault(process_fault)
 
 
 # Faults of the whole run --------------------------------------------------------------------------
@@ -156,16 +158,16 @@
     target.log("trouble", fault.kind, begins)
     factor = fault.size if begins else 1.0
     if fault.kind == "traffic":
-        target.set_rate(factor)
+        target.set_traffic_factor(factor)
     elif fault.kind == "stale":
-        target.watch_delay.lag = factor
+        target.watch_delay.delay_factor = factor
     elif fault.kind == "wipe":
-        target.publish_all(rows=not begins)
+        target.publish_all(with_entries=not begins)
     elif fault.kind == "tenant":
-        target.set_tenant(fault.tenant, factor)
+        target.set_tenant_traffic_factor(fault.tenant, factor)
     elif fault.kind == "quiet":
         if begins:  # the silence ends by itself
-            target.watch_delay.silent(_ends_at(target, fault))
+            target.watch_delay.hold_back(_ends_at(target, fault))
     elif fault.kind in OF_A_ZONE:
         _apply_to_zone(target, fault, begins)
 
@@ -173,9 +175,9 @@
 def _apply_to_zone(target: FaultTarget, fault: Fault, begins: bool) -> None:
     assert fault.zone is not None
     if fault.kind == "shift":
-        target.shift(fault.zone, fault.size if begins else 1.0)
+        target.set_zone_traffic_factor(fault.zone, fault.size if begins else 1.0)
     else:
-        target.cut(fault.zone, begins, _ends_at(target, fault))
+        target.isolate_zone(fault.zone, begins, _ends_at(target, fault))
 
 
 def _ends_at(target: FaultTarget, fault: Fault) -> int:
@@ -185,14 +187,14 @@
 # Faults of single endpoints -----------------------------------------------------------------------
 
 
-def _choose_endpoints(target: FaultTarget, fault: Fault, draws: RandomStream) -> list[Endpoint]:
+def _choose_endpoints(target: FaultTarget, fault: Fault, random: RandomStream) -> list[Endpoint]:
     """All of a zone, those named, or a share drawn at random."""
     if fault.zone is not None:
         return [endpoint for endpoint in target.endpoints if endpoint.spec.zone == fault.zone]
     if fault.endpoints:
         return [target.endpoints[number] for number in fault.endpoints]
     count = max(1, round(fault.part * len(target.endpoints))) if fault.part else 0
-    order = sorted(target.endpoints, key=lambda endpoint: (draws.uniform(), endpoint.id))
+    order = sorted(target.endpoints, key=lambda endpoint: (random.uniform(), endpoint.id))
     return order[:count]
 
 
@@ -214,11 +216,11 @@
 
 
 def _delay(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.faults.delay = fault.size if begins else 1.0
+    endpoint.faults.delay_factor = fault.size if begins else 1.0
 
 
 def _lossy(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    endpoint.faults.loses = fault.size if begins else 0.0
+    endpoint.faults.response_loss = fault.size if begins else 0.0
 
 
 def _pause(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
@@ -234,7 +236,7 @@
 def _replace(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
     """Another endpoint is listed; this one drains, and is gone after `for_s`."""
     if begins:
-        target.publish(target.replace(endpoint), EndpointState.READY)
+        target.publish(target.add_replacement(endpoint), EndpointState.READY)
         target.publish(endpoint, EndpointState.DRAINING)
     else:
         _die(target, endpoint)
@@ -252,7 +254,7 @@
     """Its machine is silent; when it is back, all open connections are reset."""
     if begins:
         endpoint.faults.vanished = True
-        target.silence(endpoint)
+        target.make_unreachable(endpoint)
     else:
         target.reset_connections(endpoint)
         _start_again(target, endpoint)
--- a/anisespool/lab/model/gossip.py
+++ b/anisespool/lab/model/gossip.py
@@ -30,7 +30,7 @@
 
     def _transmit(self, sender: Sidecar, receiver: Sidecar, data: bytes, message: api.GossipReceived) -> None:
         hop = hop_ns(self._run.scenario, sender.zone == receiver.zone, 1.0, 1.0)
-        for copy in self._run.links.datagram(self._clock.now, sender.node, receiver.node, data):
+        for copy in self._run.links.send_datagram(self._clock.now, sender.node, receiver.node, data):
             if copy.data == data:  # the checksum drops a corrupted one
                 self._clock.at(copy.at + hop, self._receive, receiver, receiver.incarnation, message)
 
--- a/anisespool/lab/model/link_fault.py
+++ b/anisespool/lab/model/link_fault.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from anisespool.lab.model.link_selector import Node, Side
+from anisespool.lab.model.link_selector import Node, NodeSelector
 from anisespool.lab.scenario import SECOND, Link
 
 
@@ -22,7 +22,7 @@
     link: Link
     begin: int
     end: int
-    sides: tuple[Side, Side]
+    sides: tuple[NodeSelector, NodeSelector]
 
     def is_on(self, now: int) -> bool:
         """Whether it is on, flapping considered."""
@@ -31,14 +31,14 @@
         flap_s = self.link.flap_s
         return not flap_s or (now - self.begin) % int(flap_s * SECOND) < flap_s * SECOND / 2
 
-    def hits(self, src: Node, dst: Node) -> bool:
+    def affects(self, src: Node, dst: Node) -> bool:
         """Whether it concerns messages from one node to the other."""
         first, second = self.sides
         if first(src) and second(dst):
             return True
         return self.link.both and first(dst) and second(src)
 
-    def off_at(self, now: int) -> int:
+    def next_off_at(self, now: int) -> int:
         """The next moment at which it is off."""
         if not self.link.flap_s:
             return self.end
@@ -50,7 +50,7 @@
     """All that is wrong from one node to another at a moment, combined.
 
     Attributes:
-        cut: One of STRONGER; empty: none.
+        cut: One of CUTS_BY_STRENGTH; empty: none.
         loss: Share of messages.
         burst: Messages lost in a row, in the mean.
         delay: ns.
--- a/anisespool/lab/model/link_selector.py
+++ b/anisespool/lab/model/link_selector.py
@@ -34,11 +34,11 @@
     zone: int = -1
 
 
-Side = Callable[[Node], bool]
+NodeSelector = Callable[[Node], bool]
 DISCOVERY = Node("discovery", 0)
 
 
-def parse_side(text: str) -> Side:
+def parse_selector(text: str) -> NodeSelector:
     """Parses a selection.
 
     Raises:
@@ -50,7 +50,7 @@
     return lambda node: any(side(node) for side in sides)
 
 
-def _parse_term(term: str) -> Side:
+def _parse_term(term: str) -> NodeSelector:
     if term.startswith("!"):
         inner = _parse_term(term[1:])
         return lambda node: not inner(node)
@@ -66,7 +66,7 @@
     raise ValueError(f"found {term!r}, wanted one of {WANTED}")
 
 
-def _numbered(kind: str, number: int) -> Side:
+def _numbered(kind: str, number: int) -> NodeSelector:
     if kind == "zone":
         return lambda node: node.zone == number
     if kind == "half":
@@ -74,5 +74,5 @@
     return lambda node: node.kind == kind and node.number == number
 
 
-def _numbered_range(kind: str, first: int, last: int) -> Side:
+def _numbered_range(kind: str, first: int, last: int) -> NodeSelector:
     return lambda node: node.kind == kind and first <= node.number <= last
--- a/anisespool/lab/model/links.py
+++ b/anisespool/lab/model/links.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from anisespool.lab.model.link_fault import UNIMPAIRED, Impairment, LinkFault
-from anisespool.lab.model.link_selector import Node, parse_side
+from anisespool.lab.model.link_selector import Node, parse_selector
 from anisespool.lab.model.random_streams import RandomStream
 from anisespool.lab.scenario import MS, SECOND, Link
 
@@ -23,10 +23,10 @@
 REORDER_NS = 30 * MS  # how long a reordered datagram is held back
 MAX_LINKS = 4000  # also with those added while a run goes on
 MAX_CHANNELS = 100_000  # ordered pairs whose state is stored; a further one starts anew each time
-STRONGER = ("", "silent", "refused", "reset")  # kinds of cut, the strongest last
+CUTS_BY_STRENGTH = ("", "silent", "refused", "reset")  # kinds of cut, the strongest last
 
 
-class Copy(NamedTuple):
+class DatagramCopy(NamedTuple):
     """One datagram as it arrives."""
 
     at: int
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Counts:
+class LinkCounts:
     """What became of datagrams, by this code's own count.
 
     Attributes:
@@ -59,9 +59,9 @@
     """
 
     links: list[Link]
-    draws: RandomStream
+    random: RandomStream
     begin: int = 0
-    counts: Counts = field(default_factory=Counts)
+    counts: LinkCounts = field(default_factory=LinkCounts)
     _faults: list[LinkFault] = field(default_factory=list)
     _bad_channels: dict[tuple[Node, Node], bool] = field(default_factory=dict)  # whether in the bad state
     _free_at: dict[tuple[Node, Node], int] = field(default_factory=dict)  # of a limited rate
@@ -74,7 +74,7 @@
     def __bool__(self) -> bool:
         return bool(self._faults)
 
-    def start(self, begin: int) -> None:
+    def set_scenario_start(self, begin: int) -> None:
         """Moves all links to a scenario's own time that starts then."""
         for fault in self._faults:
             fault.begin += begin - self.begin
@@ -91,7 +91,7 @@
             raise ValueError(f"links: found over {MAX_LINKS}, wanted at most that")
         begin = self.begin + int(link.at_s * SECOND)
         end = begin + int(link.for_s * SECOND)
-        fault = LinkFault(link, begin, end, (parse_side(link.from_), parse_side(link.to)))
+        fault = LinkFault(link, begin, end, (parse_selector(link.from_), parse_selector(link.to)))
         self._faults.append(fault)
         self._matches.clear()
         return fault
@@ -106,7 +106,7 @@
 
     # What is wrong on a way -----------------------------------------------------------------------
 
-    def of(self, src: Node, dst: Node, carries: str) -> tuple[LinkFault, ...]:
+    def faults_between(self, src: Node, dst: Node, carries: str) -> tuple[LinkFault, ...]:
         """Links that ever concern such messages from one node to the other."""
         key = (src, dst, carries)
         found = self._matches.get(key)
@@ -114,32 +114,32 @@
             found = tuple(
                 fault
                 for fault in self._faults
-                if fault.link.carries in ("all", carries) and fault.hits(src, dst)
+                if fault.link.carries in ("all", carries) and fault.affects(src, dst)
             )
             if len(self._matches) < MAX_CHANNELS:
                 self._matches[key] = found
         return found
 
-    def between(self, now: int, src: Node, dst: Node, carries: str) -> Impairment:
+    def impairment_between(self, now: int, src: Node, dst: Node, carries: str) -> Impairment:
         """What is wrong from one node to the other (not back), now."""
-        return combine(self.of(src, dst, carries), now) if self._faults else UNIMPAIRED
+        return combine(self.faults_between(src, dst, carries), now) if self._faults else UNIMPAIRED
 
-    def is_cut(self, now: int, first: Node, second: Node, carries: str) -> str:
+    def cut_between(self, now: int, first: Node, second: Node, carries: str) -> str:
         """The kind of cut, if there is one in either direction: no connection can be opened then."""
         if not self._faults:
             return ""
-        there = self.between(now, first, second, carries).cut
-        back = self.between(now, second, first, carries).cut
-        return max(there, back, key=STRONGER.index)
+        there = self.impairment_between(now, first, second, carries).cut
+        back = self.impairment_between(now, second, first, carries).cut
+        return max(there, back, key=CUTS_BY_STRENGTH.index)
 
-    def loses(self, src: Node, dst: Node, impairment: Impairment) -> bool:
+    def is_lost(self, src: Node, dst: Node, impairment: Impairment) -> bool:
         """Draws whether the next message is lost, by its channel's state."""
         if not impairment.loss:
             return False
         if impairment.loss >= 1:
             return True
         if impairment.burst <= 1:
-            return self.draws.uniform() < impairment.loss
+            return self.random.uniform() < impairment.loss
         return self._next_state(src, dst, impairment)
 
     def _next_state(self, src: Node, dst: Node, impairment: Impairment) -> bool:
@@ -149,27 +149,27 @@
         key = (src, dst)
         bad = self._bad_channels.get(key)
         if bad is None:  # a new channel is in the bad state as often as it is in the mean
-            bad = self.draws.uniform() < impairment.loss
+            bad = self.random.uniform() < impairment.loss
         elif bad:
-            bad = self.draws.uniform() >= leave
+            bad = self.random.uniform() >= leave
         else:
-            bad = self.draws.uniform() < enter
+            bad = self.random.uniform() < enter
         if len(self._bad_channels) < MAX_CHANNELS or key in self._bad_channels:
             self._bad_channels[key] = bad
         return bad
 
     # Messages -------------------------------------------------------------------------------------
 
-    def datagram(self, now: int, src: Node, dst: Node, data: bytes) -> list[Copy]:
+    def send_datagram(self, now: int, src: Node, dst: Node, data: bytes) -> list[DatagramCopy]:
         """Sends a datagram: the copies that arrive, none, one or two."""
         self.counts.came += 1
-        impairment = self.between(now, src, dst, "talk")
+        impairment = self.impairment_between(now, src, dst, "talk")
         if impairment is UNIMPAIRED:
-            return [Copy(now, data)]
+            return [DatagramCopy(now, data)]
         if impairment.cut:
             self.counts.cut += 1
             return []
-        if self.loses(src, dst, impairment):
+        if self.is_lost(src, dst, impairment):
             self.counts.lost += 1
             return []
         passed_at = self._pace(now, src, dst, len(data), impairment)
@@ -178,28 +178,28 @@
             return []
         return self._deliver(passed_at, data, impairment)
 
-    def _deliver(self, passed_at: int, data: bytes, impairment: Impairment) -> list[Copy]:
+    def _deliver(self, passed_at: int, data: bytes, impairment: Impairment) -> list[DatagramCopy]:
         """Delays, reorders, corrupts and duplicates a datagram that arrives, in this order of draws."""
-        at = passed_at + impairment.delay + int(self.draws.uniform() * impairment.spread)
-        if impairment.reorder and self.draws.uniform() < impairment.reorder:
+        at = passed_at + impairment.delay + int(self.random.uniform() * impairment.spread)
+        if impairment.reorder and self.random.uniform() < impairment.reorder:
             self.counts.reordered += 1
             at += REORDER_NS
-        if impairment.corrupt and self.draws.uniform() < impairment.corrupt:
+        if impairment.corrupt and self.random.uniform() < impairment.corrupt:
             self.counts.corrupted += 1
             data = self._corrupt(data)
-        copies = [Copy(at, data)]
-        if impairment.duplicate and self.draws.uniform() < impairment.duplicate:
+        copies = [DatagramCopy(at, data)]
+        if impairment.duplicate and self.random.uniform() < impairment.duplicate:
             self.counts.doubled += 1
-            later = impairment.delay // 2 + int(self.draws.uniform() * impairment.spread)
-            copies.append(Copy(at + later, data))
+            later = impairment.delay // 2 + int(self.random.uniform() * impairment.spread)
+            copies.append(DatagramCopy(at + later, data))
         return copies
 
     def _corrupt(self, data: bytes) -> bytes:
         """Flips a bit."""
         if not data:
             return data
-        index = self.draws.below(len(data))
-        flipped = data[index] ^ (1 << self.draws.below(8))
+        index = self.random.below(len(data))
+        flipped = data[index] ^ (1 << self.random.below(8))
         return data[:index] + bytes([flipped]) + data[index + 1 :]
 
     def _pace(self, now: int, src: Node, dst: Node, size: int, impairment: Impairment) -> int | None:
@@ -215,7 +215,7 @@
             self._free_at[key] = end
         return end
 
-    def stream(self, now: int, src: Node, dst: Node, size: int, carries: str) -> int | str:
+    def stream_delay(self, now: int, src: Node, dst: Node, size: int, carries: str) -> int | str:
         """Sends bytes on an open TCP connection.
 
         A silent cut holds them until it is over: then they are sent again, after a wait that has grown with
@@ -224,7 +224,7 @@
         Returns:
             How much later they arrive, ns; or "reset", which ends the connection.
         """
-        impairment = self.between(now, src, dst, carries)
+        impairment = self.impairment_between(now, src, dst, carries)
         if impairment is UNIMPAIRED:
             return 0
         if impairment.cut in ("reset", "refused"):
@@ -232,11 +232,11 @@
         late = 0
         if impairment.cut:
             waited = impairment.until - now
-            late = waited + int(self.draws.uniform() * min(waited, MIN_RTO_NS << MAX_DOUBLINGS))
+            late = waited + int(self.random.uniform() * min(waited, MIN_RTO_NS << MAX_DOUBLINGS))
         late += self._retransmissions(src, dst, impairment)
         passed_at = self._pace(now, src, dst, size, impairment)
         late += SECOND if passed_at is None else passed_at - now
-        return late + impairment.delay + int(self.draws.uniform() * impairment.spread)
+        return late + impairment.delay + int(self.random.uniform() * impairment.spread)
 
     def _retransmissions(self, src: Node, dst: Node, impairment: Impairment) -> int:
         """Draws how long lost segments hold up a stream, ns; a checksum drops a corrupted one."""
@@ -245,7 +245,7 @@
         late = 0
         timeout = MIN_RTO_NS
         for _ in range(MAX_DOUBLINGS):
-            if not self.loses(src, dst, segments):
+            if not self.is_lost(src, dst, segments):
                 break
             late += timeout
             timeout *= 2
@@ -265,7 +265,7 @@
     rates = [link.rate_kb_s * 1000 for link in links if link.rate_kb_s]
     worst = max(links, key=lambda link: link.loss)
     return Impairment(
-        cut=max((fault.link.cut for fault in cuts), key=STRONGER.index, default=""),
+        cut=max((fault.link.cut for fault in cuts), key=CUTS_BY_STRENGTH.index, default=""),
         loss=worst.loss,
         burst=worst.burst,
         delay=int(sum(link.delay_ms for link in links) * MS),
@@ -274,14 +274,14 @@
         reorder=max(link.reorder for link in links),
         corrupt=max(link.corrupt for link in links),
         rate=min(rates, default=0.0),
-        until=max((fault.off_at(now) for fault in cuts), default=0),
+        until=max((fault.next_off_at(now) for fault in cuts), default=0),
     )
 
 
-def edges(links: Links, call: Callable[[int, LinkFault, bool], None]) -> None:
+def for_each_switch(links: Links, call: Callable[[int, LinkFault, bool], None]) -> None:
     """Calls `call(when, fault, begins)` for each moment at which a link is switched, by flapping too."""
     for fault in links.faults():
         period = int(fault.link.flap_s * SECOND) if fault.link.flap_s else fault.end - fault.begin
         for at in range(fault.begin, fault.end, max(period, MS)):
             call(at, fault, True)
-            call(fault.off_at(at), fault, False)
+            call(fault.next_off_at(at), fault, False)
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -92,7 +92,7 @@
     attempts: int = 0
     crossings: int = 0
     handshakes: int = 0
-    lines: int = 0
+    list_entries: int = 0
     tries: int = 0
     tries_measured: int = 0
     tries_rejected: int = 0
@@ -112,13 +112,13 @@
 
     # Notes of a run -------------------------------------------------------------------------------
 
-    def opened(self, now: int) -> None:
+    def request_opened(self, now: int) -> None:
         """Notes that a client sent a request."""
         self._integrate(now)
         self._open += 1
         self.tries += 1
 
-    def closed(self, now: int, opened_at: int) -> None:
+    def request_closed(self, now: int, opened_at: int) -> None:
         """Notes that a request got its final response, or its client gave up."""
         self._integrate(now)
         self._open -= 1
@@ -170,7 +170,7 @@
         if client_request.weight == 1.0:
             self.by_tenant.setdefault(client_request.tenant, Counter())[outcome == "in_time"] += 1
 
-    def balance(self, now: int) -> None:
+    def check_balance(self, now: int) -> None:
         """Checks conservation, and Little's law by two independent sums.
 
         Raises:
@@ -200,7 +200,7 @@
             "cross_zone": prices.cross_zone * self.crossings / requested,
             "handshake": prices.handshake * self.handshakes / requested,
             "late_fail": prices.late_fail * self.weight_late / (self.weight_requested or 1.0),
-            "list_line": prices.list_line * self.lines / 100 / requested,
+            "list_line": prices.list_line * self.list_entries / 100 / requested,
         }
 
     def by_second(self) -> list[tuple[float, float]]:
--- a/anisespool/lab/model/policies.py
+++ b/anisespool/lab/model/policies.py
@@ -15,7 +15,7 @@
     Idempotency,
     Settings,
 )
-from anisespool.lab.model.world import World, ours
+from anisespool.lab.model.world import World, make_balancer
 
 EWMA_WEIGHT = 0.3  # of the latest latency
 
@@ -154,7 +154,7 @@
 
     def _requests_at(self, number: int) -> int:
         endpoint = self.world.endpoints[number - 1]
-        return endpoint.busy + len(endpoint.waiting)
+        return endpoint.busy_cores + len(endpoint.waiting)
 
 
 class SeesAll(SimplePolicy):
@@ -168,12 +168,12 @@
         endpoint = self.world.endpoints[number - 1]
         if endpoint.faults.dead or endpoint.faults.vanished:
             return float("inf")
-        requests = endpoint.busy + len(endpoint.waiting) + 1
+        requests = endpoint.busy_cores + len(endpoint.waiting) + 1
         return max(1.0, requests / endpoint.spec.cores) / endpoint.core_speed(self.now)
 
 
 POLICIES: dict[str, Callable[[Settings, int, World], Any]] = {
-    "ours": ours,
+    "ours": make_balancer,
     "random": RandomPick,
     "round-robin": RoundRobin,
     "least-open": LeastOpen,
--- a/anisespool/lab/model/sidecar_processes.py
+++ b/anisespool/lab/model/sidecar_processes.py
@@ -39,7 +39,7 @@
         scenario = run.scenario
         self.sidecars = [
             Sidecar(number, zone, settings(scenario, number, zone), slot=number)
-            for number, zone in enumerate(scenario.places())
+            for number, zone in enumerate(scenario.sidecar_zones())
         ]
         self._serving = list(self.sidecars)
 
@@ -58,11 +58,11 @@
 
     def apply(self, process_fault: ProcessFault) -> None:
         """What happens to a process. Faults of CPU, memory, descriptors and clock need real processes."""
-        slot = process_fault.number
+        slot = process_fault.sidecar
         sidecar = self._serving[slot]
         if sidecar.down or sidecar.frozen_until > self._clock.now:
             return  # hit before, and not back yet
-        until = self._run.begin + process_fault.over
+        until = self._run.scenario_start + process_fault.ends_at
         if process_fault.kind == "roll":
             self._roll(slot)
         elif process_fault.kind == "freeze":
--- a/anisespool/lab/model/simulated_run.py
+++ b/anisespool/lab/model/simulated_run.py
@@ -27,7 +27,7 @@
     metrics: RunMetrics
     links: Links
     watch_delay: WatchDelay
-    begin: int
+    scenario_start: int
     endpoints: list[Endpoint]
     sidecars: list[Sidecar]
 
@@ -37,10 +37,10 @@
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
         """Pass an event to a sidecar's decision module and perform the actions that it returns."""
 
-    def arrive(self, job: Job) -> None:
+    def receive_request(self, job: Job) -> None:
         """Let an attempt arrive at its endpoint."""
 
-    def stop(self, job: Job) -> None:
+    def cancel_request(self, job: Job) -> None:
         """Let an endpoint learn that an attempt was cancelled."""
 
     def log(self, *words: object) -> None:
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -11,7 +11,7 @@
 
 INTERVAL_NS = SECOND // 5
 MAX_SAMPLES = 5000  # a longer run is sampled less often
-SHOWN = ("in_time", "late", "refused", "failed")
+SHOWN_OUTCOMES = ("in_time", "late", "refused", "failed")
 PERCENTILES = (50, 90, 99, 99.9)
 
 
@@ -49,7 +49,7 @@
     broken: str = ""
 
 
-class Observer:
+class TimelineSampler:
     """Samples a run's endpoints.
 
     Attributes:
@@ -68,7 +68,7 @@
         now = self._backend.clock.now
         endpoints = self._backend.endpoints
         queues = [len(endpoint.waiting) for endpoint in endpoints]
-        running = sum(endpoint.busy for endpoint in endpoints)
+        running = sum(endpoint.busy_cores for endpoint in endpoints)
         at_s = (now - self._begin) / SECOND
         self.samples.append(TimelineSample(at_s, running, sum(queues), max(queues)))
         if now + self._interval <= self._end:
@@ -82,7 +82,7 @@
     return [endpoint.busy_ns / (endpoint.spec.cores * span) for endpoint in backend.endpoints]
 
 
-def rows(metrics: RunMetrics) -> list[dict[str, Any]]:
+def class_rows(metrics: RunMetrics) -> list[dict[str, Any]]:
     """A row for each class: shares of its client requests by outcome, and latencies in ms."""
     return [
         {"class": request_class.name, "asked": metrics.requested[number]}
@@ -94,7 +94,7 @@
 
 def _shares(metrics: RunMetrics, class_index: int) -> dict[str, float]:
     requested = max(1, metrics.requested[class_index])
-    return {outcome: metrics.ended[class_index, outcome] / requested for outcome in SHOWN}
+    return {outcome: metrics.ended[class_index, outcome] / requested for outcome in SHOWN_OUTCOMES}
 
 
 def _latencies(metrics: RunMetrics, class_index: int) -> dict[str, float]:
--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -26,42 +26,42 @@
         lag: Multiplies the scenario's delays.
     """
 
-    def __init__(self, scenario: Scenario, draws: RandomStream) -> None:
-        self.lag = 1.0
+    def __init__(self, scenario: Scenario, random: RandomStream) -> None:
+        self.delay_factor = 1.0
         self._delay_s = scenario.membership.delay_s
-        self._draws = draws
+        self._random = random
         self._revision = 1
         self._last_arrival = [0] * scenario.sidecars
         self._silent_until = [0] * scenario.sidecars
         self._received = [1] * scenario.sidecars  # the revision of each sidecar's list
 
-    def silent(self, until: int, numbers: Iterable[int] | None = None) -> None:
+    def hold_back(self, until: int, numbers: Iterable[int] | None = None) -> None:
         """Holds back all changes to these sidecars (None: to all) until a moment."""
         for number in range(len(self._silent_until)) if numbers is None else numbers:
             self._silent_until[number] = max(self._silent_until[number], until)
 
-    def change(self, now: int) -> Iterator[ListChange]:
+    def next_change(self, now: int) -> Iterator[ListChange]:
         """Makes the next revision, and says when each sidecar receives it."""
         self._revision += 1
         for number, last_arrival in enumerate(self._last_arrival):
-            late = int(self._draws.uniform(*self._delay_s) * self.lag * SECOND)
+            late = int(self._random.uniform(*self._delay_s) * self.delay_factor * SECOND)
             arrival = max(last_arrival, now + late, self._silent_until[number])
             self._last_arrival[number] = arrival
             yield ListChange(number, arrival, self._revision)
 
-    def whole(self) -> int:
+    def complete_list(self) -> int:
         """Makes the revision of a complete list, which all sidecars receive at once."""
         self._revision += 1
         self._received = [self._revision] * len(self._received)
         return self._revision
 
-    def begins(self, number: int, now: int) -> int:
+    def start_watch(self, number: int, now: int) -> int:
         """The revision of the complete list from which a sidecar's new process starts."""
         self._last_arrival[number] = now
         self._received[number] = self._revision
         return self._revision
 
-    def takes(self, number: int, revision: int) -> bool:
+    def accepts(self, number: int, revision: int) -> bool:
         """Whether a change that arrives is new to the sidecar: a complete list contains those before it."""
         if revision <= self._received[number]:
             return False
@@ -69,6 +69,6 @@
         return True
 
 
-def listed(endpoints: list[Endpoint]) -> list[Endpoint]:
+def listed_endpoints(endpoints: list[Endpoint]) -> list[Endpoint]:
     """Endpoints that a complete list contains."""
-    return [endpoint for endpoint in endpoints if endpoint.listed is not EndpointState.GONE]
+    return [endpoint for endpoint in endpoints if endpoint.list_state is not EndpointState.GONE]
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -35,14 +35,14 @@
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import MS, SECOND, Scenario
 
-__all__ = ["BEGIN", "Module", "Sidecar", "World", "ours"]
+__all__ = ["VIRTUAL_START_NS", "ModuleFactory", "Sidecar", "World", "make_balancer"]
 
-BEGIN = 100 * SECOND  # virtual time at the start: to the module, time 0 means "never"
+VIRTUAL_START_NS = 100 * SECOND  # virtual time at the start: to the module, time 0 means "never"
 SETTLE_NS = 10 * SECOND  # after the last client request, beside its time-outs
-Module = Callable[[Settings, int, "World"], Any]
+ModuleFactory = Callable[[Settings, int, "World"], Any]
 
 
-def ours(settings: Settings, seed: int, world: World) -> Any:
+def make_balancer(settings: Settings, seed: int, world: World) -> Any:
     """Makes the real decision module."""
     return Balancer(settings, seed)
 
@@ -56,19 +56,21 @@
         broken: The first rule that was broken, in a line; the run ends there.
     """
 
-    def __init__(self, scenario: Scenario, seed: int, module: Module = ours, logged: bool = False) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int, module: ModuleFactory = make_balancer, logged: bool = False
+    ) -> None:
         self.clock: Clock
         self._streams = RandomStreams(seed)
-        super().__init__(scenario, self._streams, Clock(BEGIN))
+        super().__init__(scenario, self._streams, Clock(VIRTUAL_START_NS))
         self.seed = seed
         self.broken = ""
         self._module = module
         self._log_digest = hashlib.blake2b(digest_size=16) if logged else None
-        self._machine_draws = self._streams.named("machines")
-        self.begin, self.end = span_ns(scenario, BEGIN)
-        self.metrics = RunMetrics(scenario, self.begin)
+        self._endpoint_random = self._streams.named("machines")
+        self.scenario_start, self.scenario_end = span_ns(scenario, VIRTUAL_START_NS)
+        self.metrics = RunMetrics(scenario, self.scenario_start)
         self.watch_delay = WatchDelay(scenario, self._streams.named("membership"))
-        self.links = Links(scenario.links, self._streams.named("links"), self.begin)
+        self.links = Links(scenario.links, self._streams.named("links"), self.scenario_start)
         self.clients = Clients(self)
         self.attempts = Attempts(self, self.clients, self._streams)
         self.endpoint_list = EndpointListPublisher(self)
@@ -77,7 +79,7 @@
             self, self.clients, self.attempts, self.endpoint_list, self._make_module
         )
         self.sidecars = self.processes.sidecars
-        span = (BEGIN, self.begin, self.end)
+        span = (VIRTUAL_START_NS, self.scenario_start, self.scenario_end)
         self.arrivals = Arrivals(
             scenario, self._streams.named("arrivals"), self.clock, span, self.on_client_request
         )
@@ -100,13 +102,13 @@
         self.processes.start_all()
         schedule(self, self._streams.named("troubles"), self._streams.named("processes"))
         self.arrivals.start()
-        self.clock.run(self.end)
+        self.clock.run(self.scenario_end)
         deadline_ms = max(request_class.deadline_ms for request_class in self.scenario.classes)
         longest = deadline_ms * self.scenario.clients.max_attempts
-        self.clock.run(self.end + int(2 * longest * MS) + SETTLE_NS)
+        self.clock.run(self.scenario_end + int(2 * longest * MS) + SETTLE_NS)
         for sidecar in self.sidecars:
-            sidecar.checker.nothing_owed(self.clock.now)
-        self.metrics.balance(self.clock.now)
+            sidecar.checker.check_all_answered(self.clock.now)
+        self.metrics.check_balance(self.clock.now)
 
     def _make_module(self, sidecar: Sidecar) -> Any:
         seed = self.seed * 1_000_003 + sidecar.number * 101 + sidecar.incarnation
@@ -137,16 +139,16 @@
         now = self.clock.now
         if isinstance(event, api.EndpointListUpdate):
             self._note_list(sidecar, event)
-        sidecar.checker.event(now, event)
+        sidecar.checker.observe(now, event)
         actions = sidecar.module.handle(now, event)
-        sidecar.checker.actions(now, actions)
+        sidecar.checker.check(now, actions)
         for action in actions:
             self._perform(sidecar, action)
 
     def _note_list(self, sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
         sidecar.known_starts |= {listing.endpoint: listing.started_ns for listing in event.entries}
-        if self.clock.now >= self.begin:
-            self.metrics.lines += len(event.entries)
+        if self.clock.now >= self.scenario_start:
+            self.metrics.list_entries += len(event.entries)
 
     def _perform(self, sidecar: Sidecar, action: api.Action) -> None:
         if isinstance(action, api.Send):
@@ -170,11 +172,13 @@
 
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the sidecar that sent it knows of the endpoint's last start."""
-        return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started
+        return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started_at
 
-    def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def send_response(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         """Sends an endpoint's response back."""
-        self.attempts.answer(endpoint, job, status, load)
+        self.attempts.send_response(endpoint, job, status, load)
 
     # What faults do (FaultTarget) -----------------------------------------------------------------
 
@@ -182,42 +186,44 @@
         """Changes an endpoint's state in the list."""
         self.endpoint_list.publish(endpoint, state)
 
-    def publish_all(self, rows: bool) -> None:
+    def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list, or an empty one."""
-        self.endpoint_list.publish_all(rows)
+        self.endpoint_list.publish_all(with_entries)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
         """Resets an endpoint's connections."""
         self.attempts.reset_connections(endpoint)
 
-    def silence(self, endpoint: Endpoint) -> None:
+    def make_unreachable(self, endpoint: Endpoint) -> None:
         """Nothing to do: `faults.vanished` already keeps its messages back."""
 
-    def set_rate(self, times: float) -> None:
+    def set_traffic_factor(self, factor: float) -> None:
         """Multiplies the traffic."""
-        self.arrivals.set_rate(times)
+        self.arrivals.set_traffic_factor(factor)
 
-    def set_tenant(self, number: int, times: float) -> None:
+    def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Multiplies one tenant's traffic."""
-        self.arrivals.set_tenant_rate(number, times)
+        self.arrivals.set_tenant_traffic_factor(tenant, factor)
 
-    def shift(self, zone: int, times: float) -> None:
+    def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
         """Moves traffic to one zone's clients from the others'."""
-        self.arrivals.set_zone_rate(zone, times)
+        self.arrivals.set_zone_traffic_factor(zone, factor)
 
-    def cut(self, zone: int, begins: bool, until: int) -> None:
+    def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
         """Isolates a zone, whose sidecars get no endpoint updates meanwhile."""
-        self.attempts.isolate(zone, begins)
+        self.attempts.isolate_zone(zone, begins)
         if begins:
-            self.watch_delay.silent(until, [s.slot for s in self.sidecars if s.zone == zone])
+            self.watch_delay.hold_back(until, [s.slot for s in self.sidecars if s.zone == zone])
 
-    def replace(self, endpoint: Endpoint) -> Endpoint:
+    def add_replacement(self, endpoint: Endpoint) -> Endpoint:
         """Adds another machine of the same group, which has to warm up; the old one is about to leave."""
-        new = self.machine(len(self.endpoints) + 1, endpoint.kind, endpoint.spec, self._machine_draws)
+        new = self.make_endpoint(
+            len(self.endpoints) + 1, endpoint.group, endpoint.spec, self._endpoint_random
+        )
         new.restart(self.clock.now)
         self.endpoints.append(new)
         return new
 
-    def process_fault(self, process_fault: ProcessFault) -> None:
+    def apply_process_fault(self, process_fault: ProcessFault) -> None:
         """Applies a fault to a sidecar's process."""
         self.processes.apply(process_fault)
--- a/anisespool/lab/report.py
+++ b/anisespool/lab/report.py
@@ -12,13 +12,13 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-from anisespool.lab.model.timeline import SHOWN, ScenarioRun, rows
+from anisespool.lab.model.timeline import SHOWN_OUTCOMES, ScenarioRun, class_rows
 from anisespool.lab.scenario import Fault, Scenario
 
 COLOURS = ("#1f6f8b", "#d1603d")  # of the first run and the second
 FAULT_COLOUR = "#999999"
 STYLES = ("-", "--", ":", "-.")  # of classes
-COLUMNS = ("class", "asked", *SHOWN, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
+COLUMNS = ("class", "asked", *SHOWN_OUTCOMES, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
 PERCENTILES = [50, 75, 90, 95, 99, 99.5, 99.9]
 SIZE_INCHES = (9.0, 2.6)
 MAX_CLASSES = 8  # drawn; further ones are in the table only
@@ -68,7 +68,7 @@
 
 def describe(scenario: Scenario) -> str:
     """The fleet and its faults, in a line."""
-    fleet = f"{scenario.size} endpoints, {scenario.sidecars} sidecars"
+    fleet = f"{scenario.endpoint_count} endpoints, {scenario.sidecars} sidecars"
     traffic = f"{scenario.traffic.per_s:g} requests a second ({scenario.capacity_per_s():.0f} can be done)"
     faults = [f"{fault.kind} at {fault.at_s:g} s for {fault.for_s:g} s" for fault in scenario.faults]
     text = f"{fleet}, {traffic}, {scenario.seconds:g} s."
@@ -77,14 +77,14 @@
 
 def cell(column: str, value: Any) -> str:
     """A value of a table as text, by its column (one of COLUMNS)."""
-    if column in SHOWN:
+    if column in SHOWN_OUTCOMES:
         return f"{100 * value:.2f} %"
     return f"{value:.1f}" if column.endswith("ms") else str(value)
 
 
 def _table(run: ScenarioRun) -> str:
     parts = ["<table><tr>", *(f"<th>{column.replace('_', ' ')}</th>" for column in COLUMNS), "</tr>"]
-    for row in rows(run.metrics):
+    for row in class_rows(run.metrics):
         cells = (f"<td>{html.escape(cell(column, row[column]))}</td>" for column in COLUMNS)
         parts.append("<tr>" + "".join(cells) + "</tr>")
     return "".join(parts) + f"</table><p>{_summary(run)}</p>"
--- a/anisespool/lab/scenario/__init__.py
+++ b/anisespool/lab/scenario/__init__.py
@@ -6,7 +6,15 @@
 """
 
 from anisespool.lab.scenario.base import MS, SECOND, ScenarioError, Spec
-from anisespool.lab.scenario.faults import OF_A_ZONE, OF_ALL, OF_PROCESSES, SHARES, Fault, Kind, Link
+from anisespool.lab.scenario.faults import (
+    KINDS_SIZED_AS_SHARE,
+    OF_A_ZONE,
+    OF_ALL,
+    OF_PROCESSES,
+    Fault,
+    Kind,
+    Link,
+)
 from anisespool.lab.scenario.fleet import Endpoints, Membership, Network, Reports, Rules
 from anisespool.lab.scenario.loading import LIBRARY, decode, encode, from_raw, library, load
 from anisespool.lab.scenario.platform_settings import raw_settings, settings
@@ -14,13 +22,13 @@
 from anisespool.lab.scenario.traffic import Burst, Class, Clients, Prices, Tenant, Traffic
 
 __all__ = [
+    "KINDS_SIZED_AS_SHARE",
     "LIBRARY",
     "MS",
     "OF_ALL",
     "OF_A_ZONE",
     "OF_PROCESSES",
     "SECOND",
-    "SHARES",
     "Burst",
     "Class",
     "Clients",
--- a/anisespool/lab/scenario/faults.py
+++ b/anisespool/lab/scenario/faults.py
@@ -57,7 +57,7 @@
     *OF_PROCESSES,
 )
 OF_A_ZONE = ("cut", "shift")  # kinds that need a zone
-SHARES = ("fail", "neighbour", "lossy")  # kinds whose size is a share
+KINDS_SIZED_AS_SHARE = ("fail", "neighbour", "lossy")  # kinds whose size is a share
 
 
 class Fault(Spec, frozen=True, kw_only=True):
--- a/anisespool/lab/scenario/schema.py
+++ b/anisespool/lab/scenario/schema.py
@@ -81,7 +81,7 @@
     statements: Annotated[list[Statement], Meta(max_length=100)] = msgspec.field(default_factory=list)
 
     @property
-    def size(self) -> int:
+    def endpoint_count(self) -> int:
         """Number of endpoints."""
         return sum(group.count for group in self.endpoints)
 
@@ -100,7 +100,7 @@
         """Zones with endpoints, in order."""
         return sorted({group.zone for group in self.endpoints})
 
-    def places(self) -> list[int]:
+    def sidecar_zones(self) -> list[int]:
         """The zone of each sidecar: they are placed in the zones in turn."""
         zones = self.zones()
         return [zones[number % len(zones)] for number in range(self.sidecars)]
--- a/anisespool/lab/scenario/validation.py
+++ b/anisespool/lab/scenario/validation.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from anisespool.lab.model.link_selector import parse_side
+from anisespool.lab.model.link_selector import parse_selector
 from anisespool.lab.scenario.base import ScenarioError
-from anisespool.lab.scenario.faults import OF_A_ZONE, SHARES, Fault
+from anisespool.lab.scenario.faults import KINDS_SIZED_AS_SHARE, OF_A_ZONE, Fault
 from anisespool.lab.scenario.schema import Scenario, Statement
 
 
@@ -24,10 +24,10 @@
 
 
 def _check_fault(scenario: Scenario, fault: Fault, where: str) -> None:
-    wrong = [number for number in fault.endpoints if not 0 <= number < scenario.size]
+    wrong = [number for number in fault.endpoints if not 0 <= number < scenario.endpoint_count]
     if wrong:
-        raise ScenarioError(f"{where}.endpoints: found {wrong[0]}, wanted 0 to {scenario.size - 1}")
-    if fault.kind in SHARES and fault.size > 1:
+        raise ScenarioError(f"{where}.endpoints: found {wrong[0]}, wanted 0 to {scenario.endpoint_count - 1}")
+    if fault.kind in KINDS_SIZED_AS_SHARE and fault.size > 1:
         raise ScenarioError(f"{where}.size: found {fault.size}, wanted a share up to 1")
     if fault.zone is not None and fault.zone not in scenario.zones():
         raise ScenarioError(f"{where}.zone: found {fault.zone}, wanted one of {_zones(scenario)}")
@@ -44,7 +44,7 @@
     for number, link in enumerate(scenario.links):
         for key, side in (("from", link.from_), ("to", link.to)):
             try:
-                parse_side(side)
+                parse_selector(side)
             except ValueError as error:
                 raise ScenarioError(f"{source}: links[{number}].{key}: {error}") from None
 
--- a/anisespool/lab/search/scenario_generator.py
+++ b/anisespool/lab/search/scenario_generator.py
@@ -11,9 +11,9 @@
 from msgspec.structs import replace
 
 from anisespool.lab.scenario import (
+    KINDS_SIZED_AS_SHARE,
     OF_A_ZONE,
     OF_ALL,
-    SHARES,
     Burst,
     Class,
     Clients,
@@ -134,7 +134,7 @@
 def _draw_fault(random: Random, scenario: Scenario) -> Fault:
     """Draw a fault of a zone, of a share of the fleet, or of endpoints by number, as its kind allows."""
     kind = random.choice(KINDS)
-    size = random.uniform(0.2, 1.0) if kind in SHARES else random.choice((1.5, 3.0, 10.0, 40.0))
+    size = random.uniform(0.2, 1.0) if kind in KINDS_SIZED_AS_SHARE else random.choice((1.5, 3.0, 10.0, 40.0))
     at_s = random.uniform(0, scenario.seconds * LATEST_START)
     for_s = random.uniform(0.05, scenario.seconds)
     fault = Fault(kind=kind, at_s=at_s, for_s=for_s, size=size)
@@ -143,5 +143,5 @@
     if kind in OF_ALL or random.random() < PARTIAL_FAULT_PROBABILITY:
         part = random.uniform(0.05, 1.0)
         return replace(fault, part=part, spread_s=random.choice((0.0, 1.0)))
-    endpoints = random.sample(range(scenario.size), random.randint(1, scenario.size))
+    endpoints = random.sample(range(scenario.endpoint_count), random.randint(1, scenario.endpoint_count))
     return replace(fault, endpoints=sorted(endpoints))
--- a/benchmarks/fleetrig.py
+++ b/benchmarks/fleetrig.py
@@ -76,7 +76,7 @@
     figures = played.metrics.figures()
     report.add_row(
         loaded.sidecars,
-        loaded.size,
+        loaded.endpoint_count,
         len(loaded.zones()),
         played.start_s,
         total_s,
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -100,7 +100,7 @@
     start = time.process_time()
     metrics = world.run()
     cpu_s = time.process_time() - start
-    return Speed(metrics.tries / cpu_s, world.clock.handled / metrics.tries)
+    return Speed(metrics.tries / cpu_s, world.clock.events_handled / metrics.tries)
 
 
 class Queue:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -89,7 +89,7 @@
 
 def _detect(history: History, size: int) -> Detection:
     everyone = set(range(size))
-    cut_off = {number for number in everyone if history.scenario.places()[number] == CUT_ZONE}
+    cut_off = {number for number in everyone if history.scenario.sidecar_zones()[number] == CUT_ZONE}
     left = set(range(size - _killed_at_once(size)))
     heal_s = CUT_S + STEP_S
     found = Detection()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple
 
 from anisespool.balancer import Balancer
-from anisespool.lab.model.world import World, ours
+from anisespool.lab.model.world import World, make_balancer
 from anisespool.lab.scenario import from_raw
 from benchmarks.checkout import call, older_checkout
 from benchmarks.pairs import differences, pair_up
@@ -99,7 +99,7 @@
         AssertionError: A rule was broken.
     """
     scenario = from_raw(_raw_scenario(LoadCase(times, spread)), "overload")
-    world = World(scenario, seed, _limited_balancer(limit) if limit else ours)
+    world = World(scenario, seed, _limited_balancer(limit) if limit else make_balancer)
     metrics = world.run()
     if world.broken:
         raise AssertionError(world.broken)
--- a/benchmarks/standing.py
+++ b/benchmarks/standing.py
@@ -80,22 +80,22 @@
         self.sent: Counter[int] = Counter()
         self.capacity: defaultdict[int, float] = defaultdict(float)
         for second in range(REPLACED_S, int(scenario.seconds)):
-            self.clock.at(self.begin + second * SECOND_NS, self._add_capacity)
+            self.clock.at(self.scenario_start + second * SECOND_NS, self._add_capacity)
 
-    def arrive(self, job: Job) -> None:
+    def receive_request(self, job: Job) -> None:
         """Count an attempt, and serve it."""
         age = self._age_s(self.endpoints[job.endpoint - 1])
-        self.sent[age] += job.client_request.arrived_at >= self.begin + REPLACED_S * SECOND_NS
-        super().arrive(job)
+        self.sent[age] += job.client_request.arrived_at >= self.scenario_start + REPLACED_S * SECOND_NS
+        super().receive_request(job)
 
     def _add_capacity(self) -> None:
         for endpoint in self.endpoints:
             if not endpoint.faults.dead:
-                warmth = endpoint.warmth(self.clock.now)
+                warmth = endpoint.capacity_share(self.clock.now)
                 self.capacity[self._age_s(endpoint)] += endpoint.spec.cores * endpoint.spec.speed * warmth
 
     def _age_s(self, endpoint: Endpoint) -> int:
-        return (self.clock.now - endpoint.started) // SECOND_NS if endpoint.started else ESTABLISHED
+        return (self.clock.now - endpoint.started_at) // SECOND_NS if endpoint.started_at else ESTABLISHED
 
 
 def fresh(seed: int) -> list[float]:
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -48,9 +48,9 @@
             if at > self.end + 10 * SECOND and not self.in_flight and kind == "timer":
                 break
             self.now = max(self.now, at)
-            self.checker.nothing_owed(self.now)
+            self.checker.check_all_answered(self.now)
             getattr(self, "on_" + kind)(data)
-        self.checker.nothing_owed(self.now + 60 * SECOND)
+        self.checker.check_all_answered(self.now + 60 * SECOND)
         assert not self.balancer.pending, "finished requests are still pending"
         assert not self.balancer.ordering.queues, "ordering keys without requests still have queues"
         return self.checker
@@ -72,9 +72,9 @@
         ]
 
     def deliver(self, event: api.Event) -> None:
-        self.checker.event(self.now, event)
+        self.checker.observe(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.check(self.now, actions)
         for action in actions:
             if isinstance(action, api.Send):
                 self.on_send(action)
--- a/tests/faults/test_live_faults.py
+++ b/tests/faults/test_live_faults.py
@@ -129,7 +129,7 @@
     replaced, replacement = 1, 3
     assert any(arrival.endpoint == replacement for arrival in delivered_between(history, 1, 4.5))
     assert not any(arrival.endpoint == replaced for arrival in delivered_between(history, 2, 4.5))
-    zones = made.places()
+    zones = made.sidecar_zones()
     assert not any(
         (arrival.zone == 1) != (zones[arrival.sidecar] == 1)
         for arrival in delivered_between(history, 2.3, 2.9)
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from anisespool.lab.model import links as link_module
-from anisespool.lab.model.link_selector import DISCOVERY, Node, parse_side
-from anisespool.lab.model.links import REORDER_NS, Copy, Links, edges
+from anisespool.lab.model.link_selector import DISCOVERY, Node, parse_selector
+from anisespool.lab.model.links import REORDER_NS, DatagramCopy, Links, for_each_switch
 from anisespool.lab.model.random_streams import RandomStreams
 from anisespool.lab.model.world import World
 from anisespool.lab.scenario import MS, SECOND, Link, ScenarioError, from_raw
@@ -49,7 +49,7 @@
     ],
 )
 def test_a_side_selects_the_nodes_that_it_names(text: str, selected: tuple[Node, ...]) -> None:
-    side = parse_side(text)
+    side = parse_selector(text)
     assert {node for node in EVERYONE if side(node)} == set(selected)
 
 
@@ -86,35 +86,35 @@
 
 def test_a_cut_of_one_way_leaves_the_way_back() -> None:
     links = make_links({"from": "sidecar:0", "to": "sidecar:1", "cut": "silent", "carries": "talk"})
-    assert links.datagram(5, A, B, b"x") == []
-    assert links.datagram(5, B, A, b"x") == [(5, b"x")]
-    assert links.is_cut(5, B, A, "talk") == "silent"
-    assert links.is_cut(5, A, B, "requests") == ""
-    assert links.datagram(100 * SECOND, A, B, b"x") == [(100 * SECOND, b"x")]  # it is over
+    assert links.send_datagram(5, A, B, b"x") == []
+    assert links.send_datagram(5, B, A, b"x") == [(5, b"x")]
+    assert links.cut_between(5, B, A, "talk") == "silent"
+    assert links.cut_between(5, A, B, "requests") == ""
+    assert links.send_datagram(100 * SECOND, A, B, b"x") == [(100 * SECOND, b"x")]  # it is over
     assert (links.counts.came, links.counts.cut) == (3, 1)
 
 
 def test_a_cut_of_both_ways_cuts_the_way_back() -> None:
     links = make_links({"from": "sidecar:0", "to": "sidecar:1", "cut": "silent", "both": True})
-    assert links.datagram(5, B, A, b"x") == []
+    assert links.send_datagram(5, B, A, b"x") == []
 
 
 @pytest.fixture
 def flapping() -> Links:
     """From 11 s to 16 s on for a second, off for a second."""
     links = make_links({"cut": "refused", "flap_s": 2.0, "at_s": 1, "for_s": 5})
-    links.start(10 * SECOND)
+    links.set_scenario_start(10 * SECOND)
     return links
 
 
 def test_a_flapping_link_is_on_for_half_of_its_period(flapping: Links) -> None:
-    on = [second for second in range(20) if flapping.is_cut(second * SECOND, A, E0, "requests")]
+    on = [second for second in range(20) if flapping.cut_between(second * SECOND, A, E0, "requests")]
     assert on == [11, 13, 15]
 
 
 def test_edges_are_the_moments_at_which_a_link_is_switched(flapping: Links) -> None:
     moments: list[tuple[float, bool]] = []
-    edges(flapping, lambda when, fault, begins: moments.append((when / SECOND, begins)))
+    for_each_switch(flapping, lambda when, fault, begins: moments.append((when / SECOND, begins)))
     assert moments == [(11, True), (12, False), (13, True), (14, False), (15, True), (16, False)]
 
 
@@ -126,7 +126,7 @@
     print("seed 7")
     count = 100_000
     links = make_links({"loss": 0.2, "burst": burst}, seed=7)
-    lost = [not links.datagram(number, A, B, b"x") for number in range(count)]
+    lost = [not links.send_datagram(number, A, B, b"x") for number in range(count)]
     # Of a two-state chain the share's deviation grows with the length of its runs.
     assert sum(lost) / count == pytest.approx(0.2, abs=4 * 0.4 * (2 * burst / count) ** 0.5)
     runs = sum(is_lost and not lost[number - 1] for number, is_lost in enumerate(lost))
@@ -141,14 +141,16 @@
 
 
 @pytest.fixture(scope="module")
-def impaired() -> tuple[Links, list[list[Copy]]]:
+def impaired() -> tuple[Links, list[list[DatagramCopy]]]:
     """Links with all impairments but loss, and the copies of many datagrams."""
     raw = {"delay_ms": 10, "spread_ms": 20, "duplicate": 0.1, "reorder": 0.05, "corrupt": 0.02}
     links = make_links(raw, seed=3)
-    return links, [links.datagram(number * INTERVAL_NS, A, B, DATA) for number in range(DATAGRAMS)]
+    return links, [links.send_datagram(number * INTERVAL_NS, A, B, DATA) for number in range(DATAGRAMS)]
 
 
-def test_delay_spread_and_reordering_are_as_configured(impaired: tuple[Links, list[list[Copy]]]) -> None:
+def test_delay_spread_and_reordering_are_as_configured(
+    impaired: tuple[Links, list[list[DatagramCopy]]],
+) -> None:
     _, sent = impaired
     delays = [copies[0].at - number * INTERVAL_NS for number, copies in enumerate(sent)]
     assert min(delays) >= 10 * MS
@@ -156,12 +158,14 @@
     assert sum(delays) / len(delays) == pytest.approx(20 * MS + 0.05 * REORDER_NS, rel=0.02)
 
 
-def test_the_configured_share_is_duplicated(impaired: tuple[Links, list[list[Copy]]]) -> None:
+def test_the_configured_share_is_duplicated(impaired: tuple[Links, list[list[DatagramCopy]]]) -> None:
     _, sent = impaired
     assert sum(len(copies) == 2 for copies in sent) / DATAGRAMS == pytest.approx(0.1, abs=0.01)
 
 
-def test_the_configured_share_is_corrupted_in_one_byte(impaired: tuple[Links, list[list[Copy]]]) -> None:
+def test_the_configured_share_is_corrupted_in_one_byte(
+    impaired: tuple[Links, list[list[DatagramCopy]]],
+) -> None:
     links, sent = impaired
     corrupted = [copies[0].data for copies in sent if copies[0].data != DATA]
     assert len(corrupted) / DATAGRAMS == pytest.approx(0.02, abs=0.005)
@@ -171,7 +175,7 @@
 
 def test_a_limited_rate_lets_a_second_of_datagrams_wait_and_no_more() -> None:
     links = make_links({"rate_kb_s": 10})
-    sent = [links.datagram(0, A, B, b"x" * 250) for _ in range(100)]
+    sent = [links.send_datagram(0, A, B, b"x" * 250) for _ in range(100)]
     arrivals = [copies[0].at for copies in sent if copies]
     assert arrivals == [25 * MS * (number + 1) for number in range(len(arrivals))]
     assert len(arrivals) == 41
@@ -186,9 +190,9 @@
 def test_the_same_seed_gives_the_same_copies(sends: list[tuple[int, int, int]], seed: int) -> None:
     raw = {"loss": 0.3, "burst": 2, "duplicate": 0.3, "reorder": 0.3, "corrupt": 0.3, "spread_ms": 5}
 
-    def send_all() -> list[list[Copy]]:
+    def send_all() -> list[list[DatagramCopy]]:
         links = make_links(raw, seed=seed)
-        return [links.datagram(at, (A, B, C)[src], (A, B, C)[dst], b"0123") for at, src, dst in sends]
+        return [links.send_datagram(at, (A, B, C)[src], (A, B, C)[dst], b"0123") for at, src, dst in sends]
 
     assert send_all() == send_all()
 
@@ -209,7 +213,7 @@
 def test_a_stream_is_delayed_where_datagrams_are_lost(
     raw: dict[str, Any], shortest: int, longest: int
 ) -> None:
-    late = make_links(raw).stream(SECOND, A, E0, 600, "requests")
+    late = make_links(raw).stream_delay(SECOND, A, E0, 600, "requests")
     assert isinstance(late, int)
     assert shortest <= late <= longest
 
@@ -217,8 +221,8 @@
 @pytest.mark.parametrize("cut", ["reset", "refused"])
 def test_a_stream_is_reset_by_a_cut_that_resets(cut: str) -> None:
     links = make_links({"cut": cut, "carries": "requests"})
-    assert links.stream(1, A, E0, 600, "requests") == "reset"
-    assert links.stream(1, A, DISCOVERY, 9, "lists") == 0
+    assert links.stream_delay(1, A, E0, 600, "requests") == "reset"
+    assert links.stream_delay(1, A, DISCOVERY, 9, "lists") == 0
 
 
 def test_state_of_channels_and_number_of_links_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -226,7 +230,7 @@
     monkeypatch.setattr(link_module, "MAX_LINKS", 3)
     links = make_links({"loss": 0.5, "burst": 3, "rate_kb_s": 1})
     for number in range(100):
-        links.datagram(0, Node("sidecar", number), B, b"x")
+        links.send_datagram(0, Node("sidecar", number), B, b"x")
     assert links.channel_state_size() == 10
     for _ in range(2):
         links.add(Link(at_s=0, for_s=1))
--- a/tests/lab/test_live_run.py
+++ b/tests/lab/test_live_run.py
@@ -15,9 +15,9 @@
 from anisespool.lab.experiments import Case
 from anisespool.lab.live import live_run
 from anisespool.lab.model import timeline
-from anisespool.lab.model.arrivals import plan
+from anisespool.lab.model.arrivals import plan_client_requests
 from anisespool.lab.model.metrics import ClientRequest
-from anisespool.lab.model.world import BEGIN, World
+from anisespool.lab.model.world import VIRTUAL_START_NS, World
 from anisespool.lab.scenario import ScenarioError, from_raw
 from tests.harness.void_runs import play_undisturbed
 
@@ -84,11 +84,13 @@
 
     class RecordingWorld(World):
         def on_client_request(self, client_request: ClientRequest) -> None:
-            requests_of_model.append(drawn(client_request, BEGIN))
+            requests_of_model.append(drawn(client_request, VIRTUAL_START_NS))
             super().on_client_request(client_request)
 
     assert RecordingWorld(scenario, 5).run().attempts
-    assert requests_of_model == [drawn(client_request) for client_request in plan(scenario, 5)]
+    assert requests_of_model == [
+        drawn(client_request) for client_request in plan_client_requests(scenario, 5)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -119,7 +121,7 @@
     assert 'href="http' not in page
     assert ">kill" in page.replace("> kill", ">kill")
     assert runs[1].name in page
-    assert {row["class"] for row in timeline.rows(runs[0].metrics)} == {"look", "send-one"}
+    assert {row["class"] for row in timeline.class_rows(runs[0].metrics)} == {"look", "send-one"}
 
 
 @dataclass(frozen=True)
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -190,7 +190,7 @@
 
 def test_counts_that_do_not_balance_void_the_run() -> None:
     world = World(with_all_faults(troubles=[]), 1)
-    world.metrics.opened(world.clock.now)
+    world.metrics.request_opened(world.clock.now)
     with pytest.raises(VoidError, match="tries came"):
         world.run()
 
@@ -202,7 +202,7 @@
         clock.at(5, handled.append, number)
     clock.run(5)
     assert handled == list(range(100_000))
-    assert clock.waiting == 0
+    assert clock.events_pending == 0
 
 
 @pytest.fixture
@@ -214,19 +214,19 @@
 
 def test_changes_of_the_endpoint_list_arrive_in_order(watch_delay: WatchDelay) -> None:
     """A sidecar that was notified of a start before the drain would never use the endpoint again."""
-    watch_delay.lag = 40.0
-    (slow,) = watch_delay.change(0)
-    watch_delay.lag = 1.0
-    (fast,) = watch_delay.change(0)
+    watch_delay.delay_factor = 40.0
+    (slow,) = watch_delay.next_change(0)
+    watch_delay.delay_factor = 1.0
+    (fast,) = watch_delay.next_change(0)
     assert slow.at == fast.at == 40 * SECOND
-    assert watch_delay.takes(0, slow.revision)
-    assert watch_delay.takes(0, fast.revision)
+    assert watch_delay.accepts(0, slow.revision)
+    assert watch_delay.accepts(0, fast.revision)
 
 
 def test_a_complete_list_contains_the_changes_before_it(watch_delay: WatchDelay) -> None:
-    (late,) = watch_delay.change(0)
-    assert watch_delay.whole() > late.revision
-    assert not watch_delay.takes(0, late.revision)
+    (late,) = watch_delay.next_change(0)
+    assert watch_delay.complete_list() > late.revision
+    assert not watch_delay.accepts(0, late.revision)
 
 
 # Experiments --------------------------------------------------------------------------------------
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -52,7 +52,7 @@
     made = scenario.load(name)
     assert made.question.endswith("?")
     _, short = experiments.vary(made, ["seconds=1.5", "warm_s=0.5", "statements=[]"], name)
-    if short.size * short.sidecars <= 2000:
+    if short.endpoint_count * short.sidecars <= 2000:
         world = World(short, 1)
         world.run()
         assert not world.broken
--- a/tests/lab/test_standing_scenarios.py
+++ b/tests/lab/test_standing_scenarios.py
@@ -40,18 +40,18 @@
         self.updates: list[int] = []
         super().__init__(*args, **options)
 
-    def arrive(self, job: Job) -> None:
+    def receive_request(self, job: Job) -> None:
         endpoint = self.endpoints[job.endpoint - 1]
         zone = self.sidecars[job.sidecar].zone
-        at = self.clock.now - self.begin
+        at = self.clock.now - self.scenario_start
         self.arrived.append(Arrival(at, zone, endpoint.id, endpoint.spec.zone))
-        super().arrive(job)
+        super().receive_request(job)
 
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
         if isinstance(event, api.AttemptOutcome):
             self.statuses[event.status.name] += 1
         elif isinstance(event, api.EndpointListUpdate):
-            self.updates.append(self.clock.now - self.begin)
+            self.updates.append(self.clock.now - self.scenario_start)
         super().handle(sidecar, event)
 
     def arrived_between(self, begin_s: float, end_s: float) -> list[Arrival]:
@@ -138,10 +138,10 @@
     world = run([{"kind": "replace", "part": 0.5, "at_s": 2, "for_s": 2, "spread_s": 2}])
     old, new = world.endpoints[:12], world.endpoints[12:]
     assert [endpoint.id for endpoint in new] == list(range(13, 19))
-    gone = [endpoint for endpoint in old if endpoint.listed is EndpointState.GONE]
+    gone = [endpoint for endpoint in old if endpoint.list_state is EndpointState.GONE]
     assert len(gone) == 6
     assert all(endpoint.faults.dead for endpoint in gone)
-    started_s = sorted((endpoint.started - world.begin) / SECOND for endpoint in new)
+    started_s = sorted((endpoint.started_at - world.scenario_start) / SECOND for endpoint in new)
     assert started_s == pytest.approx([2 + number / 3 for number in range(6)])
     used = {one.endpoint for one in world.arrived_between(7, float("inf"))}
     assert {endpoint.id for endpoint in new} & used
@@ -188,7 +188,7 @@
     requested = sum(metrics.requested.values())
     crossings = sum(one.crosses for one in world.arrived if one.at >= 0)
     assert metrics.prices()["cross_zone"] == pytest.approx(0.12 * crossings / requested, rel=0.05)
-    assert metrics.lines == 0  # all lists were sent during the warm-up
+    assert metrics.list_entries == 0  # all lists were sent during the warm-up
     assert metrics.net() == pytest.approx(
         0.45 * metrics.service()
         + 0.15 * metrics.worst_window()
