--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -95,7 +95,7 @@
         job = Job(
             sidecar=sidecar.number,
             request=action.request,
-            attempt=len(sidecar.checker.requests[action.request].copies) - 1,
+            attempt=len(sidecar.checker.requests[action.request].attempts) - 1,
             endpoint=action.endpoint,
             sent_at=now,
             work_ns=client_request.work_ns,
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -28,7 +28,7 @@
 
 
 @dataclass
-class Copy:
+class AttemptRecord:
     """An attempt: one copy of the request.
 
     Attributes:
@@ -38,13 +38,13 @@
     """
 
     endpoint: int
-    sent: int
+    sent_at: int
     open: bool = True
-    unrun: bool = False
+    not_executed: bool = False
 
 
 @dataclass
-class Ledger:
+class RequestRecord:
     """What is known of one request.
 
     Attributes:
@@ -55,16 +55,16 @@
         key_settles_at: Until then its key's next request may not be sent, by this one's attempts.
     """
 
-    cls: api.RequestClass
-    due: int
-    copies: list[Copy] = field(default_factory=list)
+    request_class: api.RequestClass
+    deadline: int
+    attempts: list[AttemptRecord] = field(default_factory=list)
     answered: bool = False
     key: int = 0
     key_settles_at: int = 0
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether it has its final response and no attempt is under way."""
-        return self.answered and not any(copy.open for copy in self.copies)
+        return self.answered and not any(attempt.open for attempt in self.attempts)
 
 
 class Checker:
@@ -82,7 +82,7 @@
             forgetful: Drops requests that are over, for runs of any length.
         """
         self.settings = settings
-        self.requests: dict[int, Ledger] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self._forgetful = forgetful
         self._listings: dict[int, api.EndpointListing] = {}
         self._unavailable_since: dict[int, int] = {}
@@ -110,23 +110,23 @@
     def _arrived(self, now: int, event: api.RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
         key = event.key if request_class.in_order else 0
-        self.requests[event.request] = Ledger(request_class, now + event.remaining_ns, key=key)
+        self.requests[event.request] = RequestRecord(request_class, now + event.remaining_ns, key=key)
         if key:
             self._ordered.setdefault(key, []).append(event.request)
 
     def _ended(self, now: int, event: api.AttemptOutcome) -> None:
-        ledger = self.requests[event.request]
-        copy = ledger.copies[event.attempt]
-        copy.open = False
-        copy.unrun = event.status in NOT_EXECUTED
+        record = self.requests[event.request]
+        attempt = record.attempts[event.attempt]
+        attempt.open = False
+        attempt.not_executed = event.status in NOT_EXECUTED
         if event.status in MAY_STILL_EXECUTE:
-            ledger.key_settles_at = now + self.settings.ordering_settle_ns
-        ledger.answered = ledger.answered or event.finished
+            record.key_settles_at = now + self.settings.ordering_settle_ns
+        record.answered = record.answered or event.finished
         self._forget(event.request)
 
     def _forget(self, request: int) -> None:
-        ledger = self.requests[request]
-        if self._forgetful and not ledger.key and ledger.over():
+        record = self.requests[request]
+        if self._forgetful and not record.key and record.is_over():
             del self.requests[request]
 
     def _update_endpoints(self, now: int, update: api.EndpointListUpdate) -> None:
@@ -169,7 +169,7 @@
             case api.Cancel():
                 require(self.settings.may_cancel, "cancel where it is not allowed")
                 known = self.requests.get(action.request)
-                require(known is None or action.attempt < len(known.copies), "unknown attempt")
+                require(known is None or action.attempt < len(known.attempts), "unknown attempt")
             case api.SendHealthCheck():
                 require(self.settings.may_health_check, "a probe where it is not allowed")
             case api.SendGossip():
@@ -180,10 +180,10 @@
                 pass
 
     def _send(self, now: int, send: api.Send) -> None:
-        ledger = self.requests.get(send.request)
-        require(ledger is not None, "rule 1: a send for a request that has ended")
-        assert ledger
-        require(not ledger.answered, "rule 1: a send for a request that has ended")
+        record = self.requests.get(send.request)
+        require(record is not None, "rule 1: a send for a request that has ended")
+        assert record
+        require(not record.answered, "rule 1: a send for a request that has ended")
         require(send.endpoint in self._last_listings, "an endpoint no list has named")
         assert send.timeout_ns >= 0
         unavailable_since = self._unavailable_since.get(send.endpoint)
@@ -192,56 +192,60 @@
             unavailable_since is None or now <= unavailable_since + grace,
             "rule 3: a send past the drain grace",
         )
-        require(len(ledger.copies) < self.settings.max_attempts, "more attempts than allowed")
+        require(len(record.attempts) < self.settings.max_attempts, "more attempts than allowed")
         if not self.settings.may_hedge:
-            require(not any(copy.open for copy in ledger.copies), "two attempts outstanding")
-        self._check_effects(now, ledger, send.endpoint)
-        self._check_order(now, send.request, ledger)
-        ledger.copies.append(Copy(send.endpoint, now))
+            require(not any(attempt.open for attempt in record.attempts), "two attempts outstanding")
+        self._check_effects(now, record, send.endpoint)
+        self._check_order(now, send.request, record)
+        record.attempts.append(AttemptRecord(send.endpoint, now))
 
-    def _check_effects(self, now: int, ledger: Ledger, endpoint: int) -> None:
+    def _check_effects(self, now: int, record: RequestRecord, endpoint: int) -> None:
         """Rule 2, of another attempt."""
-        risky = [copy for copy in ledger.copies if not copy.unrun]
-        if not risky or ledger.cls.idempotency is Idempotency.IDEMPOTENT:
+        risky = [attempt for attempt in record.attempts if not attempt.not_executed]
+        if not risky or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        require(ledger.cls.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again")
-        require(now <= risky[0].sent + ledger.cls.dedup_window_ns, "rule 2: past the dedup window")
+        require(
+            record.request_class.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again"
+        )
+        require(
+            now <= risky[0].sent_at + record.request_class.dedup_window_ns, "rule 2: past the dedup window"
+        )
         here = self._last_listings[endpoint]
         first = self._last_listings[risky[0].endpoint]
-        if ledger.cls.dedup_scope is DedupScope.ZONE:
+        if record.request_class.dedup_scope is DedupScope.ZONE:
             require(here.zone == first.zone, "rule 2: outside the zone that drops repeats")
-        elif ledger.cls.dedup_scope is DedupScope.CELL:
+        elif record.request_class.dedup_scope is DedupScope.CELL:
             require(here.cell == first.cell, "rule 2: outside the cell that drops repeats")
 
-    def _check_order(self, now: int, request: int, ledger: Ledger) -> None:
-        if not ledger.key:
+    def _check_order(self, now: int, request: int, record: RequestRecord) -> None:
+        if not record.key:
             return
-        ordered = self._ordered[ledger.key]
+        ordered = self._ordered[record.key]
         for earlier in ordered[: ordered.index(request)]:
-            require(self.requests[earlier].over(), "order: an earlier request of the key is not over")
+            require(self.requests[earlier].is_over(), "order: an earlier request of the key is not over")
             require(now >= self.requests[earlier].key_settles_at, "order: the key's rest was cut short")
 
-    def _rejection(self, ledger: Ledger) -> None:
+    def _rejection(self, record: RequestRecord) -> None:
         """Rule 2: a rejection says that a retry is harmless."""
-        not_executed = all(copy.unrun for copy in ledger.copies)
-        if not_executed or ledger.cls.idempotency is Idempotency.IDEMPOTENT:
+        not_executed = all(attempt.not_executed for attempt in record.attempts)
+        if not_executed or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        is_keyed = ledger.cls.idempotency is Idempotency.WITH_KEY
-        by_key_all = is_keyed and ledger.cls.dedup_scope is DedupScope.ALL
+        is_keyed = record.request_class.idempotency is Idempotency.WITH_KEY
+        by_key_all = is_keyed and record.request_class.dedup_scope is DedupScope.ALL
         require(by_key_all, "rule 2: a refusal of what may have run")
 
-    def _final(self, now: int, request: int) -> Ledger:
+    def _final(self, now: int, request: int) -> RequestRecord:
         """Rule 1, of a final response."""
-        ledger = self.requests.get(request)
-        require(ledger is not None, "rule 1: a second final answer")
-        assert ledger
-        require(not ledger.answered, "rule 1: a second final answer")
-        require(now <= ledger.due + self.settings.answer_slack_ns, "rule 1: a late final answer")
-        ledger.answered = True
-        return ledger
+        record = self.requests.get(request)
+        require(record is not None, "rule 1: a second final answer")
+        assert record
+        require(not record.answered, "rule 1: a second final answer")
+        require(now <= record.deadline + self.settings.answer_slack_ns, "rule 1: a late final answer")
+        record.answered = True
+        return record
 
     def check_all_answered(self, now: int) -> None:
         """Raises RuleError if a request whose time is over has no final response (rule 1)."""
-        for request, ledger in self.requests.items():
-            late = now > ledger.due + self.settings.answer_slack_ns
-            require(ledger.answered or not late, f"rule 1: request {request} was never answered")
+        for request, record in self.requests.items():
+            late = now > record.deadline + self.settings.answer_slack_ns
+            require(record.answered or not late, f"rule 1: request {request} was never answered")
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -85,9 +85,9 @@
 
     def on_send(self, send: api.Send) -> None:
         ledger = self.checker.requests[send.request]
-        attempt = len(ledger.copies) - 1
+        attempt = len(ledger.attempts) - 1
         self.in_flight[send.request, attempt] = send
-        limit = min(self.now + send.timeout_ns, ledger.due) if send.timeout_ns else ledger.due
+        limit = min(self.now + send.timeout_ns, ledger.deadline) if send.timeout_ns else ledger.deadline
         self.schedule(limit, "outcome", (send.request, attempt, AttemptStatus.TIMEOUT))
         status = self.random_status()
         if status is not None:
@@ -118,7 +118,7 @@
         ledger = self.checker.requests[request.request]
         if rng.random() < 0.1:
             self.schedule(self.now + 50 * MS, "disconnect", request.request)
-        self.schedule(ledger.due + TICK, "deadline", request.request)
+        self.schedule(ledger.deadline + TICK, "deadline", request.request)
 
     def on_disconnect(self, request: int) -> None:
         if not self.checker.requests[request].answered:
@@ -126,7 +126,7 @@
 
     def on_deadline(self, request: int) -> None:
         ledger = self.checker.requests[request]
-        assert ledger.answered or any(c.open for c in ledger.copies), (
+        assert ledger.answered or any(c.open for c in ledger.attempts), (
             "rule 1: neither answered nor in flight at its deadline"
         )
 
@@ -139,7 +139,7 @@
         if send is None:
             return
         finished = self.checker.requests[request].answered or status is AttemptStatus.OK
-        latency = self.now - self.checker.requests[request].copies[attempt].sent
+        latency = self.now - self.checker.requests[request].attempts[attempt].sent_at
         load = self.rng.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
         self.deliver(api.AttemptOutcome(request, send.endpoint, attempt, latency, status, finished, load))
 
