--- a/anisespool/lab/model/__init__.py
+++ b/anisespool/lab/model/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet in virtual time: clients, sidecars with the real decision module, network, endpoints, faults."""
+"""The simulated fleet: clients, sidecars with the real decision module, network, endpoints and faults."""
--- a/anisespool/lab/model/arrivals.py
+++ b/anisespool/lab/model/arrivals.py
@@ -1,7 +1,7 @@
-"""Arrivals of client requests: open loop, so that the outcome of one request never moves the next.
+"""Arrivals of client requests. They are open loop: the outcome of one request never moves the next.
 
-The simulation plays them on its own clock; a run with real processes plans them all beforehand, and so has
-the same client requests at the same moments.
+The simulation generates arrivals on its virtual clock. A run with real processes plans all of them
+beforehand, and so has the same client requests at the same moments.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from anisespool.lab.model.random_streams import RandomStream, RandomStreams
 from anisespool.lab.scenario import MS, SECOND, Burst, Class, Fault, Scenario
 
-IDLE_NS = SECOND // 10  # until traffic of rate 0 is looked at again
+IDLE_NS = SECOND // 10  # interval at which a rate of 0 is checked again
 
 
 class QuotaBuckets:
-    """A token bucket for each tenant, which holds a second of its quota."""
+    """A token bucket for each tenant, which holds up to one second of the tenant's quota."""
 
     def __init__(self, quotas_per_s: list[float]) -> None:
         self._quotas_per_s = quotas_per_s
@@ -28,13 +28,13 @@
         self._refilled_at = 0
 
     def take(self, tenant: int, now: int) -> bool:
-        """Takes a token; False if the tenant is beyond its quota. Without tenants there is no quota."""
+        """Takes a token; returns False if the tenant is over its quota. Without tenants there is no quota."""
         if not self._quotas_per_s:
             return True
-        passed_s = (now - self._refilled_at) / SECOND
+        elapsed_s = (now - self._refilled_at) / SECOND
         self._refilled_at = now
-        for number, quota in enumerate(self._quotas_per_s):
-            self._tokens[number] = min(quota, self._tokens[number] + passed_s * quota)
+        for index, quota in enumerate(self._quotas_per_s):
+            self._tokens[index] = min(quota, self._tokens[index] + elapsed_s * quota)
         self._tokens[tenant] -= 1
         if self._tokens[tenant] >= 0:
             return True
@@ -46,11 +46,11 @@
     """Calls `on_arrival` for each client request of a run; `start` schedules the first.
 
     Args:
-        scenario: Its traffic, bursts, classes, clients and tenants.
-        draws: Stream of all draws.
-        clock: On which they arrive.
-        span: First moment of the run, begin of the scenario's own time, end; ns.
-        on_arrival: Takes each client request.
+        scenario: Defines traffic, bursts, classes, clients and tenants.
+        random: Stream of all random numbers drawn here.
+        clock: The clock on which requests arrive.
+        span: First moment of the run, start of the scenario time and end of the run, ns.
+        on_arrival: Called with each client request.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._first, self._scenario_start, self._end = span
         self._client_requests = 0
         self._traffic_factor = 1.0
-        self._tenant_traffic_factor = 1.0  # times the usual traffic, by what tenants do
+        self._tenant_traffic_factor = 1.0  # total rate relative to the usual one, from tenants' faults
         self._zone_factors = dict.fromkeys(scenario.zones(), 1.0)
         self._tenant_factors = [1.0] * len(scenario.tenants)
         self._quotas = QuotaBuckets(scenario.quotas_per_s())
@@ -84,45 +84,48 @@
         self._traffic_factor = factor
 
     def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
-        """Multiplies one zone's traffic; the other zones have less, so that the sum stays as it is."""
+        """Multiplies one zone's traffic. The other zones get less, so that the total stays the same."""
         self._zone_factors[zone] = factor
         usual = self._usual_shares()
-        rates = [self._zone_factors[place] for place in self._scenario.sidecar_zones()]
-        changed = [weight * rate for weight, rate in zip(usual, rates, strict=True)]
+        factors = [self._zone_factors[zone] for zone in self._scenario.sidecar_zones()]
+        changed = [share * factor for share, factor in zip(usual, factors, strict=True)]
         added = sum(changed) - sum(usual)
-        others = sum(weight for weight, rate in zip(usual, rates, strict=True) if rate == 1.0)
-        less = max(0.0, 1 - added / others) if others else 1.0
+        others = sum(share for share, factor in zip(usual, factors, strict=True) if factor == 1.0)
+        others_factor = max(0.0, 1 - added / others) if others else 1.0
         self._sidecar_shares = cumulative_shares(
-            [weight if rate != 1.0 else weight * less for weight, rate in zip(changed, rates, strict=True)]
+            [
+                share if factor != 1.0 else share * others_factor
+                for share, factor in zip(changed, factors, strict=True)
+            ]
         )
 
     def _usual_shares(self) -> list[float]:
-        """Traffic of each sidecar without faults, in relation to each other."""
+        """Relative traffic of each sidecar without faults."""
         traffic = self._scenario.traffic
         count = max(1, self._scenario.sidecars)
         zones = list(self._zone_factors)
         shares = []
-        for number, zone in enumerate(self._scenario.sidecar_zones()):
+        for index, zone in enumerate(self._scenario.sidecar_zones()):
             skew = 1 + traffic.zone_skew * (1 - 2 * zones.index(zone) / max(1, len(zones) - 1))
-            shares.append((1 - traffic.uneven * number / count) * skew)
+            shares.append((1 - traffic.uneven * index / count) * skew)
         return shares
 
     def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
-        """Multiplies one tenant's traffic, on top of the others'."""
+        """Multiplies one tenant's traffic. The other tenants' traffic stays the same."""
         self._tenant_factors[tenant] = factor
         usual = [tenant.share * tenant.usage for tenant in self._scenario.tenants]
-        changed = [share * rate for share, rate in zip(usual, self._tenant_factors, strict=True)]
+        changed = [share * factor for share, factor in zip(usual, self._tenant_factors, strict=True)]
         self._tenant_traffic_factor = sum(changed) / sum(usual)
         self._tenant_shares = cumulative_shares(changed)
 
     def start(self) -> None:
         """Schedules the first arrival and all bursts."""
-        self._clock.at(self._first, self._next)
+        self._clock.at(self._first, self._next_arrival)
         for burst in self._scenario.bursts:
             self._clock.at(self._scenario_start + int(burst.at_s * SECOND), self._burst, burst)
 
-    def _next(self) -> None:
-        """An arrival of the traffic, and the time until the next."""
+    def _next_arrival(self) -> None:
+        """Generates an arrival of the steady traffic, and schedules the next."""
         now = self._clock.now
         rate_per_s = self._rate_per_s(now)
         if self._first < now < self._end:
@@ -132,10 +135,10 @@
         if now >= self._end:
             return
         if rate_per_s <= 0:
-            self._clock.after(IDLE_NS, self._next)
+            self._clock.after(IDLE_NS, self._next_arrival)
             return
         gap = self._random.exponential() if self._scenario.traffic.arrivals == "poisson" else 1.0
-        self._clock.after(max(1, int(gap / rate_per_s * SECOND)), self._next)
+        self._clock.after(max(1, int(gap / rate_per_s * SECOND)), self._next_arrival)
 
     def _rate_per_s(self, now: int) -> float:
         traffic = self._scenario.traffic
@@ -153,7 +156,7 @@
             self._clock.after(int(burst.every_s * SECOND), self._burst, burst)
 
     def _arrive(self, class_index: int, tenant: int = 0) -> None:
-        """Makes a client request. The order of the draws is part of what a seed means."""
+        """Creates a client request. Another order of the draws would change the run of every seed."""
         clients = self._scenario.clients
         random = self._random
         work = self._draw_work(self._scenario.classes[class_index])
@@ -187,7 +190,7 @@
 
 
 def plan_client_requests(scenario: Scenario, seed: int) -> list[ClientRequest]:
-    """All client requests of a run, in order, as the simulation has them; times from its first moment."""
+    """All client requests of a run in order of arrival, as in the simulation; times from its first moment."""
     clock = Clock(0)
     client_requests: list[ClientRequest] = []
     begin, end = span_ns(scenario, 0)
@@ -203,7 +206,7 @@
 
 
 def _schedule_factor(clock: Clock, arrivals: Arrivals, fault: Fault, when: int, factor: float) -> None:
-    """Schedules what a fault, if it is one of the traffic, multiplies from that moment on."""
+    """Schedules a change of traffic, if the fault changes that of all clients, a tenant or a zone."""
     if fault.kind == "traffic":
         clock.at(when, arrivals.set_traffic_factor, factor)
     elif fault.kind == "tenant":
--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts between simulated sidecars and endpoints: connections, hops of the network, resets, time-outs."""
+"""Attempts between simulated sidecars and endpoints: connections, network delays, resets, time-outs."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.scenario import MS
 
-MESSAGE_BYTES = 600  # size of a request or response on a link of bounded rate
+MESSAGE_BYTES = 600  # size of a request or response on a link with a limited rate
 
 
 class AttemptKey(NamedTuple):
-    """One attempt as its sidecar knows it."""
+    """Identifies an attempt by its sidecar, request and index."""
 
     sidecar: int
     request: int
@@ -27,7 +27,7 @@
 
 
 class Attempts:
-    """All attempts under way, and the connections that carry them."""
+    """All open attempts, and the connections that carry them."""
 
     def __init__(self, run: SimulatedRun, clients: Clients, streams: RandomStreams) -> None:
         self._run = run
@@ -41,10 +41,8 @@
         self._isolated_zones: set[int] = set()
         self._jobs: dict[AttemptKey, Job] = {}
 
-    # The network ----------------------------------------------------------------------------------
-
     def isolate_zone(self, zone: int, begins: bool) -> None:
-        """Cuts a zone off from all others, or ends that. Connections stay open; what is under way is lost."""
+        """Isolates a zone, or ends its isolation. Connections stay open; messages under way are lost."""
         if begins:
             self._isolated_zones.add(zone)
         else:
@@ -56,8 +54,8 @@
             return False
         return sidecar.zone in self._isolated_zones or zone in self._isolated_zones
 
-    def _hop(self, sidecar: Sidecar, endpoint: Endpoint) -> int:
-        """Draws the time of one way between the two, ns."""
+    def _draw_hop(self, sidecar: Sidecar, endpoint: Endpoint) -> int:
+        """Draws the one-way delay between the two, ns."""
         width = self._scenario.network.spread
         spread = self._network_random.uniform(1 - width, 1 + width) if width else 1.0
         return hop_ns(
@@ -65,24 +63,22 @@
         )
 
     def _request_delay(self, sidecar: Sidecar, endpoint: Endpoint) -> int | None:
-        """How much links delay a request on an open connection, ns; None if they reset it."""
+        """Delay that links add to a request on an open connection, ns; None if they reset the connection."""
         if not self._links:
             return 0
-        late = self._links.stream_delay(
+        delay = self._links.stream_delay(
             self._clock.now, sidecar.node, node_of(endpoint), MESSAGE_BYTES, "requests"
         )
-        return late if isinstance(late, int) else None
+        return delay if isinstance(delay, int) else None
 
     def _response_delay(self, sidecar: Sidecar, endpoint: Endpoint) -> int | None:
-        """The same of a response."""
+        """Delay that links add to a response, ns; None if they reset the connection."""
         if not self._links:
             return 0
-        late = self._links.stream_delay(
+        delay = self._links.stream_delay(
             self._clock.now, node_of(endpoint), sidecar.node, MESSAGE_BYTES, "requests"
         )
-        return late if isinstance(late, int) else None
-
-    # From the sidecar to the endpoint -------------------------------------------------------------
+        return delay if isinstance(delay, int) else None
 
     def send(self, sidecar: Sidecar, action: api.Send) -> None:
         """Starts an attempt."""
@@ -108,12 +104,12 @@
             self._metrics.crossings += 1
         self._run.log("send", client_request.number, action.endpoint)
         timeout_at = now + action.timeout_ns
-        until = min(timeout_at, request.deadline) if action.timeout_ns else request.deadline
-        self._clock.at(until, self._give_up, job, AttemptStatus.TIMEOUT)
+        gives_up_at = min(timeout_at, request.deadline) if action.timeout_ns else request.deadline
+        self._clock.at(gives_up_at, self._give_up, job, AttemptStatus.TIMEOUT)
         self._connect(sidecar, endpoint, job)
 
     def _connect(self, sidecar: Sidecar, endpoint: Endpoint, job: Job) -> None:
-        hop = self._hop(sidecar, endpoint)
+        hop = self._draw_hop(sidecar, endpoint)
         if sidecar.take_idle_connection(endpoint.id):
             job.connected = True
             self._transmit(sidecar, endpoint, job, hop)
@@ -124,14 +120,14 @@
             cut = self._links.cut_between(self._clock.now, sidecar.node, node_of(endpoint), "requests")
         if self._is_unreachable(sidecar, endpoint) or cut == "silent":
             timeout = int(self._scenario.network.connect_timeout_ms * MS)
-            self._clock.after(timeout, self._finish, job, AttemptStatus.CONNECT_FAILED)
+            self._clock.after(timeout, self._end, job, AttemptStatus.CONNECT_FAILED)
         elif cut or endpoint.faults.dead or endpoint.connections >= endpoint.spec.connections:
-            self._clock.after(2 * hop, self._finish, job, AttemptStatus.CONNECT_FAILED)
+            self._clock.after(2 * hop, self._end, job, AttemptStatus.CONNECT_FAILED)
         else:
             self._open_connection(sidecar, endpoint, job, hop)
 
     def _is_unreachable(self, sidecar: Sidecar, endpoint: Endpoint) -> bool:
-        """Whether nothing answers a connection attempt."""
+        """Whether an attempt to connect gets no answer."""
         return endpoint.faults.vanished or endpoint.overloaded or self._is_isolated(sidecar, endpoint)
 
     def _open_connection(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
@@ -144,25 +140,23 @@
 
     def _connected(self, sidecar: Sidecar, endpoint: Endpoint, job: Job) -> None:
         if endpoint.incarnation != job.incarnation:
-            self._finish(job, AttemptStatus.CONNECT_FAILED)
-        elif job.ended:  # given up meanwhile: the connection is there for the next
+            self._end(job, AttemptStatus.CONNECT_FAILED)
+        elif job.ended:  # given up meanwhile: a later attempt can use the connection
             sidecar.add_idle_connection(endpoint.id)
         else:
             job.connected = True
-            self._transmit(sidecar, endpoint, job, self._hop(sidecar, endpoint))
+            self._transmit(sidecar, endpoint, job, self._draw_hop(sidecar, endpoint))
 
     def _transmit(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
-        """Sends the request on its connection. A link may delay it, or reset the connection."""
+        """Sends the request on its connection. Links may delay it or reset the connection."""
         if self._is_isolated(sidecar, endpoint):
             return
-        late = self._request_delay(sidecar, endpoint)
-        if late is None:
-            self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
+        delay = self._request_delay(sidecar, endpoint)
+        if delay is None:
+            self._clock.after(hop, self._end, job, AttemptStatus.RESET)
             return
-        job.held_until = self._clock.now + late if late else 0
-        self._clock.after(hop + late, self._run.receive_request, job)
-
-    # From the endpoint to the sidecar -------------------------------------------------------------
+        job.delayed_until = self._clock.now + delay if delay else 0
+        self._clock.after(hop + delay, self._run.receive_request, job)
 
     def send_response(
         self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
@@ -170,37 +164,37 @@
         """Sends an endpoint's response back, unless the network or the endpoint loses it."""
         sidecar = self._run.sidecars[job.sidecar]
         loss = endpoint.faults.response_loss
-        hop = self._hop(sidecar, endpoint)
+        hop = self._draw_hop(sidecar, endpoint)
         if self._is_isolated(sidecar, endpoint):
             return
-        if loss and self._loss_random.uniform() < loss:  # a reset, or silence until the time-out
+        if loss and self._loss_random.uniform() < loss:  # ends as a reset or a time-out
             if self._loss_random.uniform() < RESET_SHARE:
-                self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
+                self._clock.after(hop, self._end, job, AttemptStatus.RESET)
             return
-        late = self._response_delay(sidecar, endpoint)
-        if late is None:
-            self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
+        delay = self._response_delay(sidecar, endpoint)
+        if delay is None:
+            self._clock.after(hop, self._end, job, AttemptStatus.RESET)
         else:
-            self._clock.after(hop + late, self._answered, endpoint, job, status, load)
+            self._clock.after(hop + delay, self._response_received, endpoint, job, status, load)
 
-    def _answered(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def _response_received(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         if not job.ended and endpoint.incarnation == job.incarnation:
             self._run.sidecars[job.sidecar].add_idle_connection(endpoint.id)
-        self._finish(job, status, load)
+        self._end(job, status, load)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Resets an endpoint's connections: what was sent on them may have been executed."""
+        """Resets an endpoint's connections. Requests sent on them may have been executed."""
         for job in [job for job in self._jobs.values() if job.endpoint == endpoint.id]:
             if job.connected:
-                hop = self._hop(self._run.sidecars[job.sidecar], endpoint)
-                self._clock.after(hop, self._finish, job, AttemptStatus.RESET)
-            else:  # at once: a moment later it would be up, and execute what is reported as not executed
-                self._finish(job, AttemptStatus.CONNECT_FAILED)
+                hop = self._draw_hop(self._run.sidecars[job.sidecar], endpoint)
+                self._clock.after(hop, self._end, job, AttemptStatus.RESET)
+            else:  # after a delay it could be open, and execute a request reported as not executed
+                self._end(job, AttemptStatus.CONNECT_FAILED)
         for sidecar in self._run.sidecars:
             sidecar.idle_connections.pop(endpoint.id, None)
 
-    # The end of an attempt ------------------------------------------------------------------------
-
     def cancel(self, sidecar: Sidecar, action: api.Cancel) -> None:
         """Cancels an attempt, unless it has ended."""
         job = self._jobs.get(AttemptKey(sidecar.number, action.request, action.attempt))
@@ -208,28 +202,28 @@
             self._give_up(job, AttemptStatus.CANCELLED)
 
     def _give_up(self, job: Job, status: AttemptStatus) -> None:
-        """The sidecar stops waiting. What never had a connection cannot have been executed."""
+        """Ends an attempt for its sidecar. Without a connection its request was not executed."""
         if job.ended:
             return
         sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._give_up, job, status)
             return
-        if job.connected:  # the connection's end can't overtake a request that a link holds
-            hop = self._hop(sidecar, self._run.endpoints[job.endpoint - 1])
-            link_delay = max(0, job.held_until - self._clock.now)
+        if job.connected:  # the closing cannot overtake a request that a link holds back
+            hop = self._draw_hop(sidecar, self._run.endpoints[job.endpoint - 1])
+            link_delay = max(0, job.delayed_until - self._clock.now)
             self._clock.after(hop + link_delay, self._run.cancel_request, job)
         elif status is AttemptStatus.TIMEOUT:
             status = AttemptStatus.CONNECT_FAILED
-        self._finish(job, status)
+        self._end(job, status)
 
-    def _finish(self, job: Job, status: AttemptStatus, load: tuple[float, ...] = ()) -> None:
-        """Ends an attempt, once, and reports its outcome to the module."""
+    def _end(self, job: Job, status: AttemptStatus, load: tuple[float, ...] = ()) -> None:
+        """Ends an attempt, unless it has ended, and reports its outcome to the decision module."""
         if job.ended:
             return
         sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
-            self._clock.at(sidecar.frozen_until, self._finish, job, status, load)
+            self._clock.at(sidecar.frozen_until, self._end, job, status, load)
             return
         job.ended = True
         del self._jobs[_key(job)]
@@ -245,7 +239,7 @@
         )
 
     def drop_all(self, sidecar: Sidecar) -> None:
-        """Forgets all attempts of a sidecar whose process died."""
+        """Drops all attempts of a sidecar whose process died."""
         for job in [job for job in self._jobs.values() if job.sidecar == sidecar.number]:
             job.ended = True
             del self._jobs[_key(job)]
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -1,7 +1,7 @@
-"""The endpoints of a run: what becomes of a request that has arrived at one.
+"""The endpoints of a run: they queue, execute, fail and cancel the requests that arrive.
 
-The simulation runs this code in virtual time, a run with real processes runs it behind sockets, so that the
-two differ only in the sidecar, its sockets and its machine.
+The simulation runs this code in virtual time, and a run with real processes runs it behind sockets. The two
+therefore differ only in the sidecar, its sockets and its machine.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from anisespool.lab.model.random_streams import RandomStream, RandomStreams
 from anisespool.lab.scenario import MS, SECOND, Endpoints, Scenario
 
-RESET_SHARE = 0.5  # share of lost responses that end as a reset; the others end in silence
+RESET_SHARE = 0.5  # share of lost responses that end as a reset; the others end as a time-out
 
 
 class Scheduler(Protocol):
-    """A clock: virtual, or the machine's own."""
+    """A clock that calls functions later: virtual, or the machine's own."""
 
     @property
     def now(self) -> int:
-        """The present moment, ns."""
+        """The current time, ns."""
 
-    def at(self, when: int, what: Callable[..., None], *words: Any) -> None:
-        """Schedules `what(*words)` for a moment."""
+    def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules `callback(*arguments)` for a moment, ns."""
 
-    def after(self, delay: int, what: Callable[..., None], *words: Any) -> None:
-        """Schedules `what(*words)` after a delay, ns."""
+    def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules `callback(*arguments)` after a delay, ns."""
 
 
 class Backend:
     """All endpoints of a run.
 
-    Its methods raise RuleError where they see that rule 2 or 4 is broken.
+    Its methods raise RuleError if an execution breaks rule 2 or 4.
     """
 
     def __init__(self, scenario: Scenario, streams: RandomStreams, clock: Scheduler) -> None:
@@ -44,9 +44,9 @@
         self.clock = clock
         self._failure_random = streams.named("failures")
         self._report_random = streams.named("reports")
-        self.endpoints = list(self._build(streams))
+        self.endpoints = list(self._create_endpoints(streams))
 
-    def _build(self, streams: RandomStreams) -> Iterator[Endpoint]:
+    def _create_endpoints(self, streams: RandomStreams) -> Iterator[Endpoint]:
         random = streams.named("endpoints")
         number = 0
         for group, spec in enumerate(self.scenario.endpoints):
@@ -55,12 +55,12 @@
                 yield self.make_endpoint(number, group, spec, random)
 
     def make_endpoint(self, number: int, group: int, spec: Endpoints, random: RandomStream) -> Endpoint:
-        """Makes an endpoint of a group, with a speed of its own."""
+        """Creates an endpoint of a group, and draws its speed."""
         speed = spec.speed * random.uniform(1 - spec.speed_spread, 1 + spec.speed_spread)
         return Endpoint(number, group, spec, self.scenario.rules, speed)
 
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
-        """Whether the sidecar that sent it knows of the endpoint's last start."""
+        """Whether the job's sidecar has been notified of the endpoint's last start."""
         raise NotImplementedError
 
     def send_response(
@@ -70,10 +70,10 @@
         raise NotImplementedError
 
     def receive_request(self, job: Job) -> None:
-        """Takes a request whose last byte has arrived."""
+        """Handles a request that has arrived in full: the endpoint queues, executes, fails or rejects it."""
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or endpoint.faults.dead:
-            return  # its sidecar was notified by a reset
+            return  # its sidecar got a reset
         broken = endpoint.check_overload(self.clock.now, job.work_ns, self.is_notified_of(job, endpoint))
         require(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
         if endpoint.overloaded or endpoint.faults.vanished:
@@ -86,10 +86,10 @@
         if status := endpoint.enqueue(job):
             self._respond(endpoint, job, status)
             return
-        self._start(endpoint)
+        self._execute_queued(endpoint)
 
     def cancel_request(self, job: Job) -> None:
-        """Takes the end of a connection, on which the group's kind of cancelling depends."""
+        """Closes a job's connection, and cancels its request if the group's `cancel` setting covers it."""
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or job.stopped:
             return
@@ -102,9 +102,9 @@
             job.stopped = True
             job.running = False
             endpoint.busy_cores -= 1
-            self._start(endpoint)
+            self._execute_queued(endpoint)
 
-    def _start(self, endpoint: Endpoint) -> None:
+    def _execute_queued(self, endpoint: Endpoint) -> None:
         """Executes requests from the queue while cores are free."""
         now = self.clock.now
         while job := endpoint.start_next():
@@ -127,9 +127,9 @@
             return
         job.running = False
         job.stopped = True
-        self._respond(endpoint, job, AttemptStatus.OK)  # before `busy` falls: its load report counts itself
+        self._respond(endpoint, job, AttemptStatus.OK)  # first, as its load report includes this request
         endpoint.busy_cores -= 1
-        self._start(endpoint)
+        self._execute_queued(endpoint)
 
     def _respond(self, endpoint: Endpoint, job: Job, status: AttemptStatus) -> None:
         if endpoint.faults.vanished or endpoint.overloaded:
@@ -140,30 +140,30 @@
 
     @property
     def columns(self) -> tuple[str, ...]:
-        """Names of the figures in a load report."""
+        """Names of the values in a load report."""
         return tuple(self.scenario.reports.columns)
 
 
 def node_of(endpoint: Endpoint) -> Node:
-    """The endpoint as links find it."""
+    """The endpoint's node, by which links select it."""
     return Node("endpoint", endpoint.id - 1, endpoint.spec.zone)
 
 
-def hop_ns(scenario: Scenario, same_zone: bool, spread: float, delay: float) -> int:
-    """Time of one way between a sidecar and an endpoint, ns.
+def hop_ns(scenario: Scenario, same_zone: bool, spread: float, delay_factor: float) -> int:
+    """One-way delay between a sidecar and an endpoint, ns.
 
     Args:
-        scenario: Its network has the usual times.
+        scenario: Defines the usual delays.
         same_zone: Whether both are in one zone.
         spread: Factor drawn for this message.
-        delay: Factor by a fault of the endpoint.
+        delay_factor: Factor from a fault of the endpoint.
     """
     network = scenario.network
     usual_ms = network.same_ms if same_zone else network.cross_ms
-    return int(usual_ms * MS * spread * delay)
+    return int(usual_ms * MS * spread * delay_factor)
 
 
 def span_ns(scenario: Scenario, first: int) -> tuple[int, int]:
-    """Begin and end of what is measured, in a run whose first moment is `first`."""
-    begin = first + int(scenario.warm_s * SECOND)
-    return begin, begin + int(scenario.seconds * SECOND)
+    """Start (after the warm-up) and end of the scenario time, ns, in a run whose first moment is `first`."""
+    start = first + int(scenario.warm_s * SECOND)
+    return start, start + int(scenario.seconds * SECOND)
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -1,7 +1,7 @@
-"""Checks a decision module by the four rules and by the order of requests with a key.
+"""Checks a decision module against the four rules, and the order of requests that share a key.
 
-It shares no logic with the module: it follows events and actions, and judges from these alone. What it says
-of idempotency is its own copy of the rule on purpose (the module's: balancer/retry/idempotency.py).
+The checker shares no logic with the module: it derives its verdict from events and actions alone. It
+deliberately has its own copy of the rule of idempotency (the module's is in balancer/retry/idempotency.py).
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus, DedupScope, EndpointState, Idempotency, Settings
 
-# Written out here, not taken from the module that is checked.
+# Defined here and not imported, so that a wrong definition in the checked module is found.
 NOT_EXECUTED = {AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT}
 MAY_STILL_EXECUTE = {AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
 MAX_TIMER_NS = 71 * 60 * 10**9
 
 
 class RuleError(AssertionError):
-    """A rule was broken; the text begins with its number."""
+    """A rule was broken. The text begins with the rule's number."""
 
 
 def require(condition: bool, text: str) -> None:
-    """Raises RuleError with that text unless the condition holds."""
+    """Raises RuleError with `text` unless the condition holds."""
     if not condition:
         raise RuleError(text)
 
 
 @dataclass
 class AttemptRecord:
-    """An attempt: one copy of the request.
+    """The checker's record of an attempt.
 
     Attributes:
-        sent: When, ns.
-        open: Its outcome is not known yet.
-        unrun: It is known not to have been executed.
+        sent_at: When the attempt was sent, ns.
+        open: The outcome is not known yet.
+        not_executed: The request is known not to have been executed by this attempt.
     """
 
     endpoint: int
@@ -45,14 +45,15 @@
 
 @dataclass
 class RequestRecord:
-    """What is known of one request.
+    """The checker's record of a request.
 
     Attributes:
-        due: Its deadline, ns.
-        copies: Its attempts, in order.
-        answered: It has its final response, or an outcome that gave it.
-        key: Of a request that must be executed in order, else 0.
-        key_settles_at: Until then its key's next request may not be sent, by this one's attempts.
+        deadline: The request's deadline, ns.
+        attempts: All attempts in the order in which they were sent.
+        answered: The module or an endpoint has given the final response.
+        key: The request's key if requests of that key are executed in order; 0: no order.
+        key_settles_at: Earliest time at which the key's next request may be sent, ns. Until then an attempt
+            of this request may still be executed.
     """
 
     request_class: api.RequestClass
@@ -63,7 +64,7 @@
     key_settles_at: int = 0
 
     def is_over(self) -> bool:
-        """Whether it has its final response and no attempt is under way."""
+        """Whether the request has its final response and no open attempt."""
         return self.answered and not any(attempt.open for attempt in self.attempts)
 
 
@@ -71,50 +72,48 @@
     """Checks one decision module.
 
     Attributes:
-        requests: What is known of each request, by id.
+        requests: Records of the requests, by id.
     """
 
-    def __init__(self, settings: Settings, forgetful: bool = False) -> None:
-        """Starts with no request and no endpoint.
+    def __init__(self, settings: Settings, drops_finished: bool = False) -> None:
+        """Creates a checker without requests and endpoints.
 
         Args:
-            settings: The module's.
-            forgetful: Drops requests that are over, for runs of any length.
+            settings: The module's settings.
+            drops_finished: Drops the records of finished requests, so that memory is bounded in long runs.
         """
         self.settings = settings
         self.requests: dict[int, RequestRecord] = {}
-        self._forgetful = forgetful
+        self._drops_finished = drops_finished
         self._listings: dict[int, api.EndpointListing] = {}
         self._unavailable_since: dict[int, int] = {}
-        self._last_listings: dict[int, api.EndpointListing] = {}  # also of endpoints that are gone
-        self._ordered: dict[int, list[int]] = {}  # in-order requests by key, as they arrived
-
-    # Events ---------------------------------------------------------------------------------------
+        self._last_listings: dict[int, api.EndpointListing] = {}  # includes removed endpoints
+        self._requests_by_key: dict[int, list[int]] = {}  # requests by key in order of arrival
 
     def observe(self, now: int, event: api.Event) -> None:
-        """Notes an event, before the module handles it."""
+        """Records an event. To be called before the module handles it."""
         match event:
             case api.RequestArrived():
-                self._arrived(now, event)
+                self._record_arrival(now, event)
             case api.ClientDisconnected():
                 if event.request in self.requests:
                     self.requests[event.request].answered = True
-                    self._forget(event.request)
+                    self._drop_finished(event.request)
             case api.AttemptOutcome():
-                self._ended(now, event)
+                self._record_outcome(now, event)
             case api.EndpointListUpdate() if event.kind != api.EndpointListKind.FAILED:
                 self._update_endpoints(now, event)
             case _:
                 pass
 
-    def _arrived(self, now: int, event: api.RequestArrived) -> None:
+    def _record_arrival(self, now: int, event: api.RequestArrived) -> None:
         request_class = self.settings.classes[event.class_index]
         key = event.key if request_class.in_order else 0
         self.requests[event.request] = RequestRecord(request_class, now + event.remaining_ns, key=key)
         if key:
-            self._ordered.setdefault(key, []).append(event.request)
+            self._requests_by_key.setdefault(key, []).append(event.request)
 
-    def _ended(self, now: int, event: api.AttemptOutcome) -> None:
+    def _record_outcome(self, now: int, event: api.AttemptOutcome) -> None:
         record = self.requests[event.request]
         attempt = record.attempts[event.attempt]
         attempt.open = False
@@ -122,11 +121,11 @@
         if event.status in MAY_STILL_EXECUTE:
             record.key_settles_at = now + self.settings.ordering_settle_ns
         record.answered = record.answered or event.finished
-        self._forget(event.request)
+        self._drop_finished(event.request)
 
-    def _forget(self, request: int) -> None:
+    def _drop_finished(self, request: int) -> None:
         record = self.requests[request]
-        if self._forgetful and not record.key and record.is_over():
+        if self._drops_finished and not record.key and record.is_over():
             del self.requests[request]
 
     def _update_endpoints(self, now: int, update: api.EndpointListUpdate) -> None:
@@ -142,110 +141,121 @@
             else:
                 self._unavailable_since.setdefault(listing.endpoint, now)
 
-    # Actions --------------------------------------------------------------------------------------
-
     def check(self, now: int, actions: list[api.Action]) -> None:
-        """Judges what the module decided.
+        """Checks the actions that the module decided on.
 
         Raises:
-            RuleError: An action breaks a rule, or is not allowed by the settings.
+            RuleError: An action breaks a rule, or the settings do not allow it.
         """
         for action in actions:
             match action:
                 case api.Send():
-                    self._send(now, action)
+                    self._check_send(now, action)
                 case api.Reject():
-                    self._rejection(self._final(now, action.request))
-                    self._forget(action.request)
+                    self._check_rejection(self._check_final(now, action.request))
+                    self._drop_finished(action.request)
                 case api.Fail():
-                    self._final(now, action.request)
-                    self._forget(action.request)
+                    self._check_final(now, action.request)
+                    self._drop_finished(action.request)
                 case _:
-                    self._auxiliary(action)
+                    self._check_auxiliary(action)
 
-    def _auxiliary(self, action: api.Action) -> None:
-        """Actions that neither send a request nor end it."""
+    def _check_auxiliary(self, action: api.Action) -> None:
+        """Checks an action that neither sends a request nor ends it."""
         match action:
             case api.Cancel():
-                require(self.settings.may_cancel, "cancel where it is not allowed")
-                known = self.requests.get(action.request)
-                require(known is None or action.attempt < len(known.attempts), "unknown attempt")
+                require(self.settings.may_cancel, "a cancellation that the settings do not allow")
+                record = self.requests.get(action.request)
+                require(
+                    record is None or action.attempt < len(record.attempts),
+                    "a cancellation of an unknown attempt",
+                )
             case api.SendHealthCheck():
-                require(self.settings.may_health_check, "a probe where it is not allowed")
+                require(self.settings.may_health_check, "a health check that the settings do not allow")
             case api.SendGossip():
-                require(self.settings.may_gossip, "a message where it is not allowed")
+                require(self.settings.may_gossip, "a gossip message that the settings do not allow")
             case api.SetTimer():
-                require(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer out of bounds")
+                require(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer with a delay out of bounds")
             case _:
                 pass
 
-    def _send(self, now: int, send: api.Send) -> None:
+    def _check_send(self, now: int, send: api.Send) -> None:
         record = self.requests.get(send.request)
         require(record is not None, "rule 1: a send for a request that has ended")
         assert record
         require(not record.answered, "rule 1: a send for a request that has ended")
-        require(send.endpoint in self._last_listings, "an endpoint no list has named")
+        require(send.endpoint in self._last_listings, "a send to an endpoint that was never listed")
         assert send.timeout_ns >= 0
         unavailable_since = self._unavailable_since.get(send.endpoint)
         grace = self.settings.drain_grace_ns
         require(
             unavailable_since is None or now <= unavailable_since + grace,
-            "rule 3: a send past the drain grace",
+            "rule 3: a send after the drain grace",
         )
         require(len(record.attempts) < self.settings.max_attempts, "more attempts than allowed")
         if not self.settings.may_hedge:
-            require(not any(attempt.open for attempt in record.attempts), "two attempts outstanding")
+            require(
+                not any(attempt.open for attempt in record.attempts),
+                "two open attempts of a request without hedging",
+            )
         self._check_effects(now, record, send.endpoint)
         self._check_order(now, send.request, record)
         record.attempts.append(AttemptRecord(send.endpoint, now))
 
     def _check_effects(self, now: int, record: RequestRecord, endpoint: int) -> None:
-        """Rule 2, of another attempt."""
-        risky = [attempt for attempt in record.attempts if not attempt.not_executed]
-        if not risky or record.request_class.idempotency is Idempotency.IDEMPOTENT:
+        """Checks rule 2 for another attempt."""
+        possibly_executed = [attempt for attempt in record.attempts if not attempt.not_executed]
+        if not possibly_executed or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
         require(
-            record.request_class.idempotency is Idempotency.WITH_KEY, "rule 2: an unsafe request sent again"
+            record.request_class.idempotency is Idempotency.WITH_KEY,
+            "rule 2: a request that is not idempotent was sent again",
         )
         require(
-            now <= risky[0].sent_at + record.request_class.dedup_window_ns, "rule 2: past the dedup window"
+            now <= possibly_executed[0].sent_at + record.request_class.dedup_window_ns,
+            "rule 2: a repeat after the deduplication window",
         )
         here = self._last_listings[endpoint]
-        first = self._last_listings[risky[0].endpoint]
+        first = self._last_listings[possibly_executed[0].endpoint]
         if record.request_class.dedup_scope is DedupScope.ZONE:
-            require(here.zone == first.zone, "rule 2: outside the zone that drops repeats")
+            require(here.zone == first.zone, "rule 2: a repeat outside the deduplication zone")
         elif record.request_class.dedup_scope is DedupScope.CELL:
-            require(here.cell == first.cell, "rule 2: outside the cell that drops repeats")
+            require(here.cell == first.cell, "rule 2: a repeat outside the deduplication cell")
 
     def _check_order(self, now: int, request: int, record: RequestRecord) -> None:
         if not record.key:
             return
-        ordered = self._ordered[record.key]
+        ordered = self._requests_by_key[record.key]
         for earlier in ordered[: ordered.index(request)]:
-            require(self.requests[earlier].is_over(), "order: an earlier request of the key is not over")
-            require(now >= self.requests[earlier].key_settles_at, "order: the key's rest was cut short")
+            require(self.requests[earlier].is_over(), "order: an earlier request of the key is open")
+            require(
+                now >= self.requests[earlier].key_settles_at, "order: sent before the key's settle time ended"
+            )
 
-    def _rejection(self, record: RequestRecord) -> None:
-        """Rule 2: a rejection says that a retry is harmless."""
+    def _check_rejection(self, record: RequestRecord) -> None:
+        """Checks rule 2 for a rejection: it means that a retry is harmless."""
         not_executed = all(attempt.not_executed for attempt in record.attempts)
         if not_executed or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
         is_keyed = record.request_class.idempotency is Idempotency.WITH_KEY
-        by_key_all = is_keyed and record.request_class.dedup_scope is DedupScope.ALL
-        require(by_key_all, "rule 2: a refusal of what may have run")
+        deduplicated_everywhere = is_keyed and record.request_class.dedup_scope is DedupScope.ALL
+        require(deduplicated_everywhere, "rule 2: a rejection of a request that may have been executed")
 
-    def _final(self, now: int, request: int) -> RequestRecord:
-        """Rule 1, of a final response."""
+    def _check_final(self, now: int, request: int) -> RequestRecord:
+        """Checks rule 1 for a final response."""
         record = self.requests.get(request)
-        require(record is not None, "rule 1: a second final answer")
+        require(record is not None, "rule 1: a second final response")
         assert record
-        require(not record.answered, "rule 1: a second final answer")
-        require(now <= record.deadline + self.settings.answer_slack_ns, "rule 1: a late final answer")
+        require(not record.answered, "rule 1: a second final response")
+        require(
+            now <= record.deadline + self.settings.answer_slack_ns,
+            "rule 1: a final response after the deadline",
+        )
         record.answered = True
         return record
 
     def check_all_answered(self, now: int) -> None:
-        """Raises RuleError if a request whose time is over has no final response (rule 1)."""
+        """Raises RuleError if a request past its deadline has no final response (rule 1)."""
         for request, record in self.requests.items():
             late = now > record.deadline + self.settings.answer_slack_ns
-            require(record.answered or not late, f"rule 1: request {request} was never answered")
+            require(record.answered or not late, f"rule 1: request {request} got no final response")
--- a/anisespool/lab/model/clock.py
+++ b/anisespool/lab/model/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: an event heap. Events of one moment happen in the order in which they were scheduled."""
+"""Virtual time: a heap of events. Events at the same moment happen in the order of their scheduling."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from itertools import count
 from typing import Any
 
-MAX_EVENTS = 20_000_000  # scheduled at one time: a scenario that exceeds this has no bound of its own
+MAX_EVENTS = 20_000_000  # pending at one time: a scenario that exceeds this does not bound its own work
 
 
 class ClockError(RuntimeError):
-    """More events are scheduled than a run that ends can need."""
+    """More events are pending than any run that ends can need."""
 
 
 class Clock:
     """A virtual clock that calls functions at their time.
 
     Attributes:
-        now: The present moment, ns.
-        handled: Events so far.
+        now: The current time, ns.
+        events_handled: Number of events handled so far.
     """
 
     __slots__ = ("_heap", "_order", "events_handled", "now")
@@ -30,30 +30,30 @@
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = count()
 
-    def at(self, when: int, what: Callable[..., None], *words: Any) -> None:
-        """Schedules `what(*words)` for a moment; after the current event, if that has passed."""
-        heappush(self._heap, (when if when > self.now else self.now, next(self._order), what, words))
+    def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules `callback(*arguments)` for `when`, ns, or for now if that has passed."""
+        heappush(self._heap, (when if when > self.now else self.now, next(self._order), callback, arguments))
 
-    def after(self, delay: int, what: Callable[..., None], *words: Any) -> None:
-        """Schedules `what(*words)` after a delay, ns."""
-        heappush(self._heap, (self.now + delay, next(self._order), what, words))
+    def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedules `callback(*arguments)` after `delay` ns."""
+        heappush(self._heap, (self.now + delay, next(self._order), callback, arguments))
 
     def run(self, until: int) -> None:
-        """Plays all events up to and including that moment.
+        """Handles all events up to and including `until`.
 
         Raises:
-            ClockError: Over MAX_EVENTS are scheduled.
+            ClockError: More than MAX_EVENTS are pending.
         """
         heap = self._heap
         while heap and heap[0][0] <= until:
-            self.now, _, what, words = heappop(heap)
+            self.now, _, callback, arguments = heappop(heap)
             self.events_handled += 1
-            what(*words)
+            callback(*arguments)
             if len(heap) > MAX_EVENTS:
-                raise ClockError(f"over {MAX_EVENTS} events wait")
+                raise ClockError(f"more than {MAX_EVENTS} events are pending")
         self.now = max(self.now, until)
 
     @property
     def events_pending(self) -> int:
-        """Events still scheduled."""
+        """Number of pending events."""
         return len(self._heap)
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -1,4 +1,4 @@
-"""A simulated endpoint: cores, a queue, a warm-up in which it can be overloaded, and what is wrong with it.
+"""A simulated endpoint: cores, a queue, faults, and a warm-up in which it can be overloaded.
 
 A request's service time is fixed when its execution begins, by the endpoint's speed at that moment.
 """
@@ -13,21 +13,21 @@
 from anisespool.lab.model.metrics import ClientRequest
 from anisespool.lab.scenario import MS, SECOND, Endpoints, Rules
 
-OVERLOAD_SLACK = 1.1  # the platform's limit has "a little slack for chance"
+OVERLOAD_SLACK = 1.1  # tolerance of the platform's limit, which allows for random variation
 
 
 @dataclass(slots=True)
 class Job:
-    """An attempt, from its send until its module has been notified of its outcome.
+    """An attempt, from the moment it is sent until its outcome is reported to the decision module.
 
     Attributes:
-        number: Of the request's attempts, from 0.
-        incarnation: Which process of the endpoint it was sent to.
-        over: Its module has been notified of its outcome.
-        connected: Its request has left on a connection.
-        fresh: It opened a connection of its own.
-        stopped: It was cancelled at the endpoint, or has been executed.
-        held_until: A link delays it until then, ns.
+        attempt: Index of the attempt among those of its request, from 0.
+        incarnation: Incarnation of the endpoint's process to which it was sent.
+        ended: The decision module has been notified of the outcome.
+        connected: The request has been sent on a connection.
+        fresh: A new connection was opened for it.
+        stopped: The endpoint has executed or cancelled it.
+        delayed_until: Time until which a link delays it, ns.
     """
 
     sidecar: int
@@ -43,22 +43,22 @@
     fresh: bool = False
     running: bool = False
     stopped: bool = False
-    held_until: int = 0
+    delayed_until: int = 0
 
 
 @dataclass
 class EndpointFaults:
-    """What is wrong with an endpoint now.
+    """The faults of an endpoint now.
 
     Attributes:
-        slowdown: Multiplies service times.
+        slowdown: Factor of service times.
         failure_rate: Share of requests that fail.
-        stolen_cpu: Share of its machine that a neighbour takes.
-        paused_until: It sends no response before then, ns.
-        loses: Share of its responses that are lost.
-        delay: Multiplies the time of messages to and from it.
-        dead: It refuses connections.
-        vanished: Its machine sends nothing, and nothing reaches it.
+        stolen_cpu: Share of the machine's CPU that a neighbour uses.
+        paused_until: Time before which no response is sent, ns.
+        response_loss: Share of responses that are lost.
+        delay_factor: Factor of the network delay to and from the endpoint.
+        dead: The process does not run, and connections are refused.
+        vanished: The machine sends nothing, and nothing reaches it.
     """
 
     slowdown: float = 1.0
@@ -72,28 +72,33 @@
 
 
 class WarmupArrival(NamedTuple):
-    """Work that arrived while the endpoint was warming up."""
+    """Work that arrived while the endpoint was warming up.
 
-    at: int  # ns
+    Attributes:
+        at: Time of arrival, ns.
+        notified: The sidecar that sent it had been notified of the endpoint's start.
+    """
+
+    at: int
     work_ns: int
-    notified: bool  # its sidecar knew that the endpoint had started
+    notified: bool
 
 
 @dataclass
 class Endpoint:
-    """One endpoint, of one group of the scenario.
+    """An endpoint of one of the scenario's groups.
 
     Attributes:
-        id: From 1.
-        kind: Index of its group.
-        speed: Work done per second of each core.
-        started: When its process started, ns; 0: long ago.
-        listed: Its state in the registry.
-        overloaded: It was sent too much while it was warming up, and stays down.
-        busy: Cores in use.
-        faults: What is wrong with it.
-        busy_ns: Core time spent so far.
-        incarnation: Counts its restarts: which process it is.
+        id: Number of the endpoint, from 1.
+        group: Index of its group in the scenario.
+        speed: Work that each core does per second.
+        started_at: When the process started, ns; 0: long ago.
+        list_state: State in the registry's endpoint list.
+        overloaded: It received too much work while it was warming up, and does not recover.
+        busy_cores: Number of cores in use.
+        faults: The faults in effect.
+        busy_ns: Core time spent on requests so far.
+        incarnation: Number of restarts, which identifies the process.
     """
 
     id: int
@@ -115,7 +120,7 @@
     _warmup_arrivals: deque[WarmupArrival] = field(default_factory=deque)
 
     def capacity_share(self, now: int) -> float:
-        """Share of its capacity that it has: `start_capacity` at its start, rising evenly to 1."""
+        """Share of the full capacity: `start_capacity` at the start, rising linearly to 1."""
         if not self.started_at:
             return 1.0
         initial = self.rules.start_capacity
@@ -123,23 +128,23 @@
         return min(1.0, initial + (1 - initial) * (now - self.started_at) / warmup_ns)
 
     def core_speed(self, now: int) -> float:
-        """Work done per second of one core now."""
+        """Work that one core does per second now."""
         return self.speed * self.capacity_share(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
 
     def check_overload(self, now: int, work_ns: int, notified: bool) -> bool:
-        """Rule 4: counts work that has arrived, and overloads an endpoint that is still warming up by it.
+        """Counts arrived work, and overloads the endpoint if it is warming up and gets too much (rule 4).
 
-        The work that arrives within `fall_ms` must stay below `fall_multiple` of what the endpoint can do
-        then. The request with the most work is not counted: nobody can know its work before its execution,
-        and it alone may exceed the limit.
+        The work that arrives within `fall_ms` has to stay below `fall_multiple` times what the endpoint can
+        do in that time. The request with the most work is not counted: its work is unknown before its
+        execution, and it alone may exceed the limit.
 
         Args:
-            now: Present moment, ns.
-            work_ns: What has arrived.
-            notified: Whether the sidecar that sent it knows of the endpoint's start.
+            now: The current time, ns.
+            work_ns: Work of the request that has arrived.
+            notified: Whether the sidecar that sent it has been notified of the endpoint's start.
 
         Returns:
-            True if the rule was broken: two thirds came from sidecars that knew of the start.
+            True if the rule was broken: sidecars notified of the start sent at least two thirds of the work.
         """
         if not self.started_at or self.overloaded or self.capacity_share(now) >= 1:
             return False
@@ -155,14 +160,14 @@
         return self.overloaded and 3 * sum(a.work_ns for a in arrivals if a.notified) >= 2 * total
 
     def enqueue(self, job: Job) -> AttemptStatus | None:
-        """Accepts a request; returns FULL if the queue has no room for it."""
+        """Adds a request to the queue, or returns FULL if the queue is at its limit."""
         if len(self.waiting) >= self.spec.waiting and self.busy_cores >= self.spec.cores:
             return AttemptStatus.FULL
         self.waiting.append(job)
         return None
 
     def start_next(self) -> Job | None:
-        """Takes the next request from the queue, if a core is free. Cancelled ones are dropped."""
+        """Takes the next request from the queue, if a core is free. Cancelled requests are dropped."""
         while self.waiting and self.busy_cores < self.spec.cores and not self.overloaded:
             job = self.waiting.popleft()
             if not job.stopped:
@@ -172,7 +177,7 @@
         return None
 
     def load_report(self, now: int, columns: tuple[str, ...], valid_until: int) -> tuple[float, ...]:
-        """The load report that goes with a response; measured anew when the last has grown old."""
+        """The load report that a response carries. It is renewed when the last one has expired."""
         if now >= self._load_report_until:
             queued = len(self.waiting)
             loads = {"queue": float(queued), "inflight": float(queued + self.busy_cores)}
@@ -181,7 +186,7 @@
         return self._load_report
 
     def restart(self, now: int) -> None:
-        """Starts another process in its place, which has to warm up. Requests of the old one are lost."""
+        """Replaces the process by a new one, which has to warm up. Requests of the old one are lost."""
         self.waiting.clear()
         self._warmup_arrivals.clear()
         self.busy_cores = 0
--- a/anisespool/lab/model/endpoint_list.py
+++ b/anisespool/lab/model/endpoint_list.py
@@ -10,18 +10,18 @@
 from anisespool.lab.model.simulated_run import SimulatedRun
 from anisespool.lab.model.watch_delay import ListChange, listed_endpoints
 
-UPDATE_BYTES = 200  # size of an update on a link of bounded rate
+UPDATE_BYTES = 200  # size of an update on a link with a limited rate
 
 
 class EndpointListPublisher:
-    """The registry, and a watch of it for each sidecar."""
+    """The registry, and the watch of each sidecar on it."""
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
         self._scenario = run.scenario
         self._clock = run.clock
         self._watch_delay = run.watch_delay
-        self._last_arrival = [0] * run.scenario.sidecars  # of each watch, where links delay it
+        self._last_arrival = [0] * run.scenario.sidecars  # last arrival on each watch, with links' delays
 
     def _listing(self, endpoint: Endpoint) -> api.EndpointListing:
         nominal = self._scenario.membership.weights == "nominal"
@@ -40,7 +40,7 @@
         return tuple(map(self._listing, listed_endpoints(self._run.endpoints)))
 
     def initial(self, sidecar: Sidecar) -> api.EndpointListUpdate:
-        """The complete list that a new process starts from."""
+        """The complete list with which a new process starts."""
         revision = self._watch_delay.start_watch(sidecar.slot, self._clock.now)
         return api.EndpointListUpdate(revision, EndpointListKind.CACHED, self._listings())
 
@@ -55,17 +55,17 @@
             self._clock.at(arrives_at, self._receive, sidecar, sidecar.incarnation, event)
 
     def _arrives_at(self, change: ListChange, sidecar: Sidecar) -> int:
-        """Adds what links do to a watch, on which no change overtakes the one before."""
+        """Adds the delay by links. On a watch no change overtakes an earlier one."""
         links = self._run.links
-        late = links.stream_delay(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
-        cut_until = links.impairment_between(change.at, DISCOVERY, sidecar.node, "lists").until
-        arrives_at = change.at + late if isinstance(late, int) else cut_until
+        delay = links.stream_delay(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
+        cut_until = links.impairment_between(change.at, DISCOVERY, sidecar.node, "lists").cut_until
+        arrives_at = change.at + delay if isinstance(delay, int) else cut_until
         arrives_at = max(arrives_at, self._last_arrival[change.sidecar])
         self._last_arrival[change.sidecar] = arrives_at
         return arrives_at
 
     def publish_all(self, with_entries: bool) -> None:
-        """Sends every sidecar the complete list or, as a wiped registry does, an empty one."""
+        """Sends every sidecar the complete list, or an empty one as a wiped registry does."""
         listings = self._listings() if with_entries else ()
         event = api.EndpointListUpdate(self._watch_delay.complete_list(), EndpointListKind.FULL, listings)
         for slot in range(self._scenario.sidecars):
@@ -80,7 +80,7 @@
 
 
 def _drop_stale_connections(sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
-    """Connections to an endpoint's earlier process are gone."""
+    """Drops idle connections to endpoints that are not ready or have restarted: those processes are gone."""
     for listing in event.entries:
         if listing.state != EndpointState.READY or listing.started_ns:
             sidecar.idle_connections.pop(listing.endpoint, None)
--- a/anisespool/lab/model/faults.py
+++ b/anisespool/lab/model/faults.py
@@ -1,4 +1,4 @@
-"""Schedules the faults of a scenario: what goes wrong, when, where and for how long."""
+"""Schedules the faults of a scenario, and applies each at its start and its end."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import OF_A_ZONE, OF_ALL, OF_PROCESSES, SECOND, Fault, Kind, Scenario
 
-PROCESSES = ("sidecar", "sidecars", "roll", *OF_PROCESSES)
+PROCESS_FAULT_KINDS = ("sidecar", "sidecars", "roll", *OF_PROCESSES)
 MAX_STOLEN_CPU = 0.99
 
 
 class ProcessFault(NamedTuple):
-    """A fault of one sidecar's process.
+    """A fault of one sidecar's process. Times are ns of the scenario time.
 
     Attributes:
-        at: When it begins, ns of the scenario's own time.
-        number: The sidecar's.
-        over: When it ends, where it does.
+        begins_at: Start of the fault.
+        sidecar: Index of the sidecar.
+        ends_at: End of the fault; without meaning for a kind that happens at one moment.
+        fault: The scenario's fault from which this one derives.
     """
 
     begins_at: int
@@ -33,10 +34,10 @@
 
 
 class FaultTarget(Protocol):
-    """A run, simulated or with real processes, as faults see it.
+    """What faults act on: a run, simulated or with real processes.
 
     Attributes:
-        begin: When the scenario's own time starts, by the run's clock.
+        scenario_start: Start of the scenario time on the run's clock, ns.
     """
 
     scenario: Scenario
@@ -49,34 +50,34 @@
         """The run's clock."""
 
     def log(self, *words: object) -> None:
-        """Notes a fault in the run's history."""
+        """Adds a fault to the run's history."""
 
     def set_traffic_factor(self, factor: float) -> None:
-        """Multiplies the traffic."""
+        """Multiplies the traffic of all clients."""
 
     def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Multiplies one tenant's traffic."""
 
     def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
-        """Moves traffic to one zone's clients from the others'."""
+        """Multiplies the traffic of one zone's clients. Other zones get less: the total stays the same."""
 
     def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
-        """Isolates a zone; its sidecars get no endpoint updates before `until`."""
+        """Isolates a zone, or ends its isolation. Its sidecars get no endpoint updates before `until`."""
 
     def add_replacement(self, endpoint: Endpoint) -> Endpoint:
-        """Adds an endpoint that takes another's place, under another name, not yet listed."""
+        """Adds a new endpoint of the same group, which is not listed yet."""
 
     def make_unreachable(self, endpoint: Endpoint) -> None:
-        """Its machine sends nothing from now on, and no connection to it comes up."""
+        """Makes an endpoint's machine unreachable: it sends nothing, and attempts to connect hang."""
 
     def apply_process_fault(self, process_fault: ProcessFault) -> None:
-        """Applies a fault to a sidecar's process, if this run holds the processes."""
+        """Applies a fault to a sidecar's process, if this run controls the processes."""
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Resets its connections; if it is dead, it accepts no more."""
+        """Resets an endpoint's connections. A dead endpoint accepts no new ones."""
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Changes its state in the list, of which each sidecar is notified in its own time."""
+        """Changes an endpoint's state in the list. Each sidecar is notified after its own delay."""
 
     def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list, or an empty one."""
@@ -87,15 +88,15 @@
 
     Args:
         target: The run.
-        draws: Stream that chooses endpoints.
-        process_draws: Stream that chooses sidecars (see `process_faults`).
+        random: Stream for the choice of endpoints.
+        process_random: Stream for the choice of sidecars (see `process_faults`).
     """
     for process_fault in process_faults(target.scenario, process_random):
         target.clock.at(
             target.scenario_start + process_fault.begins_at, _apply_to_process, target, process_fault
         )
     for fault in target.scenario.faults:
-        if fault.kind in PROCESSES:
+        if fault.kind in PROCESS_FAULT_KINDS:
             continue
         begins_at = target.scenario_start + int(fault.at_s * SECOND)
         ends_at = begins_at + int(fault.for_s * SECOND)
@@ -104,38 +105,35 @@
             target.clock.at(ends_at, _apply_to_all, target, fault, False)
             continue
         endpoints = _choose_endpoints(target, fault, random)
-        for endpoint, late in zip(endpoints, _delays(fault, len(endpoints)), strict=True):
-            target.clock.at(begins_at + late, _apply_to_endpoint, target, fault, endpoint, True)
-            target.clock.at(ends_at + late, _apply_to_endpoint, target, fault, endpoint, False)
+        for endpoint, delay in zip(endpoints, _start_delays(fault, len(endpoints)), strict=True):
+            target.clock.at(begins_at + delay, _apply_to_endpoint, target, fault, endpoint, True)
+            target.clock.at(ends_at + delay, _apply_to_endpoint, target, fault, endpoint, False)
 
 
-def _delays(fault: Fault, count: int) -> list[int]:
-    """How much later than the first each of those chosen is hit, ns."""
+def _start_delays(fault: Fault, count: int) -> list[int]:
+    """Delay of each of `count` targets after the first one, ns: the fault spreads over `spread_s`."""
     return [int(fault.spread_s * SECOND * number / count) for number in range(count)]
 
 
-# Faults of sidecars' processes --------------------------------------------------------------------
-
-
 def process_faults(scenario: Scenario, random: RandomStream) -> list[ProcessFault]:
-    """Faults of sidecars' processes, in order.
+    """Faults of sidecars' processes in order of time.
 
-    They have a stream of their own, so that the simulation and whoever holds real processes agree on them.
+    They have a stream of their own, so that the simulation and runs with real processes draw the same ones.
     """
-    found = []
+    faults = []
     for fault in scenario.faults:
-        if fault.kind not in PROCESSES:
+        if fault.kind not in PROCESS_FAULT_KINDS:
             continue
-        numbers = _choose_sidecars(scenario, fault, random)
-        for number, late in zip(numbers, _delays(fault, len(numbers)), strict=True):
-            begins_at = int(fault.at_s * SECOND) + late
+        sidecars = _choose_sidecars(scenario, fault, random)
+        for sidecar, delay in zip(sidecars, _start_delays(fault, len(sidecars)), strict=True):
+            begins_at = int(fault.at_s * SECOND) + delay
             ends_at = begins_at + int(fault.for_s * SECOND)
-            found.append(ProcessFault(begins_at, fault.kind, number, ends_at, fault))
-    return sorted(found, key=lambda process_fault: (process_fault.begins_at, process_fault.sidecar))
+            faults.append(ProcessFault(begins_at, fault.kind, sidecar, ends_at, fault))
+    return sorted(faults, key=lambda process_fault: (process_fault.begins_at, process_fault.sidecar))
 
 
 def _choose_sidecars(scenario: Scenario, fault: Fault, random: RandomStream) -> list[int]:
-    """The sidecars named, all of a zone, or a share drawn at random; a rolling restart hits all."""
+    """The named sidecars, all of a zone, or a random share. A rolling restart affects all in random order."""
     if fault.kind == "sidecar":
         return [int(fault.part * (scenario.sidecars - 1))]
     if fault.sidecars:
@@ -151,9 +149,6 @@
     target.apply_process_fault(process_fault)
 
 
-# Faults of the whole run --------------------------------------------------------------------------
-
-
 def _apply_to_all(target: FaultTarget, fault: Fault, begins: bool) -> None:
     target.log("trouble", fault.kind, begins)
     factor = fault.size if begins else 1.0
@@ -166,7 +161,7 @@
     elif fault.kind == "tenant":
         target.set_tenant_traffic_factor(fault.tenant, factor)
     elif fault.kind == "quiet":
-        if begins:  # the silence ends by itself
+        if begins:  # `hold_back` has an end of its own
             target.watch_delay.hold_back(_ends_at(target, fault))
     elif fault.kind in OF_A_ZONE:
         _apply_to_zone(target, fault, begins)
@@ -184,11 +179,8 @@
     return target.clock.now + int(fault.for_s * SECOND)
 
 
-# Faults of single endpoints -----------------------------------------------------------------------
-
-
 def _choose_endpoints(target: FaultTarget, fault: Fault, random: RandomStream) -> list[Endpoint]:
-    """All of a zone, those named, or a share drawn at random."""
+    """All endpoints of a zone, the named ones, or a random share."""
     if fault.zone is not None:
         return [endpoint for endpoint in target.endpoints if endpoint.spec.zone == fault.zone]
     if fault.endpoints:
@@ -234,52 +226,52 @@
 
 
 def _replace(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """Another endpoint is listed; this one drains, and is gone after `for_s`."""
+    """A replacement is listed. The old endpoint drains, and its process ends after `for_s`."""
     if begins:
         target.publish(target.add_replacement(endpoint), EndpointState.READY)
         target.publish(endpoint, EndpointState.DRAINING)
     else:
-        _die(target, endpoint)
+        _stop_process(target, endpoint)
 
 
 def _kill(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """Its process dies, and another starts after `for_s`."""
+    """The process dies, and a new one starts after `for_s`."""
     if begins:
-        _die(target, endpoint)
+        _stop_process(target, endpoint)
     else:
-        _start_again(target, endpoint)
+        _start_process(target, endpoint)
 
 
 def _vanish(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """Its machine is silent; when it is back, all open connections are reset."""
+    """The machine is unreachable. When it is back after `for_s`, all open connections are reset."""
     if begins:
         endpoint.faults.vanished = True
         target.make_unreachable(endpoint)
     else:
         target.reset_connections(endpoint)
-        _start_again(target, endpoint)
+        _start_process(target, endpoint)
 
 
 def _restart(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """A planned restart: it drains for `for_s`, then another process takes its place."""
+    """A planned restart: the endpoint drains for `for_s`, then a new process replaces the old one."""
     if begins:
         target.publish(endpoint, EndpointState.DRAINING)
     else:
         target.reset_connections(endpoint)
-        _start_again(target, endpoint)
+        _start_process(target, endpoint)
 
 
 def _drain(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
     target.publish(endpoint, EndpointState.DRAINING if begins else EndpointState.READY)
 
 
-def _die(target: FaultTarget, endpoint: Endpoint) -> None:
+def _stop_process(target: FaultTarget, endpoint: Endpoint) -> None:
     endpoint.faults.dead = True
     target.reset_connections(endpoint)
     target.publish(endpoint, EndpointState.GONE)
 
 
-def _start_again(target: FaultTarget, endpoint: Endpoint) -> None:
+def _start_process(target: FaultTarget, endpoint: Endpoint) -> None:
     endpoint.restart(target.clock.now)
     target.publish(endpoint, EndpointState.READY)
 
--- a/anisespool/lab/model/gossip.py
+++ b/anisespool/lab/model/gossip.py
@@ -1,4 +1,4 @@
-"""Messages between simulated sidecars: datagrams that pass the scenario's links."""
+"""Gossip between simulated sidecars: datagrams that pass the scenario's links."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Gossip:
-    """Carries the modules' messages. A datagram takes a hop of the network, without its spread."""
+    """Carries the modules' messages. A datagram takes the network's one-way delay, without its spread."""
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
         self._clock = run.clock
 
     def send(self, sender: Sidecar, action: api.SendGossip) -> None:
-        """Sends a message to one peer, or (a negative peer) to all."""
+        """Sends a message to one peer, or to all if `peer` is negative."""
         slots = range(self._run.scenario.sidecars) if action.peer < 0 else (action.peer,)
         data = b"\0" * (HEADER_BYTES + OBSERVATION_BYTES * len(action.observations))
         message = api.GossipReceived(sender.slot, action.queueing_ratio, action.observations)
@@ -31,7 +31,7 @@
     def _transmit(self, sender: Sidecar, receiver: Sidecar, data: bytes, message: api.GossipReceived) -> None:
         hop = hop_ns(self._run.scenario, sender.zone == receiver.zone, 1.0, 1.0)
         for copy in self._run.links.send_datagram(self._clock.now, sender.node, receiver.node, data):
-            if copy.data == data:  # the checksum drops a corrupted one
+            if copy.data == data:  # the checksum drops corrupted copies
                 self._clock.at(copy.at + hop, self._receive, receiver, receiver.incarnation, message)
 
     def _receive(self, sidecar: Sidecar, incarnation: int, message: api.GossipReceived) -> None:
--- a/anisespool/lab/model/link_fault.py
+++ b/anisespool/lab/model/link_fault.py
@@ -1,4 +1,4 @@
-"""One fault of a link on a clock, and all that is wrong from one node to another at a moment."""
+"""The period of one faulty link, and the combined impairment from one node to another."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 @dataclass(slots=True)
 class LinkFault:
-    """A link of the scenario, on a clock.
+    """A faulty link of the scenario, and when it is in effect.
 
     Attributes:
-        begin: ns.
-        end: ns.
-        sides: The nodes that it is from, and to.
+        begin: Start of its period, ns.
+        end: End of its period, ns.
+        selectors: Selectors of the sending and the receiving nodes.
     """
 
     link: Link
     begin: int
     end: int
-    sides: tuple[NodeSelector, NodeSelector]
+    selectors: tuple[NodeSelector, NodeSelector]
 
     def is_on(self, now: int) -> bool:
-        """Whether it is on, flapping considered."""
+        """Whether the fault is in effect; one that flaps is off in the second half of each period."""
         if not self.begin <= now < self.end:
             return False
         flap_s = self.link.flap_s
         return not flap_s or (now - self.begin) % int(flap_s * SECOND) < flap_s * SECOND / 2
 
     def affects(self, src: Node, dst: Node) -> bool:
-        """Whether it concerns messages from one node to the other."""
-        first, second = self.sides
-        if first(src) and second(dst):
+        """Whether the fault affects messages from `src` to `dst`."""
+        from_side, to_side = self.selectors
+        if from_side(src) and to_side(dst):
             return True
-        return self.link.both and first(dst) and second(src)
+        return self.link.both and from_side(dst) and to_side(src)
 
     def next_off_at(self, now: int) -> int:
-        """The next moment at which it is off."""
+        """The next moment at which the fault is off, ns."""
         if not self.link.flap_s:
             return self.end
         period = int(self.link.flap_s * SECOND)
@@ -47,19 +47,19 @@
 
 
 class Impairment(NamedTuple):
-    """All that is wrong from one node to another at a moment, combined.
+    """The combined effect of all links from one node to another at one moment.
 
     Attributes:
-        cut: One of CUTS_BY_STRENGTH; empty: none.
-        loss: Share of messages.
-        burst: Messages lost in a row, in the mean.
-        delay: ns.
-        spread: Beside the delay, drawn evenly from none to this, ns.
-        duplicate: Share of datagrams.
-        reorder: Share of datagrams.
-        corrupt: Share of datagrams.
+        cut: One of CUTS_BY_STRENGTH; empty: no cut.
+        loss: Share of messages that are lost.
+        burst: Mean number of messages lost in a row.
+        delay: Delay of each message, ns.
+        spread: Upper bound of a further delay, drawn uniformly from 0, ns.
+        duplicate: Share of datagrams that are duplicated.
+        reorder: Share of datagrams that are reordered.
+        corrupt: Share of datagrams that are corrupted.
         rate: Bytes per second; 0: unlimited.
-        until: When the cut is off next, ns.
+        cut_until: When the cut ends or flaps off next, ns.
     """
 
     cut: str = ""
@@ -71,7 +71,7 @@
     reorder: float = 0.0
     corrupt: float = 0.0
     rate: float = 0.0
-    until: int = 0
+    cut_until: int = 0
 
 
 UNIMPAIRED = Impairment()
--- a/anisespool/lab/model/link_selector.py
+++ b/anisespool/lab/model/link_selector.py
@@ -1,9 +1,10 @@
-"""Selects the nodes on either side of a link: single processes, zones, halves, and their complements.
+"""Selectors of the nodes on either side of a link: single processes, zones, halves, and their complements.
 
     all  sidecars  endpoints  discovery  sidecar:3  sidecars:0-9  endpoint:4  endpoints:0-5  zone:1
-    half:0  (the sidecars and endpoints of even number; half:1, of odd)
+    half:0  (sidecars and endpoints with even numbers; half:1 selects those with odd numbers)
 
-Several joined with `+` select all of these; a `!` before one selects all others. Numbers count from 0.
+Several terms joined with `+` select the union. A `!` before a term selects all other nodes. Numbers count
+from 0.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
     """One end of a link.
 
     Attributes:
-        number: From 0.
-        zone: Discovery is in none (-1), as every sidecar has an agent of its own.
+        number: Index among the nodes of its kind, from 0.
+        zone: The node's zone. Discovery has none (-1), as every sidecar has an agent of its own.
     """
 
     kind: Literal["sidecar", "endpoint", "discovery"]
@@ -39,30 +40,30 @@
 
 
 def parse_selector(text: str) -> NodeSelector:
-    """Parses a selection.
+    """Parses a selector.
 
     Raises:
-        ValueError: It is none; the text says what was found and what was wanted.
+        ValueError: The text is no selector; the message names what was found and what was wanted.
     """
     if len(text) > MAX_CHARACTERS:
         raise ValueError(f"found {len(text)} characters, wanted at most {MAX_CHARACTERS}")
-    sides = [_parse_term(term.strip()) for term in text.split("+")]
-    return lambda node: any(side(node) for side in sides)
+    selectors = [_parse_term(term.strip()) for term in text.split("+")]
+    return lambda node: any(selector(node) for selector in selectors)
 
 
 def _parse_term(term: str) -> NodeSelector:
     if term.startswith("!"):
-        inner = _parse_term(term[1:])
-        return lambda node: not inner(node)
+        negated = _parse_term(term[1:])
+        return lambda node: not negated(node)
     if term == "all":
         return lambda node: True
     if term in GROUPS:
         kind = term.removesuffix("s")
         return lambda node: node.kind == kind
-    if found := NUMBERED.fullmatch(term):
-        return _numbered(found[1], int(found[2]))
-    if found := RANGE.fullmatch(term):
-        return _numbered_range(found[1].removesuffix("s"), int(found[2]), int(found[3]))
+    if match := NUMBERED.fullmatch(term):
+        return _numbered(match[1], int(match[2]))
+    if match := RANGE.fullmatch(term):
+        return _numbered_range(match[1].removesuffix("s"), int(match[2]), int(match[3]))
     raise ValueError(f"found {term!r}, wanted one of {WANTED}")
 
 
--- a/anisespool/lab/model/links.py
+++ b/anisespool/lab/model/links.py
@@ -1,9 +1,10 @@
-"""What happens to a message on its way between two processes, by the scenario's links: no I/O, no clock.
+"""The effect of a scenario's links on messages between two processes, without I/O and without a clock.
 
-Loss in bursts is Gilbert's two-state channel (E. N. Gilbert, "Capacity of a burst-noise channel", 1960): in
-the bad state every message is lost; the mean stay there is `burst` messages, and the share of the bad state
-is `loss`. On TCP a lost segment costs the wait until its retransmission, doubled each time (RFC 6298, 5.5),
-from Linux's minimum of 200 ms. The simulation and runs with real processes use the same code.
+Loss in bursts is Gilbert's two-state channel (E. N. Gilbert, "Capacity of a burst-noise channel", 1960). In
+the bad state every message is lost. The mean stay in that state is `burst` messages, and its share of all
+messages is `loss`. A lost TCP segment arrives after its retransmission time-out, which starts at Linux's
+minimum of 200 ms and doubles each time (RFC 6298, 5.5). The simulation and runs with real processes share
+this code.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 MIN_RTO_NS = 200 * MS
 MAX_DOUBLINGS = 6
-MAX_STREAM_LOSS = 0.99  # some retransmission arrives
-REORDER_NS = 30 * MS  # how long a reordered datagram is held back
-MAX_LINKS = 4000  # also with those added while a run goes on
-MAX_CHANNELS = 100_000  # ordered pairs whose state is stored; a further one starts anew each time
+MAX_STREAM_LOSS = 0.99  # below 1, so that a retransmission can arrive
+REORDER_NS = 30 * MS  # delay of a reordered datagram
+MAX_LINKS = 4000  # limit that includes links added during a run
+MAX_CHANNELS = 100_000  # ordered pairs of nodes whose state is stored; others start anew with each message
 CUTS_BY_STRENGTH = ("", "silent", "refused", "reset")  # kinds of cut, the strongest last
 
 
 class DatagramCopy(NamedTuple):
-    """One datagram as it arrives."""
+    """A copy of a datagram that arrives, at `at` ns."""
 
     at: int
     data: bytes
@@ -35,10 +36,14 @@
 
 @dataclass
 class LinkCounts:
-    """What became of datagrams, by this code's own count.
+    """Numbers of datagrams by their fate. The names are keys of `lab fleet --json`.
 
     Attributes:
-        overflowed: Dropped because a limited rate lets no more wait.
+        came: Datagrams sent.
+        cut: Datagrams dropped by a cut.
+        lost: Datagrams lost at random.
+        doubled: Datagrams duplicated.
+        overflowed: Datagrams dropped because the queue of a limited rate was full.
     """
 
     came: int = 0
@@ -52,19 +57,19 @@
 
 @dataclass
 class Links:
-    """Every link of a run.
+    """All faulty links of a run, and the state of the channels between nodes.
 
     Attributes:
-        begin: When the scenario's own time starts, ns of the clock in use.
+        scenario_start: Start of the scenario time on the clock in use, ns.
     """
 
     links: list[Link]
     random: RandomStream
-    begin: int = 0
+    scenario_start: int = 0
     counts: LinkCounts = field(default_factory=LinkCounts)
     _faults: list[LinkFault] = field(default_factory=list)
-    _bad_channels: dict[tuple[Node, Node], bool] = field(default_factory=dict)  # whether in the bad state
-    _free_at: dict[tuple[Node, Node], int] = field(default_factory=dict)  # of a limited rate
+    _bad_channels: dict[tuple[Node, Node], bool] = field(default_factory=dict)  # True: in the bad state
+    _free_at: dict[tuple[Node, Node], int] = field(default_factory=dict)  # when a limited rate is free, ns
     _matches: dict[tuple[Node, Node, str], tuple[LinkFault, ...]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -74,22 +79,22 @@
     def __bool__(self) -> bool:
         return bool(self._faults)
 
-    def set_scenario_start(self, begin: int) -> None:
-        """Moves all links to a scenario's own time that starts then."""
+    def set_scenario_start(self, start: int) -> None:
+        """Moves the periods of all links to a scenario time that starts at `start`, ns."""
         for fault in self._faults:
-            fault.begin += begin - self.begin
-            fault.end += begin - self.begin
-        self.begin = begin
+            fault.begin += start - self.scenario_start
+            fault.end += start - self.scenario_start
+        self.scenario_start = start
 
     def add(self, link: Link) -> LinkFault:
-        """Adds a link, whose `at_s` counts from `begin`.
+        """Adds a link. Its `at_s` counts from the start of the scenario time.
 
         Raises:
-            ValueError: A side selects no node, or there are MAX_LINKS already.
+            ValueError: A side is no selector, or there are MAX_LINKS links already.
         """
         if len(self._faults) >= MAX_LINKS:
             raise ValueError(f"links: found over {MAX_LINKS}, wanted at most that")
-        begin = self.begin + int(link.at_s * SECOND)
+        begin = self.scenario_start + int(link.at_s * SECOND)
         end = begin + int(link.for_s * SECOND)
         fault = LinkFault(link, begin, end, (parse_selector(link.from_), parse_selector(link.to)))
         self._faults.append(fault)
@@ -97,17 +102,15 @@
         return fault
 
     def channel_state_size(self) -> int:
-        """Returns the entries of the largest table of channels: `MAX_CHANNELS` at most."""
+        """Returns the number of entries in the largest table of channels, at most MAX_CHANNELS."""
         return max(len(self._bad_channels), len(self._free_at), len(self._matches))
 
     def faults(self) -> Iterator[LinkFault]:
-        """All links, in the order in which they were added."""
+        """All links in the order in which they were added."""
         yield from self._faults
 
-    # What is wrong on a way -----------------------------------------------------------------------
-
     def faults_between(self, src: Node, dst: Node, carries: str) -> tuple[LinkFault, ...]:
-        """Links that ever concern such messages from one node to the other."""
+        """Links that affect such messages from one node to the other at any time."""
         key = (src, dst, carries)
         found = self._matches.get(key)
         if found is None:
@@ -121,11 +124,11 @@
         return found
 
     def impairment_between(self, now: int, src: Node, dst: Node, carries: str) -> Impairment:
-        """What is wrong from one node to the other (not back), now."""
+        """The impairment from one node to the other now, in this direction only."""
         return combine(self.faults_between(src, dst, carries), now) if self._faults else UNIMPAIRED
 
     def cut_between(self, now: int, first: Node, second: Node, carries: str) -> str:
-        """The kind of cut, if there is one in either direction: no connection can be opened then."""
+        """The strongest cut in either direction, or "". During a cut no connection can be opened."""
         if not self._faults:
             return ""
         there = self.impairment_between(now, first, second, carries).cut
@@ -133,7 +136,7 @@
         return max(there, back, key=CUTS_BY_STRENGTH.index)
 
     def is_lost(self, src: Node, dst: Node, impairment: Impairment) -> bool:
-        """Draws whether the next message is lost, by its channel's state."""
+        """Draws whether the next message is lost, which depends on the state of its channel."""
         if not impairment.loss:
             return False
         if impairment.loss >= 1:
@@ -143,12 +146,12 @@
         return self._next_state(src, dst, impairment)
 
     def _next_state(self, src: Node, dst: Node, impairment: Impairment) -> bool:
-        """Moves Gilbert's channel on by a message; True if it is in the bad state then."""
+        """Advances Gilbert's channel by one message; returns True if it is then in the bad state."""
         leave = 1 / impairment.burst
         enter = min(1.0, leave * impairment.loss / (1 - impairment.loss))
         key = (src, dst)
         bad = self._bad_channels.get(key)
-        if bad is None:  # a new channel is in the bad state as often as it is in the mean
+        if bad is None:  # a new channel starts in the bad state with its long-term probability
             bad = self.random.uniform() < impairment.loss
         elif bad:
             bad = self.random.uniform() >= leave
@@ -158,10 +161,8 @@
             self._bad_channels[key] = bad
         return bad
 
-    # Messages -------------------------------------------------------------------------------------
-
     def send_datagram(self, now: int, src: Node, dst: Node, data: bytes) -> list[DatagramCopy]:
-        """Sends a datagram: the copies that arrive, none, one or two."""
+        """Sends a datagram; returns the copies that arrive: none, one or two."""
         self.counts.came += 1
         impairment = self.impairment_between(now, src, dst, "talk")
         if impairment is UNIMPAIRED:
@@ -179,7 +180,7 @@
         return self._deliver(passed_at, data, impairment)
 
     def _deliver(self, passed_at: int, data: bytes, impairment: Impairment) -> list[DatagramCopy]:
-        """Delays, reorders, corrupts and duplicates a datagram that arrives, in this order of draws."""
+        """Delays, reorders, corrupts and duplicates a datagram that arrives; the draws have this order."""
         at = passed_at + impairment.delay + int(self.random.uniform() * impairment.spread)
         if impairment.reorder and self.random.uniform() < impairment.reorder:
             self.counts.reordered += 1
@@ -195,7 +196,7 @@
         return copies
 
     def _corrupt(self, data: bytes) -> bytes:
-        """Flips a bit."""
+        """Flips one random bit."""
         if not data:
             return data
         index = self.random.below(len(data))
@@ -203,7 +204,7 @@
         return data[:index] + bytes([flipped]) + data[index + 1 :]
 
     def _pace(self, now: int, src: Node, dst: Node, size: int, impairment: Impairment) -> int | None:
-        """When a limited rate has passed a message on; None: a second's worth is waiting already."""
+        """When a limited rate has transmitted a message, ns; None if its queue takes over a second."""
         if not impairment.rate:
             return now
         key = (src, dst)
@@ -218,44 +219,44 @@
     def stream_delay(self, now: int, src: Node, dst: Node, size: int, carries: str) -> int | str:
         """Sends bytes on an open TCP connection.
 
-        A silent cut holds them until it is over: then they are sent again, after a wait that has grown with
-        the cut.
+        A silent cut holds them back until it ends. They are retransmitted some time later, as the
+        retransmission time-out has grown during the cut.
 
         Returns:
-            How much later they arrive, ns; or "reset", which ends the connection.
+            Delay of the bytes, ns, or "reset" if the connection is reset.
         """
         impairment = self.impairment_between(now, src, dst, carries)
         if impairment is UNIMPAIRED:
             return 0
         if impairment.cut in ("reset", "refused"):
             return "reset"
-        late = 0
+        delay = 0
         if impairment.cut:
-            waited = impairment.until - now
-            late = waited + int(self.random.uniform() * min(waited, MIN_RTO_NS << MAX_DOUBLINGS))
-        late += self._retransmissions(src, dst, impairment)
+            waited = impairment.cut_until - now
+            delay = waited + int(self.random.uniform() * min(waited, MIN_RTO_NS << MAX_DOUBLINGS))
+        delay += self._retransmissions(src, dst, impairment)
         passed_at = self._pace(now, src, dst, size, impairment)
-        late += SECOND if passed_at is None else passed_at - now
-        return late + impairment.delay + int(self.random.uniform() * impairment.spread)
+        delay += SECOND if passed_at is None else passed_at - now
+        return delay + impairment.delay + int(self.random.uniform() * impairment.spread)
 
     def _retransmissions(self, src: Node, dst: Node, impairment: Impairment) -> int:
-        """Draws how long lost segments hold up a stream, ns; a checksum drops a corrupted one."""
+        """Draws the delay by lost segments, ns. Corrupted segments are lost too, as a checksum drops them."""
         loss = min(MAX_STREAM_LOSS, impairment.loss + impairment.corrupt)
         segments = impairment._replace(loss=loss)
-        late = 0
+        delay = 0
         timeout = MIN_RTO_NS
         for _ in range(MAX_DOUBLINGS):
             if not self.is_lost(src, dst, segments):
                 break
-            late += timeout
+            delay += timeout
             timeout *= 2
-        return late
+        return delay
 
 
 def combine(faults: Iterable[LinkFault], now: int) -> Impairment:
-    """Combines the links that are on.
+    """Combines the links that are in effect at `now`.
 
-    Delays add up, the highest loss and the lowest rate hold, a cut is as long as the longest.
+    Delays add up, the highest loss and the lowest rate apply, and a cut lasts until the last one ends.
     """
     active = [fault for fault in faults if fault.is_on(now)]
     if not active:
@@ -274,12 +275,12 @@
         reorder=max(link.reorder for link in links),
         corrupt=max(link.corrupt for link in links),
         rate=min(rates, default=0.0),
-        until=max((fault.next_off_at(now) for fault in cuts), default=0),
+        cut_until=max((fault.next_off_at(now) for fault in cuts), default=0),
     )
 
 
 def for_each_switch(links: Links, call: Callable[[int, LinkFault, bool], None]) -> None:
-    """Calls `call(when, fault, begins)` for each moment at which a link is switched, by flapping too."""
+    """Calls `call(when, fault, begins)` for each moment at which a link starts, ends or flaps."""
     for fault in links.faults():
         period = int(fault.link.flap_s * SECOND) if fault.link.flap_s else fault.end - fault.begin
         for at in range(fault.begin, fault.end, max(period, MS)):
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -1,4 +1,4 @@
-"""What a run measures: outcomes by class, latencies, windows of a second; and counts that must balance."""
+"""Metrics of a run: outcomes by class, latencies, windows of one second, and checks of the counts."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from anisespool.lab.scenario import MS, SECOND, Scenario
 
 OUTCOMES = ("in_time", "late", "refused", "failed", "gone")
-LONGEST_US = 3_600_000_000  # what a latency histogram can hold
+LONGEST_US = 3_600_000_000  # highest latency that a histogram can hold
 
-# Weights of the net figure, as the site's operators weigh a day.
+# Weights of the net figure, which are those by which the site's operators rate a day.
 WEIGHT_SERVICE = 0.45
 WEIGHT_WORST_WINDOW = 0.15
 WEIGHT_WORST_CLASS = 0.3
@@ -21,21 +21,22 @@
 
 
 class VoidError(RuntimeError):
-    """The model's own counts don't balance: the run says nothing."""
+    """The model's own counts do not balance, so the run has no valid result."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One thing that a client wants, with all its attempts.
+    """A client's request with all its attempts to get it served.
 
     Attributes:
-        arrived_at: When it is due to be sent first, ns.
-        patience: Share of the deadline after which its client gives an attempt up.
-        honors_retry_after: Whether its client waits for a Retry-After.
-        weight: Of its class's priority weight: less beyond its tenant's quota.
-        executions: Begun at any endpoint.
-        last_rejection: When it was rejected last, and the Retry-After that it got, ns.
-        outcome: One of OUTCOMES, once it is known.
+        arrived_at: When the client sends it for the first time, ns.
+        patience: Share of the deadline after which the client gives up an attempt.
+        honors_retry_after: Whether the client waits for the time in a Retry-After.
+        weight: Factor of the class's priority weight; lower if the tenant was over its quota.
+        attempts_made: Number of times that the client has sent it.
+        executions: Number of executions begun at any endpoint.
+        last_rejection: Time of the last rejection and its Retry-After, ns.
+        outcome: One of OUTCOMES; empty until it is known.
     """
 
     number: int
@@ -55,7 +56,7 @@
 
     @property
     def last_retry_after(self) -> int:
-        """The Retry-After of its last rejection, ns; 0: none."""
+        """The Retry-After of the last rejection, ns; 0: none."""
         return self.last_rejection[1]
 
 
@@ -64,27 +65,27 @@
     """Counts of the client requests that arrived after the warm-up.
 
     Attributes:
-        begin: End of the warm-up, ns.
+        warmup_end: End of the warm-up, ns.
         requested: Client requests, by class.
-        ended: Client requests, by class and outcome.
-        windows: Client requests by class and outcome, by the second in which they arrived.
-        latency: Of served client requests, us, by class.
-        attempts: Sent by sidecars to endpoints.
+        ended: Client requests with an outcome, by class and outcome.
+        windows: Client requests by class and outcome, for each second of arrival.
+        latency: Latency histogram of served client requests for each class, us.
+        attempts: Attempts that sidecars sent to endpoints.
         crossings: Attempts from one zone to another.
         handshakes: Connections opened.
-        lines: Entries of endpoint lists that sidecars received.
-        tries: Requests that clients sent, during the warm-up too.
-        tries_measured: Of these, the ones after the warm-up that have ended.
-        tries_rejected: Of the measured ones, those rejected.
-        retry_after_outcomes: Next tries after a Retry-After: whether they were served, or rejected again.
-        weight_requested: Sum of the client requests' weights.
-        weight_in_time: Of these, weights of those served in time.
-        weight_late: Weights of those that were not, and ended after their latency objective.
-        by_tenant: Client requests within their tenant's quota, by tenant: whether served in time.
+        list_entries: Entries of endpoint lists that sidecars received.
+        tries: Requests that clients sent, including the warm-up.
+        tries_measured: Ended tries of client requests that arrived after the warm-up.
+        tries_rejected: Those of `tries_measured` that were rejected.
+        retry_after_outcomes: Retries after a Retry-After, by whether they were served (or rejected again).
+        weight_requested: Total weight of the client requests.
+        weight_in_time: Total weight of those served in time.
+        weight_late: Total weight of those not served in time that ended after their latency objective.
+        by_tenant: Client requests within the quota for each tenant, by whether they were served in time.
     """
 
     scenario: Scenario
-    begin: int
+    warmup_end: int
     requested: Counter[int] = field(default_factory=Counter)
     ended: Counter[tuple[int, str]] = field(default_factory=Counter)
     windows: dict[int, Counter[tuple[int, str]]] = field(default_factory=dict)
@@ -103,23 +104,21 @@
     by_tenant: dict[int, Counter[bool]] = field(default_factory=dict)
     _tries_ended: int = 0
     _open: int = 0
-    _open_over_time: int = 0  # integral of the open tries over time, ns
-    _time_in_system: int = 0  # sum over the tries that ended, ns
+    _open_over_time: int = 0  # integral over time of the number of open tries, ns
+    _time_in_system: int = 0  # sum of the durations of ended tries, ns
     _integrated_until: int = 0
 
     def __post_init__(self) -> None:
         self.latency = [HdrHistogram(1, LONGEST_US, 3) for _ in self.scenario.classes]
 
-    # Notes of a run -------------------------------------------------------------------------------
-
     def request_opened(self, now: int) -> None:
-        """Notes that a client sent a request."""
+        """Records that a client sent a request."""
         self._integrate(now)
         self._open += 1
         self.tries += 1
 
     def request_closed(self, now: int, opened_at: int) -> None:
-        """Notes that a request got its final response, or its client gave up."""
+        """Records that a request got its final response, or that its client gave up."""
         self._integrate(now)
         self._open -= 1
         self._tries_ended += 1
@@ -130,22 +129,22 @@
         self._integrated_until = now
 
     def record_client_request(self, client_request: ClientRequest) -> None:
-        """Notes a client request that is about to be sent first."""
-        if client_request.arrived_at >= self.begin:
+        """Records a client request before it is sent for the first time."""
+        if client_request.arrived_at >= self.warmup_end:
             self.requested[client_request.class_index] += 1
             self.weight_requested += self._weight(client_request)
 
     def _weight(self, client_request: ClientRequest) -> float:
         return self.scenario.classes[client_request.class_index].priority_weight * client_request.weight
 
-    def record_client_attempt(self, client_request: ClientRequest, refused: bool) -> None:
-        """Notes the end of one of its requests, by a rejection or otherwise."""
-        if client_request.arrived_at >= self.begin:
+    def record_client_attempt(self, client_request: ClientRequest, rejected: bool) -> None:
+        """Records the end of one try of a client request, by a rejection or otherwise."""
+        if client_request.arrived_at >= self.warmup_end:
             self.tries_measured += 1
-            self.tries_rejected += refused
+            self.tries_rejected += rejected
 
     def end(self, client_request: ClientRequest, now: int, outcome: str) -> None:
-        """Notes a client request's outcome, once; "served" becomes "in_time" or "late"."""
+        """Records the outcome of a client request, once. "served" becomes "in_time" or "late"."""
         if client_request.outcome:
             return
         latency = now - client_request.arrived_at
@@ -153,16 +152,16 @@
         if outcome == "served":
             outcome = "in_time" if in_target else "late"
         client_request.outcome = outcome
-        if client_request.arrived_at < self.begin:
+        if client_request.arrived_at < self.warmup_end:
             return
         self.ended[client_request.class_index, outcome] += 1
-        self._weigh(client_request, outcome, in_target)
-        window = self.windows.setdefault((client_request.arrived_at - self.begin) // SECOND, Counter())
+        self._count_weight(client_request, outcome, in_target)
+        window = self.windows.setdefault((client_request.arrived_at - self.warmup_end) // SECOND, Counter())
         window[client_request.class_index, outcome] += 1
         if outcome in ("in_time", "late"):
             self.latency[client_request.class_index].record_value(max(1, latency // 1000))
 
-    def _weigh(self, client_request: ClientRequest, outcome: str, in_target: bool) -> None:
+    def _count_weight(self, client_request: ClientRequest, outcome: str, in_target: bool) -> None:
         if outcome == "in_time":
             self.weight_in_time += self._weight(client_request)
         elif not in_target:
@@ -171,10 +170,10 @@
             self.by_tenant.setdefault(client_request.tenant, Counter())[outcome == "in_time"] += 1
 
     def check_balance(self, now: int) -> None:
-        """Checks conservation, and Little's law by two independent sums.
+        """Checks that what was sent has ended, and Little's law by two independent sums.
 
         Raises:
-            VoidError: They don't balance.
+            VoidError: The counts do not balance.
         """
         self._integrate(now)
         if self._open or self.tries != self._tries_ended:
@@ -186,14 +185,12 @@
         if requested != ended:
             raise VoidError(f"{requested} wishes came, {ended} ended")
 
-    # Figures --------------------------------------------------------------------------------------
-
     def service(self) -> float:
-        """Weight served in time over weight requested."""
+        """The share of the requested weight that was served in time."""
         return self.weight_in_time / self.weight_requested if self.weight_requested else 1.0
 
     def prices(self) -> dict[str, float]:
-        """What is taken off the service, by cause."""
+        """Costs that are subtracted from the service, by cause."""
         prices = self.scenario.prices
         requested = max(1, sum(self.requested.values()))
         return {
@@ -204,7 +201,7 @@
         }
 
     def by_second(self) -> list[tuple[float, float]]:
-        """Weight served in time and weight requested, of the client requests of each second."""
+        """Weight served in time and weight requested for each second, by arrival of the client requests."""
         weights = [request_class.priority_weight for request_class in self.scenario.classes]
         sums = []
         for second in range(max(self.windows, default=-1) + 1):
@@ -219,7 +216,7 @@
         return sums
 
     def worst_window(self, seconds: int = 10) -> float:
-        """The lowest service of any span of so many whole seconds; tenants' quotas don't count in it."""
+        """The lowest service in any `seconds` consecutive seconds, regardless of tenants' quotas."""
         sums = self.by_second()
         spans = [sums[n : n + seconds] for n in range(max(1, len(sums) - seconds + 1))]
         services = (
@@ -229,24 +226,24 @@
         return min(services, default=1.0)
 
     def worst_class(self) -> float:
-        """The lowest share served in time of any class."""
+        """The lowest share served in time among all classes."""
         shares = (self.ended[cls, "in_time"] / count for cls, count in self.requested.items() if count)
         return min(shares, default=1.0)
 
     def worst_tenant(self) -> float:
-        """The lowest share served in time of any tenant, within its quota."""
+        """The lowest share served in time among all tenants, for requests within quota."""
         shares = (counts[True] / sum(counts.values()) for counts in self.by_tenant.values())
         return min(shares, default=1.0)
 
     def net(self) -> float:
-        """Service as a whole, in its worst ten seconds, of the worst class and tenant, less the prices."""
-        weighed = (
+        """Weighted sum of total service, worst ten seconds, worst class and worst tenant, less the prices."""
+        weighted = (
             (WEIGHT_SERVICE, self.service()),
             (WEIGHT_WORST_WINDOW, self.worst_window()),
             (WEIGHT_WORST_CLASS, self.worst_class()),
             (WEIGHT_WORST_TENANT, self.worst_tenant()),
         )
-        return sum(weight * part for weight, part in weighed) - sum(self.prices().values())
+        return sum(weight * part for weight, part in weighted) - sum(self.prices().values())
 
     def share(self, outcome: str) -> float:
         """Share of the client requests with that outcome."""
@@ -256,7 +253,7 @@
         return sum(count for (_, found), count in self.ended.items() if found == outcome) / requested
 
     def quantile_ms(self, quantile: float) -> float:
-        """Latency at that quantile, over all classes."""
+        """Latency at a quantile over all classes, ms."""
         merged = HdrHistogram(1, LONGEST_US, 3)
         for histogram in self.latency:
             merged.add(histogram)
@@ -265,7 +262,7 @@
         return float(merged.get_value_at_percentile(100 * quantile)) / 1000
 
     def figures(self) -> dict[str, Any]:
-        """All figures by name, as results and `--json` output have them."""
+        """All figures by their names in results and in `--json` output."""
         requested = sum(self.requested.values())
         return {
             "service": self.service(),
--- a/anisespool/lab/model/policies.py
+++ b/anisespool/lab/model/policies.py
@@ -1,4 +1,4 @@
-"""Policies to compare with the real module: the same interface, simple, and without admission control."""
+"""Simple policies with the real module's interface and without admission control, for comparison with it."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 )
 from anisespool.lab.model.world import World, make_balancer
 
-EWMA_WEIGHT = 0.3  # of the latest latency
+EWMA_WEIGHT = 0.3  # weight of the latest latency
 
 
 class OpenRequest(NamedTuple):
-    """A request without its final response."""
+    """A request without its final response. The deadline is in ns."""
 
     event: api.RequestArrived
     attempts: int
-    deadline: int  # ns
+    deadline: int
 
 
 class SimplePolicy:
-    """Sends by `choose`, and retries where that is harmless.
+    """Sends each attempt to the endpoint that `choose` returns, and retries if that is harmless.
 
     Attributes:
-        ready: Endpoints in the list that are ready, in order.
-        in_flight: Open attempts, by endpoint.
+        ready: Ready endpoints of the list, sorted.
+        in_flight: Number of open attempts, by endpoint.
         open: Requests without a final response, by id.
-        latency_ewma: Of successful attempts, ns, by endpoint.
-        now: The present moment, ns.
+        latency_ewma: Smoothed latency of successful attempts, by endpoint, ns.
+        now: The current time, ns.
     """
 
     def __init__(self, settings: Settings, seed: int, world: World) -> None:
@@ -50,17 +50,17 @@
         self.now = 0
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         raise NotImplementedError
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Decides what to do after an event, as the real module does."""
+        """Returns the actions after an event, as the real module does."""
         self.now = now
         if isinstance(event, api.RequestArrived):
             self.open[event.request] = OpenRequest(event, 0, now + event.remaining_ns)
             return self._send(event.request)
         if isinstance(event, api.AttemptOutcome):
-            return self._ended(event)
+            return self._handle_outcome(event)
         if isinstance(event, api.EndpointListUpdate):
             self._update_endpoints(event)
         return []
@@ -75,68 +75,72 @@
         self.ready = sorted(ready)
 
     def _send(self, request: int) -> list[api.Action]:
-        known = self.open[request]
+        request_state = self.open[request]
         if not self.ready:
             del self.open[request]
             return [api.Reject(request)]
         endpoint = self.choose()
         self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
-        self.open[request] = known._replace(attempts=known.attempts + 1)
+        self.open[request] = request_state._replace(attempts=request_state.attempts + 1)
         return [api.Send(request, endpoint)]
 
-    def _ended(self, event: api.AttemptOutcome) -> list[api.Action]:
+    def _handle_outcome(self, event: api.AttemptOutcome) -> list[api.Action]:
         self.in_flight[event.endpoint] -= 1
         if event.status is AttemptStatus.OK:
-            before = self.latency_ewma.get(event.endpoint, float(event.latency_ns))
-            self.latency_ewma[event.endpoint] = before + EWMA_WEIGHT * (event.latency_ns - before)
-        known = self.open.get(event.request)
-        if event.finished or known is None:
+            previous = self.latency_ewma.get(event.endpoint, float(event.latency_ns))
+            self.latency_ewma[event.endpoint] = previous + EWMA_WEIGHT * (event.latency_ns - previous)
+        request_state = self.open.get(event.request)
+        if event.finished or request_state is None:
             self.open.pop(event.request, None)
             return []
-        request_class = self.settings.classes[known.event.class_index]
+        request_class = self.settings.classes[request_state.event.class_index]
         idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
         harmless = idempotent or event.status in NOT_EXECUTED
-        if harmless and known.attempts < self.settings.max_attempts and self.now < known.deadline:
+        if (
+            harmless
+            and request_state.attempts < self.settings.max_attempts
+            and self.now < request_state.deadline
+        ):
             return self._send(event.request)
         del self.open[event.request]
         return [api.Reject(event.request) if harmless else api.Fail(event.request)]
 
 
 class RandomPick(SimplePolicy):
-    """Any endpoint, at random."""
+    """Chooses a random endpoint."""
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         return self.random.choice(self.ready)
 
 
 class RoundRobin(SimplePolicy):
-    """One endpoint after the other."""
+    """Chooses the endpoints in turn."""
 
     turn = 0
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         self.turn += 1
         return self.ready[self.turn % len(self.ready)]
 
 
-class LeastOpen(SimplePolicy):
-    """The endpoint with the fewest open attempts of this sidecar."""
+class LeastOutstanding(SimplePolicy):
+    """Chooses the endpoint with the fewest open attempts of this sidecar."""
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         return min(
             self.ready,
             key=lambda endpoint: (self.in_flight.get(endpoint, 0), self.random.random()),
         )
 
 
-class TwoByEwma(SimplePolicy):
-    """Of two at random, the one with the lower mean latency times open attempts."""
+class TwoChoicesByEwma(SimplePolicy):
+    """Chooses the better of two random endpoints by mean latency times open attempts."""
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         pair = self.random.choice(self.ready), self.random.choice(self.ready)
         return min(pair, key=self._cost)
 
@@ -144,28 +148,31 @@
         return self.latency_ewma.get(endpoint, 0.0) * (self.in_flight.get(endpoint, 0) + 1)
 
 
-class TwoByQueue(SimplePolicy):
-    """Of two at random, the one with fewer requests. It sees the endpoints themselves: for theory alone."""
+class TwoChoicesByQueue(SimplePolicy):
+    """Chooses the one of two random endpoints with fewer requests, by counts that no real sidecar has.
+
+    It serves the comparison with queueing theory.
+    """
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
+        """Returns one of the ready endpoints."""
         pair = self.random.choice(self.ready), self.random.choice(self.ready)
         return min(pair, key=self._requests_at)
 
-    def _requests_at(self, number: int) -> int:
-        endpoint = self.world.endpoints[number - 1]
+    def _requests_at(self, endpoint_id: int) -> int:
+        endpoint = self.world.endpoints[endpoint_id - 1]
         return endpoint.busy_cores + len(endpoint.waiting)
 
 
-class SeesAll(SimplePolicy):
-    """Where the request would be finished first, by what no sidecar can see."""
+class EarliestFinish(SimplePolicy):
+    """Chooses the endpoint that would finish the request first, by state that no real sidecar has."""
 
     def choose(self) -> int:
-        """One of the ready endpoints."""
-        return min(self.ready, key=lambda number: (self._wait(number), number))
+        """Returns one of the ready endpoints."""
+        return min(self.ready, key=lambda endpoint_id: (self._finish_time(endpoint_id), endpoint_id))
 
-    def _wait(self, number: int) -> float:
-        endpoint = self.world.endpoints[number - 1]
+    def _finish_time(self, endpoint_id: int) -> float:
+        endpoint = self.world.endpoints[endpoint_id - 1]
         if endpoint.faults.dead or endpoint.faults.vanished:
             return float("inf")
         requests = endpoint.busy_cores + len(endpoint.waiting) + 1
@@ -176,8 +183,8 @@
     "ours": make_balancer,
     "random": RandomPick,
     "round-robin": RoundRobin,
-    "least-open": LeastOpen,
-    "two-ewma": TwoByEwma,
-    "two-queue": TwoByQueue,
-    "sees-all": SeesAll,
+    "least-open": LeastOutstanding,
+    "two-ewma": TwoChoicesByEwma,
+    "two-queue": TwoChoicesByQueue,
+    "sees-all": EarliestFinish,
 }
--- a/anisespool/lab/model/random_streams.py
+++ b/anisespool/lab/model/random_streams.py
@@ -1,8 +1,8 @@
-"""Random numbers: one independent stream for each thing modelled, all from one seed.
+"""Random numbers: an independent stream for each modelled process, all from one seed.
 
-A stream's draws depend on the seed and its name alone, never on the draws of other streams, so that two
-policies meet the same arrivals and faults (common random numbers). numpy's PCG64 and SeedSequence give the
-same bits on any machine.
+A stream's numbers depend only on the seed and the stream's name, never on draws from other streams. Two
+policies therefore get the same arrivals and faults (common random numbers). numpy's PCG64 and SeedSequence
+give the same bits on any machine.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-BLOCK = 512  # drawn at a time: a single draw through numpy costs twenty times as much
+BLOCK = 512  # numbers drawn at a time: drawing each through numpy alone costs twenty times as much
 
 
 class RandomStream:
@@ -24,7 +24,7 @@
         self._normal: list[float] = []
 
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
-        """A number between the two bounds."""
+        """A uniformly distributed number between the two bounds."""
         if not self._uniform:
             self._uniform = self._generator.random(BLOCK).tolist()
         return low + (high - low) * self._uniform.pop()
@@ -36,7 +36,7 @@
         return mean * self._exponential.pop()
 
     def normal(self) -> float:
-        """A number of the standard normal distribution."""
+        """A number with standard normal distribution."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BLOCK).tolist()
         return self._normal.pop()
@@ -46,10 +46,10 @@
         return min(bound - 1, int(self.uniform() * bound))
 
     def pick(self, cumulative: list[float]) -> int:
-        """An index into a list of cumulative shares, which ends at 1."""
+        """An index drawn by cumulative shares, which end at 1."""
         draw = self.uniform()
-        for index, edge in enumerate(cumulative):
-            if draw < edge:
+        for index, upper_bound in enumerate(cumulative):
+            if draw < upper_bound:
                 return index
         return len(cumulative) - 1
 
--- a/anisespool/lab/model/sidecar.py
+++ b/anisespool/lab/model/sidecar.py
@@ -18,16 +18,16 @@
         number: Index in `World.sidecars`.
         zone: Zone in which it runs.
         settings: Platform settings that its module starts with.
-        slot: Index of the application that it serves. After a rolling restart another process has the slot.
-        module: The decision module; anything with a `handle` method like the real one's.
-        checker: Follows the module's events and actions, and judges them by the four rules.
+        slot: Index of the application that it serves. A rolling restart gives the slot to a new process.
+        module: The decision module, real or substituted. It has a `handle` method like the real one's.
+        checker: Checks the module's actions against the four rules.
         idle_connections: Open connections without a request, by endpoint.
-        known_starts: Start time of each endpoint, ns, as this sidecar's endpoint list last had it.
-        incarnation: Counts the module's restarts: events meant for an earlier one are dropped.
-        frozen_until: Nothing that arrives before this moment is processed before it, ns.
+        known_starts: Start time of each endpoint in this sidecar's last endpoint list, ns.
+        incarnation: Number of the module's restarts. Events for an earlier incarnation are dropped.
+        frozen_until: Time before which the process handles no event, ns.
         down: Whether the process and its application are stopped.
-        disconnected: Requests whose clients hung up while the process was frozen.
-        node: Where links find it.
+        disconnected: Requests whose clients disconnected while the process was frozen.
+        node: The sidecar's node, by which links select it.
     """
 
     number: int
@@ -45,22 +45,22 @@
     node: Node = field(init=False)
 
     def __post_init__(self) -> None:
-        self.checker = Checker(self.settings, forgetful=True)
+        self.checker = Checker(self.settings, drops_finished=True)
         self.node = Node("sidecar", self.slot, self.zone)
 
     def restart(self, module: Any) -> None:
-        """Replaces the module by a new one, which has no connections."""
-        self.checker = Checker(self.settings, forgetful=True)
+        """Replaces the module by a new one, and drops all connections."""
+        self.checker = Checker(self.settings, drops_finished=True)
         self.module = module
         self.idle_connections = {}
         self.incarnation += 1
 
     def add_idle_connection(self, endpoint: int) -> None:
-        """Keeps a connection to that endpoint open for a later request."""
+        """Keeps an open connection to an endpoint for a later request."""
         self.idle_connections[endpoint] = self.idle_connections.get(endpoint, 0) + 1
 
     def take_idle_connection(self, endpoint: int) -> bool:
-        """Takes an open connection to that endpoint into use; False if there is none."""
+        """Takes an idle connection to an endpoint; returns False if there is none."""
         idle = self.idle_connections.get(endpoint, 0)
         if not idle:
             return False
--- a/anisespool/lab/model/sidecar_processes.py
+++ b/anisespool/lab/model/sidecar_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the simulated sidecars: start, rolling restart, crash, stop, freeze."""
+"""The processes of the simulated sidecars: starts, rolling restarts, crashes, stops and freezes."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class SidecarProcesses:
-    """All sidecars of a run, and which of them serves each slot.
+    """All sidecar processes of a run, and the one that serves each slot.
 
     Attributes:
-        sidecars: By number; those of earlier processes of a slot stay in it.
+        sidecars: All processes by number, including those that a rolling restart has replaced.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         self._serving = list(self.sidecars)
 
     def serving(self, slot: int) -> Sidecar:
-        """The process that serves a slot's clients now."""
+        """The process that currently serves a slot's clients."""
         return self._serving[slot]
 
     def start_all(self) -> None:
-        """Starts every sidecar, at the run's first moment."""
+        """Starts every sidecar at the run's first moment."""
         for sidecar in self.sidecars:
             self._start(sidecar)
 
@@ -57,11 +57,11 @@
         self._run.handle(sidecar, self._endpoint_list.initial(sidecar))
 
     def apply(self, process_fault: ProcessFault) -> None:
-        """What happens to a process. Faults of CPU, memory, descriptors and clock need real processes."""
+        """Applies a fault. Faults of CPU, memory, descriptors and clock have no effect in the simulation."""
         slot = process_fault.sidecar
         sidecar = self._serving[slot]
         if sidecar.down or sidecar.frozen_until > self._clock.now:
-            return  # hit before, and not back yet
+            return  # an earlier fault is still in effect
         until = self._run.scenario_start + process_fault.ends_at
         if process_fault.kind == "roll":
             self._roll(slot)
@@ -74,7 +74,7 @@
             self._start(sidecar)
 
     def _roll(self, slot: int) -> None:
-        """A planned restart: a new process takes the slot, the old one responds to what it has accepted."""
+        """Replaces a slot's process by a new one. The old one finishes the requests that it has accepted."""
         old = self._serving[slot]
         new = Sidecar(len(self.sidecars), old.zone, old.settings, slot)
         self.sidecars.append(new)
@@ -86,7 +86,7 @@
         self._clock.at(sidecar.frozen_until, self._thaw, sidecar, sidecar.incarnation)
 
     def _thaw(self, sidecar: Sidecar, incarnation: int) -> None:
-        """Clients that hung up are noticed before timers fire, as an event loop does it."""
+        """Reports disconnected clients after a freeze: before timers, in the order of an event loop."""
         disconnected = sidecar.disconnected
         sidecar.disconnected = []
         if sidecar.incarnation == incarnation:
@@ -97,13 +97,13 @@
         self._kill(sidecar)
         sidecar.down = True
         sidecar.incarnation += 1
-        self._clock.at(until, self._start_again, sidecar)
+        self._clock.at(until, self._start_stopped, sidecar)
 
-    def _start_again(self, sidecar: Sidecar) -> None:
+    def _start_stopped(self, sidecar: Sidecar) -> None:
         sidecar.down = False
         self._start(sidecar)
 
     def _kill(self, sidecar: Sidecar) -> None:
-        """Clients have to retry what the process had accepted."""
+        """Drops a process's attempts and requests: their clients have to retry."""
         self._attempts.drop_all(sidecar)
         self._clients.close_all(sidecar)
--- a/anisespool/lab/model/simulated_run.py
+++ b/anisespool/lab/model/simulated_run.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated run need of the run that they belong to (world.py)."""
+"""The interface of a simulated run (world.py) for its own parts."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class SimulatedRun(Protocol):
-    """One run of a scenario, as its clients, attempts, lists and processes use it.
+    """One run of a scenario, as its clients, attempts, endpoint lists and processes use it.
 
     Attributes:
-        begin: When the scenario's own time starts, after the warm-up, ns.
-        sidecars: By number; those of earlier processes of a slot stay in it.
+        scenario_start: Start of the scenario time, after the warm-up, ns.
+        sidecars: All processes by number, including those that a rolling restart has replaced.
     """
 
     scenario: Scenario
@@ -32,16 +32,16 @@
     sidecars: list[Sidecar]
 
     def serving(self, slot: int) -> Sidecar:
-        """Return the sidecar that serves a slot's clients now."""
+        """Return the sidecar that currently serves a slot's clients."""
 
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
         """Pass an event to a sidecar's decision module and perform the actions that it returns."""
 
     def receive_request(self, job: Job) -> None:
-        """Let an attempt arrive at its endpoint."""
+        """Pass a request that has arrived to its endpoint."""
 
     def cancel_request(self, job: Job) -> None:
-        """Let an endpoint learn that an attempt was cancelled."""
+        """Close a job's connection, which may cancel its request at the endpoint."""
 
-    def log(self, *words: object) -> None:
+    def log(self, *values: object) -> None:
         """Add a line to the run's log."""
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -1,4 +1,4 @@
-"""Samples of a run over time: the endpoints' queues, simulated or real, and tables of what came out."""
+"""Samples of the endpoints' queues over a run, simulated or real, and tables of its results."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from anisespool.lab.scenario import SECOND, Scenario
 
 INTERVAL_NS = SECOND // 5
-MAX_SAMPLES = 5000  # a longer run is sampled less often
+MAX_SAMPLES = 5000  # longer runs are sampled less often
 SHOWN_OUTCOMES = ("in_time", "late", "refused", "failed")
 PERCENTILES = (50, 90, 99, 99.9)
 
 
 class TimelineSample(NamedTuple):
-    """The endpoints at one moment.
+    """The state of all endpoints at one moment.
 
     Attributes:
-        at_s: Of the scenario's own time.
-        running: Requests in execution, at all endpoints.
-        waiting: Requests in all queues.
-        longest: Requests in the longest queue.
+        at_s: Scenario time, s.
+        running: Number of requests in execution.
+        waiting: Number of requests in all queues.
+        longest: Number of requests in the longest queue.
     """
 
     at_s: float
@@ -33,12 +33,12 @@
 
 @dataclass
 class ScenarioRun:
-    """A run, as a report shows it.
+    """A run as a report shows it.
 
     Attributes:
-        samples: Samples in order.
-        utilization: Share of its cores' time that each endpoint spent on requests.
-        broken: The rule that was broken, if any.
+        samples: Samples in order of time.
+        utilization: Utilization of each endpoint's cores.
+        broken: Description of the first broken rule; empty: none.
     """
 
     name: str
@@ -50,45 +50,45 @@
 
 
 class TimelineSampler:
-    """Samples a run's endpoints.
+    """Samples a run's endpoints at regular intervals.
 
     Attributes:
-        samples: The samples so far.
+        samples: Samples taken so far.
     """
 
-    def __init__(self, backend: Backend, begin: int, end: int) -> None:
+    def __init__(self, backend: Backend, start: int, end: int) -> None:
         self.samples: list[TimelineSample] = []
         self._backend = backend
-        self._begin = begin
+        self._start = start
         self._end = end
-        self._interval = max(INTERVAL_NS, (end - begin) // MAX_SAMPLES)
-        backend.clock.at(begin, self._sample)
+        self._interval_ns = max(INTERVAL_NS, (end - start) // MAX_SAMPLES)
+        backend.clock.at(start, self._sample)
 
     def _sample(self) -> None:
         now = self._backend.clock.now
         endpoints = self._backend.endpoints
         queues = [len(endpoint.waiting) for endpoint in endpoints]
         running = sum(endpoint.busy_cores for endpoint in endpoints)
-        at_s = (now - self._begin) / SECOND
+        at_s = (now - self._start) / SECOND
         self.samples.append(TimelineSample(at_s, running, sum(queues), max(queues)))
-        if now + self._interval <= self._end:
-            self._backend.clock.after(self._interval, self._sample)
+        if now + self._interval_ns <= self._end:
+            self._backend.clock.after(self._interval_ns, self._sample)
 
 
 def utilization(backend: Backend) -> list[float]:
-    """Share of its cores' time that each endpoint spent on requests, from the run's first moment."""
+    """Share of the cores' time spent on requests, for each endpoint, over the run including its warm-up."""
     scenario = backend.scenario
     span = (scenario.warm_s + scenario.seconds) * SECOND
     return [endpoint.busy_ns / (endpoint.spec.cores * span) for endpoint in backend.endpoints]
 
 
 def class_rows(metrics: RunMetrics) -> list[dict[str, Any]]:
-    """A row for each class: shares of its client requests by outcome, and latencies in ms."""
+    """Table rows, one for each class: shares of its client requests by outcome, and latencies in ms."""
     return [
-        {"class": request_class.name, "asked": metrics.requested[number]}
-        | _shares(metrics, number)
-        | _latencies(metrics, number)
-        for number, request_class in enumerate(metrics.scenario.classes)
+        {"class": request_class.name, "asked": metrics.requested[index]}
+        | _shares(metrics, index)
+        | _latencies(metrics, index)
+        for index, request_class in enumerate(metrics.scenario.classes)
     ]
 
 
--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -1,4 +1,4 @@
-"""When each sidecar receives a change of the endpoint list: late, but on a watch in order."""
+"""When each sidecar receives a change of the endpoint list: after a delay, but in order on each watch."""
 
 from __future__ import annotations
 
@@ -12,63 +12,69 @@
 
 
 class ListChange(NamedTuple):
-    """A change of the list on its way to one sidecar."""
+    """A change of the list on its way to one sidecar.
 
-    sidecar: int  # its index
-    at: int  # when it arrives, ns
+    Attributes:
+        sidecar: Index of the sidecar.
+        at: Time of arrival, ns.
+        revision: Revision of the list after the change.
+    """
+
+    sidecar: int
+    at: int
     revision: int
 
 
 class WatchDelay:
-    """Delays and revisions of one registry's watches. Times are ns of the run's clock.
+    """Delays and revisions on the watches of one registry. Times are ns of the run's clock.
 
     Attributes:
-        lag: Multiplies the scenario's delays.
+        delay_factor: Factor of the scenario's delays.
     """
 
     def __init__(self, scenario: Scenario, random: RandomStream) -> None:
         self.delay_factor = 1.0
-        self._delay_s = scenario.membership.delay_s
+        self._delay_range_s = scenario.membership.delay_s
         self._random = random
         self._revision = 1
-        self._last_arrival = [0] * scenario.sidecars
-        self._silent_until = [0] * scenario.sidecars
-        self._received = [1] * scenario.sidecars  # the revision of each sidecar's list
+        self._last_arrivals = [0] * scenario.sidecars
+        self._blocked_until = [0] * scenario.sidecars
+        self._received_revisions = [1] * scenario.sidecars  # revision of each sidecar's list
 
-    def hold_back(self, until: int, numbers: Iterable[int] | None = None) -> None:
-        """Holds back all changes to these sidecars (None: to all) until a moment."""
-        for number in range(len(self._silent_until)) if numbers is None else numbers:
-            self._silent_until[number] = max(self._silent_until[number], until)
+    def hold_back(self, until: int, sidecars: Iterable[int] | None = None) -> None:
+        """Holds back all changes to these sidecars (None: all sidecars) until `until`."""
+        for sidecar in range(len(self._blocked_until)) if sidecars is None else sidecars:
+            self._blocked_until[sidecar] = max(self._blocked_until[sidecar], until)
 
     def next_change(self, now: int) -> Iterator[ListChange]:
-        """Makes the next revision, and says when each sidecar receives it."""
+        """Creates the next revision, and yields when each sidecar receives it."""
         self._revision += 1
-        for number, last_arrival in enumerate(self._last_arrival):
-            late = int(self._random.uniform(*self._delay_s) * self.delay_factor * SECOND)
-            arrival = max(last_arrival, now + late, self._silent_until[number])
-            self._last_arrival[number] = arrival
-            yield ListChange(number, arrival, self._revision)
+        for sidecar, last_arrival in enumerate(self._last_arrivals):
+            delay = int(self._random.uniform(*self._delay_range_s) * self.delay_factor * SECOND)
+            arrival = max(last_arrival, now + delay, self._blocked_until[sidecar])
+            self._last_arrivals[sidecar] = arrival
+            yield ListChange(sidecar, arrival, self._revision)
 
     def complete_list(self) -> int:
-        """Makes the revision of a complete list, which all sidecars receive at once."""
+        """Creates the revision of a complete list, which all sidecars receive immediately."""
         self._revision += 1
-        self._received = [self._revision] * len(self._received)
+        self._received_revisions = [self._revision] * len(self._received_revisions)
         return self._revision
 
-    def start_watch(self, number: int, now: int) -> int:
-        """The revision of the complete list from which a sidecar's new process starts."""
-        self._last_arrival[number] = now
-        self._received[number] = self._revision
+    def start_watch(self, sidecar: int, now: int) -> int:
+        """Starts the watch of a sidecar's new process; returns the revision of its complete list."""
+        self._last_arrivals[sidecar] = now
+        self._received_revisions[sidecar] = self._revision
         return self._revision
 
-    def accepts(self, number: int, revision: int) -> bool:
-        """Whether a change that arrives is new to the sidecar: a complete list contains those before it."""
-        if revision <= self._received[number]:
+    def accepts(self, sidecar: int, revision: int) -> bool:
+        """Whether an arriving change is new to the sidecar: a complete list contains all earlier changes."""
+        if revision <= self._received_revisions[sidecar]:
             return False
-        self._received[number] = revision
+        self._received_revisions[sidecar] = revision
         return True
 
 
 def listed_endpoints(endpoints: list[Endpoint]) -> list[Endpoint]:
-    """Endpoints that a complete list contains."""
+    """The endpoints that a complete list contains."""
     return [endpoint for endpoint in endpoints if endpoint.list_state is not EndpointState.GONE]
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -1,11 +1,11 @@
 """The simulated fleet: the loop of a run in virtual time, with the real decision module in each sidecar.
 
-What is modelled, and how coarsely, is in docs/lab.md. The parts of a run:
+docs/lab.md describes what is modelled, and how coarsely. The parts of a run:
 
-- `clients` sends requests and judges responses, `attempts` carries them to endpoints and back;
-- `Backend`, the base class, executes them at the endpoints;
-- `endpoint_list` notifies sidecars of endpoints, `gossip` carries the sidecars' own messages;
-- `processes` holds the sidecars and what happens to their processes.
+- `clients` sends requests and checks responses, `attempts` carries them to endpoints and back;
+- `Backend`, the base class, executes requests at the endpoints;
+- `endpoint_list` delivers endpoint lists to sidecars, `gossip` carries messages between sidecars;
+- `processes` holds the sidecars and applies faults to their processes.
 """
 
 from __future__ import annotations
@@ -37,23 +37,25 @@
 
 __all__ = ["VIRTUAL_START_NS", "ModuleFactory", "Sidecar", "World", "make_balancer"]
 
-VIRTUAL_START_NS = 100 * SECOND  # virtual time at the start: to the module, time 0 means "never"
-SETTLE_NS = 10 * SECOND  # after the last client request, beside its time-outs
+VIRTUAL_START_NS = 100 * SECOND  # virtual time at the start: not 0, which means "never" to the module
+SETTLE_NS = 10 * SECOND  # time after the last client request's time-outs until the run ends
 ModuleFactory = Callable[[Settings, int, "World"], Any]
 
 
 def make_balancer(settings: Settings, seed: int, world: World) -> Any:
-    """Makes the real decision module."""
+    """Creates the real decision module."""
     return Balancer(settings, seed)
 
 
 class World(Backend):
     """One run of a scenario.
 
+    It is also the `SimulatedRun` of its parts and the `FaultTarget` of the scenario's faults.
+
     Attributes:
-        begin: When the scenario's own time starts, after the warm-up, ns.
-        end: When it ends.
-        broken: The first rule that was broken, in a line; the run ends there.
+        scenario_start: Start of the scenario time, after the warm-up, ns.
+        scenario_end: End of the scenario time, ns.
+        broken: One-line description of the first broken rule, which ends the run; empty: none.
     """
 
     def __init__(
@@ -84,28 +86,26 @@
             scenario, self._streams.named("arrivals"), self.clock, span, self.on_client_request
         )
 
-    # The run --------------------------------------------------------------------------------------
-
     def run(self) -> RunMetrics:
-        """Plays the scenario until every request has its response, or until `broken` is set.
+        """Runs the scenario until every request has its response or a rule is broken.
 
         Raises:
-            VoidError: The model's own counts don't balance.
+            VoidError: The model's own counts do not balance.
         """
         try:
-            self._play()
+            self._run_to_end()
         except RuleError as error:
             self.broken = str(error)
         return self.metrics
 
-    def _play(self) -> None:
+    def _run_to_end(self) -> None:
         self.processes.start_all()
         schedule(self, self._streams.named("troubles"), self._streams.named("processes"))
         self.arrivals.start()
         self.clock.run(self.scenario_end)
         deadline_ms = max(request_class.deadline_ms for request_class in self.scenario.classes)
-        longest = deadline_ms * self.scenario.clients.max_attempts
-        self.clock.run(self.scenario_end + int(2 * longest * MS) + SETTLE_NS)
+        longest_ms = deadline_ms * self.scenario.clients.max_attempts
+        self.clock.run(self.scenario_end + int(2 * longest_ms * MS) + SETTLE_NS)
         for sidecar in self.sidecars:
             sidecar.checker.check_all_answered(self.clock.now)
         self.metrics.check_balance(self.clock.now)
@@ -115,37 +115,35 @@
         return self._module(sidecar.settings, seed, self)
 
     def on_client_request(self, client_request: ClientRequest) -> None:
-        """Lets a client send a request for the first time."""
+        """Handles the arrival of a client request: the client sends it for the first time."""
         self.clients.start(client_request)
 
     def serving(self, slot: int) -> Sidecar:
-        """The sidecar that serves a slot's clients now."""
+        """The sidecar that currently serves a slot's clients."""
         return self.processes.serving(slot)
 
-    def log(self, *words: object) -> None:
-        """Adds a line to the run's log, of which only the digest is kept."""
+    def log(self, *values: object) -> None:
+        """Adds a line to the run's log. Only a digest of the log is kept."""
         if self._log_digest:
-            self._log_digest.update(" ".join(map(str, (self.clock.now, *words, "\n"))).encode())
+            self._log_digest.update(" ".join(map(str, (self.clock.now, *values, "\n"))).encode())
 
     @property
     def digest(self) -> str:
-        """Digest of the log: equal for equal runs. Empty if the run was not logged."""
+        """Digest of the log, equal for equal runs; empty if the run was not logged."""
         return self._log_digest.hexdigest() if self._log_digest else ""
 
-    # Decision modules -----------------------------------------------------------------------------
-
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
-        """Passes an event to a sidecar's module and performs the actions that it returns."""
+        """Passes an event to a sidecar's module and performs the returned actions."""
         now = self.clock.now
         if isinstance(event, api.EndpointListUpdate):
-            self._note_list(sidecar, event)
+            self._record_list(sidecar, event)
         sidecar.checker.observe(now, event)
         actions = sidecar.module.handle(now, event)
         sidecar.checker.check(now, actions)
         for action in actions:
             self._perform(sidecar, action)
 
-    def _note_list(self, sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
+    def _record_list(self, sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
         sidecar.known_starts |= {listing.endpoint: listing.started_ns for listing in event.entries}
         if self.clock.now >= self.scenario_start:
             self.metrics.list_entries += len(event.entries)
@@ -168,10 +166,8 @@
         elif sidecar.incarnation == incarnation:
             self.handle(sidecar, api.TimerExpired(token))
 
-    # What the endpoints need (Backend) ------------------------------------------------------------
-
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
-        """Whether the sidecar that sent it knows of the endpoint's last start."""
+        """Whether the job's sidecar has been notified of the endpoint's last start."""
         return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started_at
 
     def send_response(
@@ -180,8 +176,6 @@
         """Sends an endpoint's response back."""
         self.attempts.send_response(endpoint, job, status, load)
 
-    # What faults do (FaultTarget) -----------------------------------------------------------------
-
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Changes an endpoint's state in the list."""
         self.endpoint_list.publish(endpoint, state)
@@ -195,10 +189,10 @@
         self.attempts.reset_connections(endpoint)
 
     def make_unreachable(self, endpoint: Endpoint) -> None:
-        """Nothing to do: `faults.vanished` already keeps its messages back."""
+        """Does nothing: `faults.vanished` already drops the endpoint's messages."""
 
     def set_traffic_factor(self, factor: float) -> None:
-        """Multiplies the traffic."""
+        """Multiplies the traffic of all clients."""
         self.arrivals.set_traffic_factor(factor)
 
     def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
@@ -206,17 +200,17 @@
         self.arrivals.set_tenant_traffic_factor(tenant, factor)
 
     def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
-        """Moves traffic to one zone's clients from the others'."""
+        """Multiplies the traffic of one zone's clients. Other zones get less: the total stays the same."""
         self.arrivals.set_zone_traffic_factor(zone, factor)
 
     def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
-        """Isolates a zone, whose sidecars get no endpoint updates meanwhile."""
+        """Isolates a zone, or ends its isolation. Its sidecars get no endpoint updates before `until`."""
         self.attempts.isolate_zone(zone, begins)
         if begins:
             self.watch_delay.hold_back(until, [s.slot for s in self.sidecars if s.zone == zone])
 
     def add_replacement(self, endpoint: Endpoint) -> Endpoint:
-        """Adds another machine of the same group, which has to warm up; the old one is about to leave."""
+        """Adds a new endpoint of the same group, which has to warm up and is not listed yet."""
         new = self.make_endpoint(
             len(self.endpoints) + 1, endpoint.group, endpoint.spec, self._endpoint_random
         )
--- a/anisespool/lab/scenario/__init__.py
+++ b/anisespool/lab/scenario/__init__.py
@@ -1,8 +1,7 @@
-"""Scenario files (TOML): a fleet, its traffic, its faults. Units are in the keys' names.
+"""Scenario files (TOML): a fleet, its traffic and its faults. The names of keys include their units.
 
-`load` reads a file or one of the library; `from_raw` checks a scenario that is already parsed;
-`settings` says
-what the platform would tell a sidecar of it.
+`load` reads a scenario from a file or the library, and `from_raw` checks one that is already parsed.
+`settings` returns the settings that the platform would give to a sidecar of the scenario.
 """
 
 from anisespool.lab.scenario.base import MS, SECOND, ScenarioError, Spec
--- a/anisespool/lab/scenario/base.py
+++ b/anisespool/lab/scenario/base.py
@@ -1,4 +1,4 @@
-"""What all tables of a scenario share: units, bounded numbers, strict reading, the error."""
+"""Definitions for all tables of a scenario: units, bounded numbers, strict parsing, and the error."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-MS = 1_000_000  # ns
-SECOND = 1_000_000_000  # ns
+MS = 1_000_000  # nanoseconds in a millisecond
+SECOND = 1_000_000_000  # nanoseconds in a second
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -20,8 +20,8 @@
 
 
 class ScenarioError(ValueError):
-    """One line that names the file, the key, what was found and what was wanted."""
+    """A scenario is wrong. The text, a line, names the file, the key, what was found and what was wanted."""
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of a scenario. A key that it does not know is an error."""
+    """A table of a scenario. Unknown keys are errors."""
--- a/anisespool/lab/scenario/faults.py
+++ b/anisespool/lab/scenario/faults.py
@@ -1,4 +1,4 @@
-"""Tables of what goes wrong: faults of endpoints, sidecars and the whole run, and faults of links."""
+"""Tables of faults: of endpoints, of sidecars, of the whole run, and of links."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
     "clock",
 ]
 
-# Kinds that hit single sidecars' processes.
+# Kinds that affect the processes of single sidecars.
 OF_PROCESSES = ("down", "freeze", "starve", "descriptors", "memory", "clock")
-# Kinds that hit no single endpoint.
+# Kinds that do not affect single endpoints.
 OF_ALL = (
     "traffic",
     "stale",
@@ -56,23 +56,28 @@
     "roll",
     *OF_PROCESSES,
 )
-OF_A_ZONE = ("cut", "shift")  # kinds that need a zone
-KINDS_SIZED_AS_SHARE = ("fail", "neighbour", "lossy")  # kinds whose size is a share
+OF_A_ZONE = ("cut", "shift")  # kinds that require a zone
+KINDS_SIZED_AS_SHARE = ("fail", "neighbour", "lossy")  # kinds whose `size` is a share up to 1
 
 
 class Fault(Spec, frozen=True, kw_only=True):
-    """Something that goes wrong at a moment, for a while, with some of the endpoints or sidecars.
+    """A fault that affects some endpoints, some sidecars or the whole run for a while.
 
     Attributes:
-        endpoints: By number from 0; if none is named, a `part` of them is drawn from the seed.
-        sidecars: The same, for faults of processes.
-        zone: Hits all of that zone in place of a part.
-        size: Of slow and delay a factor; of fail, neighbour and lossy a share; of traffic, shift and tenant
-            the factor of the rate (of all; of one zone, the others have less by as much; of one tenant); of
-            descriptors and memory how many, or how many MB, it may have beyond what it has then.
-        jump_s: Of clock: how far the wall clock jumps, either way.
-        tenant: Index of the tenant.
-        spread_s: Time over which they are hit one after another, not all at once.
+        kind: What goes wrong.
+        at_s: Start of the fault, in scenario time.
+        for_s: Duration of the fault.
+        endpoints: Affected endpoints by index; if empty, a random share (`part`) is drawn from the seed.
+        sidecars: Affected sidecars, likewise, for faults of processes.
+        part: Share of the endpoints or sidecars that is affected.
+        zone: Affected zone. All its endpoints or sidecars are affected, regardless of `part`.
+        size: Factor for slow and delay; share for fail, neighbour and lossy. Factor of the request rate for
+            traffic (of all clients), shift (of one zone, while the others get less) and tenant (of one
+            tenant). For descriptors and memory: how many, or how many MB, the process may use beyond what
+            it uses at that time.
+        jump_s: Step of the wall clock for the kind clock, forwards or backwards.
+        tenant: Index of the affected tenant.
+        spread_s: Time over which the targets are affected one after another; 0: all at once.
     """
 
     kind: Kind
@@ -89,17 +94,17 @@
 
 
 class Link(Spec, frozen=True, kw_only=True, rename={"from_": "from"}):
-    """What is wrong on the way from one side to the other, for a while (docs/fleetrig.md has the sides).
+    """A fault of the network from one side to the other, for a while (docs/fleetrig.md describes sides).
 
     Attributes:
-        both: Applies to the way back as well.
-        loss: Share of messages; on TCP each costs the wait until it is sent again.
-        burst: Messages lost in a row, in the mean.
-        spread_ms: Beside the delay, drawn evenly from none to this.
-        duplicate: Share of datagrams.
-        reorder: Share of datagrams that are held back past those that come next.
+        both: Whether the opposite direction is affected too.
+        loss: Share of messages that are lost; on TCP they are delayed until their retransmission.
+        burst: Mean number of messages lost in a row.
+        spread_ms: Upper bound of a further delay, drawn uniformly from 0.
+        duplicate: Share of datagrams that are duplicated.
+        reorder: Share of datagrams that are delayed, so that later ones overtake them.
         corrupt: Share of datagrams in which a bit is flipped.
-        flap_s: Period: on for half of it, off for the other half.
+        flap_s: Period of flapping: the fault is in effect for the first half of each period.
     """
 
     at_s: NotNegative
--- a/anisespool/lab/scenario/fleet.py
+++ b/anisespool/lab/scenario/fleet.py
@@ -1,4 +1,4 @@
-"""Tables of the fleet: endpoints, network, load reports, discovery, and the platform's rules."""
+"""Tables of the fleet: endpoints, network, load reports, discovery and the platform's rules."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """A group of equal endpoints.
 
     Attributes:
-        cores: Requests executed at a time.
-        speed: Work done in a second of each core.
-        speed_spread: Each endpoint draws its own speed, this far to either side.
-        waiting: Capacity of the queue; further requests are rejected without being executed.
-        connections: Open at a time; further ones are refused.
-        cancel: Which requests stop when an attempt is given up.
+        cores: Number of requests executed at a time.
+        speed: Work that each core does per second.
+        speed_spread: Largest relative deviation of an endpoint's speed, which is drawn for each endpoint.
+        waiting: Capacity of the queue. Further requests are rejected without being executed.
+        connections: Limit of open connections. Further ones are refused.
+        cancel: Requests that are cancelled when their attempt is given up.
     """
 
     count: Count = 1
@@ -35,13 +35,14 @@
 
 
 class Network(Spec, frozen=True, kw_only=True):
-    """One-way times between sidecars and endpoints, drawn for each message.
+    """One-way delays between sidecars and endpoints, drawn for each message.
 
     Attributes:
-        same_ms: Within a zone.
-        cross_ms: Between zones.
+        same_ms: Mean delay within a zone.
+        cross_ms: Mean delay between zones.
+        spread: Largest relative deviation from the mean.
         handshake_trips: Round trips until a connection is open.
-        handshake_work_ms: Work of the endpoint for each connection.
+        handshake_work_ms: Work of the endpoint for each new connection.
     """
 
     same_ms: NotNegative = 0.3
@@ -53,10 +54,10 @@
 
 
 class Reports(Spec, frozen=True, kw_only=True):
-    """Load reports that go with responses.
+    """Load reports that responses carry.
 
     Attributes:
-        every_ms: How old a report grows before the next is made, drawn from this range.
+        every_ms: Range from which the time until the next renewal of a report is drawn.
     """
 
     columns: Columns = msgspec.field(default_factory=lambda: ["queue", "inflight"])
@@ -67,8 +68,8 @@
     """Discovery: how endpoint lists reach sidecars.
 
     Attributes:
-        delay_s: From a change to a sidecar's list, drawn for each from this range.
-        weights: Cores times the group's speed, or all equal.
+        delay_s: Range from which the delay of a change is drawn for each sidecar.
+        weights: Listed weights: cores times the group's speed (nominal), or all equal (none).
     """
 
     delay_s: Range = (0.1, 0.2)
@@ -76,15 +77,15 @@
 
 
 class Rules(Spec, frozen=True, kw_only=True):
-    """What the platform guarantees and allows.
+    """Guarantees and limits of the platform.
 
     Attributes:
-        cold_s: Time in which an endpoint warms up.
+        cold_s: Duration of an endpoint's warm-up.
         start_capacity: Share of its capacity that an endpoint has at its start.
-        fall_multiple: It is overloaded by more than this multiple of its capacity.
-        fall_ms: Window in which that counts.
-        attempts: Of a request, at most.
-        longest_return_ms: The longest Retry-After; 0: none is sent.
+        fall_multiple: Multiple of its capacity beyond which an endpoint that warms up is overloaded.
+        fall_ms: Window over which the work for `fall_multiple` is counted.
+        attempts: Maximum number of attempts of a request.
+        longest_return_ms: Longest Retry-After; 0: none is sent.
     """
 
     drain_grace_ms: Positive = 250.0
--- a/anisespool/lab/scenario/loading.py
+++ b/anisespool/lab/scenario/loading.py
@@ -1,7 +1,8 @@
-"""Reads scenario files, lays included files under them, and encodes checked scenarios.
+"""Reads scenario files with the files that they include, and encodes checked scenarios.
 
-`include = ["a", "b"]` lays other files of the same folder under this one: tables are merged key by key, lists
-of `endpoints` and `classes` are replaced, `bursts`, `troubles`, `links` and `statements` are added up.
+`include = ["a", "b"]` merges other files of the same folder; the including file takes precedence. Tables are
+merged key by key, lists of `endpoints` and `classes` are replaced, and `bursts`, `troubles`, `links` and
+`statements` are concatenated.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 LIBRARY = Path(__file__).parent.parent / "scenarios"
 MAX_INCLUDES = 8
-ADDED_UP = ("bursts", "troubles", "links", "statements")
+CONCATENATED_LISTS = ("bursts", "troubles", "links", "statements")
 
 
 def load(name: str | Path) -> Scenario:
-    """Loads a file by its path, or one of the library by its name.
+    """Loads a scenario from a file by its path, or from the library by its name.
 
     Raises:
-        ScenarioError: It is not there, or wrong.
+        ScenarioError: The file does not exist, or the scenario is wrong.
     """
     path = Path(name)
     if not path.suffix:
@@ -42,30 +43,30 @@
     """Checks a parsed scenario.
 
     Raises:
-        ScenarioError: It is wrong; the text begins with `source`.
+        ScenarioError: The scenario is wrong. The text begins with `source`.
     """
     try:
         scenario = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        key = place.rstrip("`").lstrip(".") or "the file"
+        text, _, key_path = str(error).partition(" - at `$")
+        key = key_path.rstrip("`").lstrip(".") or "the file"
         raise ScenarioError(f"{source}: {key}: {text}") from None
     validate(scenario, source)
     return scenario
 
 
 def encode(scenario: Scenario) -> bytes:
-    """Canonical JSON, which `decode` reads."""
+    """Encodes a scenario as canonical JSON."""
     return msgspec.json.encode(scenario, order="sorted")
 
 
 def decode(data: bytes) -> Scenario:
-    """Reads what `encode` wrote."""
+    """Decodes a scenario that `encode` encoded."""
     return msgspec.json.decode(data, type=Scenario)
 
 
 def _read(path: Path, depth: int) -> dict[str, Any]:
-    """Parses a file and what it includes."""
+    """Parses a file and the files that it includes."""
     if depth > MAX_INCLUDES:
         raise ScenarioError(f"{path}: include: found more than {MAX_INCLUDES} deep, wanted less")
     try:
@@ -84,10 +85,10 @@
     return _merge(merged, raw)
 
 
-def _merge(under: dict[str, Any], over: dict[str, Any]) -> dict[str, Any]:
-    merged = dict(under)
-    for key, value in over.items():
-        if key in ADDED_UP and isinstance(value, list):
+def _merge(base: dict[str, Any], override: dict[str, Any]) -> dict[str, Any]:
+    merged = dict(base)
+    for key, value in override.items():
+        if key in CONCATENATED_LISTS and isinstance(value, list):
             merged[key] = [*merged.get(key, []), *value]
         elif isinstance(value, dict) and isinstance(merged.get(key), dict):
             merged[key] = merged[key] | value
--- a/anisespool/lab/scenario/platform_settings.py
+++ b/anisespool/lab/scenario/platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings for a scenario's sidecars, as the real platform would have them."""
+"""The platform's settings for the sidecars of a scenario, in the form of the real platform."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from anisespool.lab.scenario.schema import Scenario
 from anisespool.lab.scenario.traffic import Class
 
-ANSWER_SLACK_MS = 20
+RESPONSE_SLACK_MS = 20
 
 
 def settings(scenario: Scenario, index: int = 0, zone: int = 0) -> Settings:
-    """Settings of the sidecar with that index, in that zone."""
+    """Settings of the sidecar with index `index` in zone `zone`."""
     return Settings.from_dict(raw_settings(scenario, index, zone))
 
 
 def raw_settings(scenario: Scenario, index: int = 0, zone: int = 0) -> dict[str, Any]:
-    """The same in the platform's own form."""
+    """The settings of `settings` in the platform's own format."""
     return {
         "zone": zone,
         "fleet-size": scenario.sidecars,
@@ -60,7 +60,7 @@
 def _guarantees(scenario: Scenario) -> dict[str, Any]:
     rules = scenario.rules
     return {
-        "answer-slack-ns": ANSWER_SLACK_MS * MS,
+        "answer-slack-ns": RESPONSE_SLACK_MS * MS,
         "drain-grace-ns": int(rules.drain_grace_ms * MS),
         "cold-ns": int(rules.cold_s * SECOND),
         "start-capacity": rules.start_capacity,
--- a/anisespool/lab/scenario/schema.py
+++ b/anisespool/lab/scenario/schema.py
@@ -1,4 +1,4 @@
-"""The schema of a whole scenario, of which every table is a class of its own."""
+"""The schema of a whole scenario. Each table has its own class."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class Statement(Spec, frozen=True, kw_only=True):
-    """What a run with real processes has to show, judged from outside (docs/fleetrig.md).
+    """A property that a run with real processes has to have, judged from outside (docs/fleetrig.md).
 
     Attributes:
-        from_s: Of the scenario's own time.
-        to_s: None: the scenario's end.
-        zone: Of share-*: the share is that of arrivals there from other zones.
-        share: Of share-* and served.
-        of: Of views-agree: which views; talkers have those of members alone.
-        limit: Of at-most: what is spent, or executed, at one moment.
+        from_s: Start of the judged span, in scenario time.
+        to_s: End of the judged span; None: the end of the scenario.
+        zone: The zone in which share-* judges the share of arrivals from other zones.
+        share: The bound of share-* and served.
+        of: The views that views-agree compares. Talkers only have views of members.
+        limit: The bound of at-most on what is spent or executed at one moment.
     """
 
     kind: StatementKind = msgspec.field(name="says")
@@ -41,15 +41,15 @@
 
 
 class Scenario(Spec, frozen=True, kw_only=True):
-    """All of a scenario. `from_raw` also checks what a single table can't know.
+    """A whole scenario. `from_raw` also checks conditions that involve several tables.
 
     Attributes:
-        question: What the scenario asks, in a sentence.
-        warm_s: Warm-up at the begin, which is not measured.
-        plays: Real sidecars, or "talkers": fake processes that only gossip.
-        budget: Of talkers, together.
+        question: The question that the scenario answers, in one sentence.
+        warm_s: Duration of the warm-up, which the metrics exclude. The scenario time starts after it.
+        plays: The processes of the run: real sidecars, or "talkers", fake processes that only gossip.
+        budget: Total budget of all talkers.
         talk: Whether sidecars may send each other datagrams.
-        peers: Whether operators' files switch membership on; None: as `talk`.
+        peers: Whether operators' files enable membership; None: the same as `talk`.
     """
 
     question: str = msgspec.field(default="", name="asks")
@@ -86,21 +86,21 @@
         return sum(group.count for group in self.endpoints)
 
     def capacity_per_s(self) -> float:
-        """Requests per second, of the mean class, that the endpoints can execute without faults."""
+        """Requests per second, of the classes' mean work, that the endpoints can execute without faults."""
         total = sum(c.share for c in self.classes)
         work_s = sum(c.share * c.work_ms for c in self.classes) / total / 1000
         return sum(group.count * group.cores * group.speed for group in self.endpoints) / work_s
 
     def quotas_per_s(self) -> list[float]:
-        """Quota of each tenant at all sidecars together."""
+        """Quota of each tenant, over all sidecars."""
         total = self.quota_of_capacity * self.capacity_per_s()
         return [tenant.share * total for tenant in self.tenants]
 
     def zones(self) -> list[int]:
-        """Zones with endpoints, in order."""
+        """Zones that have endpoints, sorted."""
         return sorted({group.zone for group in self.endpoints})
 
     def sidecar_zones(self) -> list[int]:
-        """The zone of each sidecar: they are placed in the zones in turn."""
+        """The zone of each sidecar. Sidecars are assigned to the zones in turn."""
         zones = self.zones()
         return [zones[number % len(zones)] for number in range(self.sidecars)]
--- a/anisespool/lab/scenario/traffic.py
+++ b/anisespool/lab/scenario/traffic.py
@@ -1,4 +1,4 @@
-"""Tables of what clients send: request classes, traffic, bursts, retries, tenants, prices."""
+"""Tables of the clients' requests: request classes, traffic, bursts, retries, tenants and prices."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
     """A request class.
 
     Attributes:
-        share: Of the traffic, in relation to the other classes.
-        effect: Whether it may be executed again.
+        share: Share of the traffic, relative to the other classes.
+        effect: Whether a request may be executed more than once.
         target_ms: Latency objective.
+        priority_weight: Weight of a request in the service.
+        work_ms: Mean work of a request.
         work: Distribution of the work.
-        cv: Coefficient of variation of the lognormal one.
+        cv: Coefficient of variation of lognormal work.
     """
 
     name: str
@@ -33,13 +35,14 @@
 
 
 class Traffic(Spec, frozen=True, kw_only=True):
-    """First attempts of clients, open loop: whatever the outcome of those before.
+    """Steady arrivals of client requests. They are open loop: earlier outcomes do not change them.
 
     Attributes:
-        per_s: At all sidecars together.
-        until_per_s: Rate at the end, towards which it grows evenly.
-        uneven: 0: sidecars alike; 1: the first has most.
-        zone_skew: 0: zones alike; 1: a sidecar of the last zone has none, one of the first twice the mean.
+        per_s: Requests per second at all sidecars together.
+        until_per_s: Requests per second at the end; the rate changes linearly from `per_s`.
+        uneven: 0: sidecars get equal shares; 1: shares fall linearly from the first sidecar to almost none.
+        zone_skew: 0: zones get equal shares; 1: a sidecar of the first zone gets twice the mean, one of the
+            last zone nothing.
     """
 
     per_s: NotNegative = 100.0
@@ -50,11 +53,12 @@
 
 
 class Burst(Spec, frozen=True, kw_only=True):
-    """Requests that arrive together, beside the traffic.
+    """Requests that arrive together, in addition to the traffic.
 
     Attributes:
-        count: At all sidecars together.
-        every_s: Interval at which it is repeated until the end.
+        count: Number of requests at all sidecars together.
+        over_ms: Time over which they arrive.
+        every_s: Interval at which the burst is repeated until the end; None: not repeated.
         cls: Index of the request class.
     """
 
@@ -69,10 +73,10 @@
     """How clients retry and give up.
 
     Attributes:
-        max_attempts: Of a rejected request, or of a failed one that is idempotent.
-        backoff_ms: Before a retry without a Retry-After.
-        honour: Share of clients that wait for a Retry-After.
-        gives_up: Share of the deadline after which a client gives up, drawn from this range.
+        max_attempts: Maximum number of attempts at a request that is rejected, or fails and is idempotent.
+        backoff_ms: Wait before a retry without a Retry-After.
+        honour: Share of clients that wait for the time in a Retry-After.
+        gives_up: Range from which the share of the deadline is drawn after which a client gives up.
     """
 
     max_attempts: Annotated[int, Meta(ge=1, le=10)] = msgspec.field(default=1, name="tries")
@@ -82,11 +86,11 @@
 
 
 class Tenant(Spec, frozen=True, kw_only=True):
-    """Whose requests they are. Beyond its quota they weigh `over_share_worth` of the usual.
+    """A tenant. The weight of its requests beyond its quota is multiplied by `over_share_worth`.
 
     Attributes:
-        share: Of the sum of all quotas, which is `quota_of_capacity` of the fleet's capacity.
-        usage: Traffic in multiples of its share.
+        share: Share of the sum of all quotas, which is `quota_of_capacity` of the fleet's capacity.
+        usage: Traffic of the tenant in multiples of its share.
     """
 
     name: str
@@ -95,13 +99,13 @@
 
 
 class Prices(Spec, frozen=True, kw_only=True):
-    """What is taken off the service, per unit.
+    """Prices that are subtracted from the service, each multiplied by a ratio.
 
     Attributes:
-        cross_zone: Attempts that cross zones, over client requests.
-        handshake: Connections opened, over client requests.
-        late_fail: Weight that ended unserved after its latency objective, over weight requested.
-        list_line: Entries of endpoint lists, over 100 client requests.
+        cross_zone: Price of attempts that cross zones, over client requests.
+        handshake: Price of connections opened, over client requests.
+        late_fail: Price of weight that ended unserved after its latency objective, over weight requested.
+        list_line: Price of entries of endpoint lists, over 100 client requests.
     """
 
     cross_zone: NotNegative = 0.0
