--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -74,9 +74,9 @@
         crossings: Attempts from one zone to another.
         handshakes: Connections opened.
         list_entries: Entries of endpoint lists that sidecars received.
-        tries: Requests that clients sent, including the warm-up.
-        tries_measured: Ended tries of client requests that arrived after the warm-up.
-        tries_rejected: Those of `tries_measured` that were rejected.
+        requests_sent: Requests that clients sent, including the warm-up.
+        requests_measured: Ended requests of client requests that arrived after the warm-up.
+        requests_rejected: Those of `requests_measured` that were rejected.
         retry_after_outcomes: Retries after a Retry-After, by whether they were served (or rejected again).
         weight_requested: Total weight of the client requests.
         weight_in_time: Total weight of those served in time.
@@ -94,15 +94,15 @@
     crossings: int = 0
     handshakes: int = 0
     list_entries: int = 0
-    tries: int = 0
-    tries_measured: int = 0
-    tries_rejected: int = 0
+    requests_sent: int = 0
+    requests_measured: int = 0
+    requests_rejected: int = 0
     retry_after_outcomes: Counter[bool] = field(default_factory=Counter)
     weight_requested: float = 0.0
     weight_in_time: float = 0.0
     weight_late: float = 0.0
     by_tenant: dict[int, Counter[bool]] = field(default_factory=dict)
-    _tries_ended: int = 0
+    _requests_closed: int = 0
     _open: int = 0
     _open_over_time: int = 0  # integral over time of the number of open tries, ns
     _time_in_system: int = 0  # sum of the durations of ended tries, ns
@@ -115,13 +115,13 @@
         """Records that a client sent a request."""
         self._integrate(now)
         self._open += 1
-        self.tries += 1
+        self.requests_sent += 1
 
     def request_closed(self, now: int, opened_at: int) -> None:
         """Records that a request got its final response, or that its client gave up."""
         self._integrate(now)
         self._open -= 1
-        self._tries_ended += 1
+        self._requests_closed += 1
         self._time_in_system += now - opened_at
 
     def _integrate(self, now: int) -> None:
@@ -140,8 +140,8 @@
     def record_client_attempt(self, client_request: ClientRequest, rejected: bool) -> None:
         """Records the end of one try of a client request, by a rejection or otherwise."""
         if client_request.arrived_at >= self.warmup_end:
-            self.tries_measured += 1
-            self.tries_rejected += rejected
+            self.requests_measured += 1
+            self.requests_rejected += rejected
 
     def end(self, client_request: ClientRequest, now: int, outcome: str) -> None:
         """Records the outcome of a client request, once. "served" becomes "in_time" or "late"."""
@@ -176,8 +176,10 @@
             VoidError: The counts do not balance.
         """
         self._integrate(now)
-        if self._open or self.tries != self._tries_ended:
-            raise VoidError(f"{self.tries} tries came, {self._tries_ended} ended, {self._open} open")
+        if self._open or self.requests_sent != self._requests_closed:
+            raise VoidError(
+                f"{self.requests_sent} tries came, {self._requests_closed} ended, {self._open} open"
+            )
         if self._open_over_time != self._time_in_system:
             raise VoidError(f"Little's law: {self._open_over_time} ns open, {self._time_in_system} ns spent")
         requested = sum(self.requested.values())
@@ -271,8 +273,8 @@
             "p50_ms": self.quantile_ms(0.5),
             "p99_ms": self.quantile_ms(0.99),
             "attempts": self.attempts / max(1, requested),
-            "tries": self.tries / max(1, requested),
-            "tries_refused": self.tries_rejected / max(1, self.tries_measured),
+            "tries": self.requests_sent / max(1, requested),
+            "tries_refused": self.requests_rejected / max(1, self.requests_measured),
             "net": self.net(),
             **{f"price_{what}": price for what, price in self.prices().items()},
             "worst_window": self.worst_window(),
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -11,7 +11,7 @@
 
 INTERVAL_NS = SECOND // 5
 MAX_SAMPLES = 5000  # longer runs are sampled less often
-SHOWN_OUTCOMES = ("in_time", "late", "refused", "failed")
+REPORTED_OUTCOMES = ("in_time", "late", "refused", "failed")
 PERCENTILES = (50, 90, 99, 99.9)
 
 
@@ -94,7 +94,7 @@
 
 def _shares(metrics: RunMetrics, class_index: int) -> dict[str, float]:
     requested = max(1, metrics.requested[class_index])
-    return {outcome: metrics.ended[class_index, outcome] / requested for outcome in SHOWN_OUTCOMES}
+    return {outcome: metrics.ended[class_index, outcome] / requested for outcome in REPORTED_OUTCOMES}
 
 
 def _latencies(metrics: RunMetrics, class_index: int) -> dict[str, float]:
--- a/anisespool/lab/report.py
+++ b/anisespool/lab/report.py
@@ -12,13 +12,13 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-from anisespool.lab.model.timeline import SHOWN_OUTCOMES, ScenarioRun, class_rows
+from anisespool.lab.model.timeline import REPORTED_OUTCOMES, ScenarioRun, class_rows
 from anisespool.lab.scenario import Fault, Scenario
 
 COLOURS = ("#1f6f8b", "#d1603d")  # of the first run and the second
 FAULT_COLOUR = "#999999"
 STYLES = ("-", "--", ":", "-.")  # of classes
-COLUMNS = ("class", "asked", *SHOWN_OUTCOMES, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
+COLUMNS = ("class", "asked", *REPORTED_OUTCOMES, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
 PERCENTILES = [50, 75, 90, 95, 99, 99.5, 99.9]
 SIZE_INCHES = (9.0, 2.6)
 MAX_CLASSES = 8  # drawn; further ones are in the table only
@@ -77,7 +77,7 @@
 
 def cell(column: str, value: Any) -> str:
     """A value of a table as text, by its column (one of COLUMNS)."""
-    if column in SHOWN_OUTCOMES:
+    if column in REPORTED_OUTCOMES:
         return f"{100 * value:.2f} %"
     return f"{value:.1f}" if column.endswith("ms") else str(value)
 
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -100,7 +100,7 @@
     start = time.process_time()
     metrics = world.run()
     cpu_s = time.process_time() - start
-    return Speed(metrics.tries / cpu_s, world.clock.events_handled / metrics.tries)
+    return Speed(metrics.requests_sent / cpu_s, world.clock.events_handled / metrics.requests_sent)
 
 
 class Queue:
@@ -224,7 +224,7 @@
     report.add_table(
         "5,000 sidecars, 60 endpoints, 60 s",
         ("requests", "CPU s", "peak MB"),
-        (metrics.tries, round(cpu_s), _peak_mb()),
+        (metrics.requests_sent, round(cpu_s), _peak_mb()),
     )
 
 
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -49,7 +49,7 @@
 def _add_row(
     report: Report, name: str, model: dict[str, Any], real: dict[str, Any], played: LiveRunResult
 ) -> None:
-    attempts = max(1, played.metrics.tries)
+    attempts = max(1, played.metrics.requests_sent)
     report.add_row(
         name,
         real["asked"],
