--- a/anisespool/lab/model/links.py
+++ b/anisespool/lab/model/links.py
@@ -204,7 +204,7 @@
         return data[:index] + bytes([flipped]) + data[index + 1 :]
 
     def _pace(self, now: int, src: Node, dst: Node, size: int, impairment: Impairment) -> int | None:
-        """When a limited rate has transmitted a message, ns; None if its queue takes over a second."""
+        """When a limited rate has transmitted a message, ns; None if its queue exceeds a second."""
         if not impairment.rate:
             return now
         key = (src, dst)
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -75,7 +75,7 @@
         handshakes: Connections opened.
         list_entries: Entries of endpoint lists that sidecars received.
         requests_sent: Requests that clients sent, including the warm-up.
-        requests_measured: Ended requests of client requests that arrived after the warm-up.
+        requests_measured: Ended ones of client requests that arrived after the warm-up.
         requests_rejected: Those of `requests_measured` that were rejected.
         retry_after_outcomes: Retries after a Retry-After, by whether they were served (or rejected again).
         weight_requested: Total weight of the client requests.
@@ -104,8 +104,8 @@
     by_tenant: dict[int, Counter[bool]] = field(default_factory=dict)
     _requests_closed: int = 0
     _open: int = 0
-    _open_over_time: int = 0  # integral over time of the number of open tries, ns
-    _time_in_system: int = 0  # sum of the durations of ended tries, ns
+    _open_over_time: int = 0  # integral over time of the number of open requests, ns
+    _time_in_system: int = 0  # sum of the durations of ended requests, ns
     _integrated_until: int = 0
 
     def __post_init__(self) -> None:
@@ -138,7 +138,7 @@
         return self.scenario.classes[client_request.class_index].priority_weight * client_request.weight
 
     def record_client_attempt(self, client_request: ClientRequest, rejected: bool) -> None:
-        """Records the end of one try of a client request, by a rejection or otherwise."""
+        """Records the end of one request of a client request, by a rejection or otherwise."""
         if client_request.arrived_at >= self.warmup_end:
             self.requests_measured += 1
             self.requests_rejected += rejected
@@ -178,14 +178,14 @@
         self._integrate(now)
         if self._open or self.requests_sent != self._requests_closed:
             raise VoidError(
-                f"{self.requests_sent} tries came, {self._requests_closed} ended, {self._open} open"
+                f"{self.requests_sent} requests sent, {self._requests_closed} ended, {self._open} open"
             )
         if self._open_over_time != self._time_in_system:
             raise VoidError(f"Little's law: {self._open_over_time} ns open, {self._time_in_system} ns spent")
         requested = sum(self.requested.values())
         ended = sum(self.ended.values())
         if requested != ended:
-            raise VoidError(f"{requested} wishes came, {ended} ended")
+            raise VoidError(f"{requested} client requests arrived, {ended} ended")
 
     def service(self) -> float:
         """The share of the requested weight that was served in time."""
--- a/tests/lab/test_admission_scenarios.py
+++ b/tests/lab/test_admission_scenarios.py
@@ -1,4 +1,4 @@
-"""Admission in the simulation: bursts, steps, overload, slow, warming up and failing parts, and recovery."""
+"""Admission in the simulation: bursts, steps, overload, slow, warming up and failing endpoints, recovery."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from anisespool.lab.model.world import World
 from anisespool.lab.scenario import from_raw
 
-QUIET = 0  # the class of the traffic
-BURST = 1  # the class of bursts
+QUIET = 0  # index of the class of the traffic
+BURST = 1  # index of the class of bursts
 HOUR_S = 3600
-UNSAFE_ONLY = [{"name": "send-one"}]
+NON_IDEMPOTENT_ONLY = [{"name": "send-one"}]
 
 
-class Day:
-    """A run of ten endpoints of three cores and 20 ms: 600 requests fit in 400 ms. No rule may be broken."""
+class AdmissionRun:
+    """A run with ten endpoints of three cores and requests of 20 ms: 600 fit in 400 ms. It breaks no rule."""
 
     def __init__(self, seed: int = 1, sidecars: int = 1, per_s: float = 10.0, **changes: Any) -> None:
         print(f"seed {seed}")  # shown when a test fails
@@ -34,7 +34,7 @@
         assert not world.broken
 
     def outcomes(self, class_index: int = BURST, start: int = 0, end: int = 10**9) -> Counter[str]:
-        """Outcomes of the requests of a class that arrived in some seconds; "all" is their number."""
+        """Outcomes of a class's requests that arrived in a span of seconds; "all" is their number."""
         found = Counter[str]()
         for second, window in self.metrics.windows.items():
             if not start <= second < end:
@@ -53,117 +53,110 @@
     return {"kind": kind, "at_s": at_s} | more
 
 
-# Bursts -------------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("size", [8, 16, 32, 64, 128])
 @pytest.mark.parametrize("slow", [0, 1])
 def test_a_burst_to_an_idle_fleet_is_served(size: int, slow: int) -> None:
     groups = [{"count": 10 - slow}, *[{"count": 1, "speed": 0.2}] * slow]
-    found = Day(bursts=[burst(size)], endpoints=groups).outcomes()
+    found = AdmissionRun(bursts=[burst(size)], endpoints=groups).outcomes()
     assert found["all"] == size
     assert found["refused"] <= 0.02 * size
-    assert found["late"] + found["failed"] <= (0.06 * size if slow else 0)  # the slow endpoint's
+    assert found["late"] + found["failed"] <= (0.06 * size if slow else 0)  # on the slow endpoint
 
 
 @pytest.mark.parametrize(("sidecars", "size"), [(1, 64), (1, 128), (5, 100)])
 def test_the_first_burst_after_a_start_is_served(sidecars: int, size: int) -> None:
-    found = Day(sidecars=sidecars, per_s=0.0, bursts=[burst(size)]).outcomes()
+    found = AdmissionRun(sidecars=sidecars, per_s=0.0, bursts=[burst(size)]).outcomes()
     assert found["in_time"] == size
 
 
 @pytest.mark.parametrize("sidecars", [1, 5])
 def test_a_burst_after_an_idle_hour_is_served(sidecars: int) -> None:
     idle = fault("traffic", 0, for_s=HOUR_S, size=1e-9)
-    day = Day(sidecars=sidecars, seconds=HOUR_S + 5, troubles=[idle], bursts=[burst(128, HOUR_S + 1)])
-    found = day.outcomes()
+    run = AdmissionRun(
+        sidecars=sidecars, seconds=HOUR_S + 5, troubles=[idle], bursts=[burst(128, HOUR_S + 1)]
+    )
+    found = run.outcomes()
     assert found["refused"] <= 0.02 * 128
     assert not found["late"]
 
 
 def test_a_burst_beyond_capacity_is_rejected_in_part_and_nothing_is_late() -> None:
-    day = Day(seconds=16, bursts=[burst(2000), burst(128, 12.5)])
-    beyond = day.outcomes(end=10)
+    run = AdmissionRun(seconds=16, bursts=[burst(2000), burst(128, 12.5)])
+    beyond = run.outcomes(end=10)
     assert beyond["in_time"] > 300
     assert beyond["late"] + beyond["failed"] < 10
-    recovered = day.outcomes(start=10)
+    recovered = run.outcomes(start=10)
     assert recovered["refused"] <= 13
     assert not recovered["late"]
 
 
-def test_little_is_late_when_five_sidecars_get_a_burst_together() -> None:
-    found = Day(sidecars=5, bursts=[burst(1000)]).outcomes()
+def test_few_requests_are_late_when_five_sidecars_get_a_burst_together() -> None:
+    found = AdmissionRun(sidecars=5, bursts=[burst(1000)]).outcomes()
     assert found["late"] < 50
     assert found["in_time"] > 250
 
 
 @pytest.mark.parametrize("sidecars", [1, 5])
 def test_a_burst_overloads_no_endpoint_while_a_third_of_the_fleet_warms_up(sidecars: int) -> None:
-    """Three times what an endpoint can do at this moment, for 1.5 s, would keep it down."""
+    """Three times its current capacity for 1.5 s would overload an endpoint, which then stays down."""
     faults = [fault("restart", 0, endpoints=[0, 1, 2]), fault("traffic", 4, for_s=5, size=90)]
-    found = Day(sidecars=sidecars, seconds=10, bursts=[burst(96, 1.5)], troubles=faults).outcomes()
+    found = AdmissionRun(sidecars=sidecars, seconds=10, bursts=[burst(96, 1.5)], troubles=faults).outcomes()
     assert found["late"] + found["failed"] <= 0.05 * 96
 
 
-# Steps and overload -------------------------------------------------------------------------------
-
-
 def test_a_step_within_capacity_is_served_soon() -> None:
-    step = fault("traffic", 0, for_s=6, size=90)  # 900 a second, of 1,500
-    day = Day(sidecars=3, seconds=6, troubles=[step])
-    first = day.outcomes(QUIET, 0, 1)
+    step = fault("traffic", 0, for_s=6, size=90)  # 900 per second, with a capacity of 1,500
+    run = AdmissionRun(sidecars=3, seconds=6, troubles=[step])
+    first = run.outcomes(QUIET, 0, 1)
     assert first["refused"] <= 0.02 * first["all"]
-    later = day.outcomes(QUIET, 1)
+    later = run.outcomes(QUIET, 1)
     assert later["in_time"] >= 0.99 * later["all"] > 4000
 
 
-@pytest.mark.parametrize("times", [1.1, 1.4, 2.0])
-def test_long_overload_keeps_goodput_and_recovers(times: float) -> None:
-    """With unsafe requests: the simulation counts executions, and none may happen twice."""
-    faults = [fault("traffic", 0, for_s=6, size=times * 150), fault("traffic", 8, for_s=5, size=30)]
-    day = Day(sidecars=3, seconds=13, classes=UNSAFE_ONLY, troubles=faults)
-    overloaded = day.outcomes(QUIET, 1, 6)
+@pytest.mark.parametrize("load_factor", [1.1, 1.4, 2.0])
+def test_long_overload_keeps_goodput_and_recovers(load_factor: float) -> None:
+    """The requests are not idempotent, and the simulation checks that none is executed twice."""
+    faults = [fault("traffic", 0, for_s=6, size=load_factor * 150), fault("traffic", 8, for_s=5, size=30)]
+    run = AdmissionRun(sidecars=3, seconds=13, classes=NON_IDEMPOTENT_ONLY, troubles=faults)
+    overloaded = run.outcomes(QUIET, 1, 6)
     assert overloaded["in_time"] >= 0.85 * 1500 * 5
     assert overloaded["late"] + overloaded["failed"] <= 0.02 * overloaded["all"]
-    recovered = day.outcomes(QUIET, 8)
-    assert recovered["in_time"] >= 0.99 * recovered["all"] > 1000  # within 2 s of its end
+    recovered = run.outcomes(QUIET, 8)
+    assert recovered["in_time"] >= 0.99 * recovered["all"] > 1000  # this span starts 2 s after the overload
 
 
 def test_admission_follows_a_fleet_that_slows_to_a_third() -> None:
-    slow = fault("slow", 1, for_s=9, size=3, part=1)  # 500 a second from here
+    slow = fault("slow", 1, for_s=9, size=3, part=1)  # capacity of 500 per second from here
     high = fault("traffic", 0, for_s=4, size=120)
-    later = Day(seconds=6, classes=UNSAFE_ONLY, troubles=[high, slow]).outcomes(QUIET, 2, 4)
+    later = AdmissionRun(seconds=6, classes=NON_IDEMPOTENT_ONLY, troubles=[high, slow]).outcomes(QUIET, 2, 4)
     assert later["late"] + later["failed"] < 0.08 * later["all"]
     assert later["in_time"] > 0.7 * 500 * 2
 
 
-# Reports, failures, Retry-After -------------------------------------------------------------------
-
-
 def test_a_burst_is_served_when_load_reports_never_change() -> None:
-    found = Day(reports={"every_ms": [1e9, 1e9]}, bursts=[burst(128)]).outcomes()
+    found = AdmissionRun(reports={"every_ms": [1e9, 1e9]}, bursts=[burst(128)]).outcomes()
     assert found["refused"] <= 13
     assert not found["late"]
 
 
-def test_endpoints_that_fail_fast_are_no_capacity() -> None:
+def test_endpoints_that_fail_fast_do_not_count_as_capacity() -> None:
     failing = fault("fail", 0, for_s=5, part=1, size=1.0)
-    day = Day(seconds=15, per_s=200.0, classes=UNSAFE_ONLY, troubles=[failing])
-    assert not day.outcomes(QUIET, 0, 5)["in_time"]
-    recovered = day.outcomes(QUIET, 7)
+    run = AdmissionRun(seconds=15, per_s=200.0, classes=NON_IDEMPOTENT_ONLY, troubles=[failing])
+    assert not run.outcomes(QUIET, 0, 5)["in_time"]
+    recovered = run.outcomes(QUIET, 7)
     assert recovered["in_time"] >= 0.98 * recovered["all"] > 1000
 
 
 def test_most_retries_after_a_retry_after_are_served() -> None:
     retries = Counter[bool]()
     for seed in range(1, 5):
-        day = Day(
+        run = AdmissionRun(
             seed,
             seconds=12,
             classes=[{"name": "safe", "effect": "repeatable"}],
             bursts=[{"at_s": 0.5, "count": 700, "every_s": 4.0}],
             clients={"tries": 2},
         )
-        retries += day.metrics.retry_after_outcomes
+        retries += run.metrics.retry_after_outcomes
     assert sum(retries.values()) > 400
     assert retries[True] >= 0.8 * sum(retries.values())
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -1,4 +1,4 @@
-"""Links: which nodes they concern, what they do to datagrams and streams, and their effect in a run."""
+"""Links: the nodes that they select, and their effects on datagrams, on streams and in a run."""
 
 from __future__ import annotations
 
@@ -20,22 +20,19 @@
 
 A, B, C = (Node("sidecar", n, n % 2) for n in range(3))
 E0, E1 = Node("endpoint", 0, 0), Node("endpoint", 1, 1)
-EVERYONE = (A, B, C, E0, E1, DISCOVERY)
+ALL_NODES = (A, B, C, E0, E1, DISCOVERY)
 
 
 def make_links(*raw: dict[str, Any], seed: int = 1, begin: int = 0) -> Links:
-    """Links that last for 100 s unless they say otherwise."""
+    """Links that last for 100 s by default."""
     scenario = from_raw({"links": [{"at_s": 0, "for_s": 100} | link for link in raw]}, "x")
     return Links(scenario.links, RandomStreams(seed).named("links"), begin)
 
 
-# Selection and checks -----------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize(
     ("text", "selected"),
     [
-        ("all", EVERYONE),
+        ("all", ALL_NODES),
         ("sidecars", (A, B, C)),
         ("endpoints", (E0, E1)),
         ("discovery", (DISCOVERY,)),
@@ -49,8 +46,8 @@
     ],
 )
 def test_a_side_selects_the_nodes_that_it_names(text: str, selected: tuple[Node, ...]) -> None:
-    side = parse_selector(text)
-    assert {node for node in EVERYONE if side(node)} == set(selected)
+    selects = parse_selector(text)
+    assert {node for node in ALL_NODES if selects(node)} == set(selected)
 
 
 @pytest.mark.parametrize(
@@ -81,27 +78,24 @@
         from_raw({"statements": [statement]}, "x")
 
 
-# Cuts ---------------------------------------------------------------------------------------------
-
-
-def test_a_cut_of_one_way_leaves_the_way_back() -> None:
+def test_a_one_way_cut_leaves_the_opposite_direction() -> None:
     links = make_links({"from": "sidecar:0", "to": "sidecar:1", "cut": "silent", "carries": "talk"})
     assert links.send_datagram(5, A, B, b"x") == []
     assert links.send_datagram(5, B, A, b"x") == [(5, b"x")]
     assert links.cut_between(5, B, A, "talk") == "silent"
     assert links.cut_between(5, A, B, "requests") == ""
-    assert links.send_datagram(100 * SECOND, A, B, b"x") == [(100 * SECOND, b"x")]  # it is over
+    assert links.send_datagram(100 * SECOND, A, B, b"x") == [(100 * SECOND, b"x")]  # the cut has ended
     assert (links.counts.came, links.counts.cut) == (3, 1)
 
 
-def test_a_cut_of_both_ways_cuts_the_way_back() -> None:
+def test_a_two_way_cut_affects_the_opposite_direction() -> None:
     links = make_links({"from": "sidecar:0", "to": "sidecar:1", "cut": "silent", "both": True})
     assert links.send_datagram(5, B, A, b"x") == []
 
 
 @pytest.fixture
 def flapping() -> Links:
-    """From 11 s to 16 s on for a second, off for a second."""
+    """A link that flaps from 11 s to 16 s: it is on for a second and off for a second."""
     links = make_links({"cut": "refused", "flap_s": 2.0, "at_s": 1, "for_s": 5})
     links.set_scenario_start(10 * SECOND)
     return links
@@ -112,25 +106,22 @@
     assert on == [11, 13, 15]
 
 
-def test_edges_are_the_moments_at_which_a_link_is_switched(flapping: Links) -> None:
+def test_each_switch_of_a_flapping_link_is_visited(flapping: Links) -> None:
     moments: list[tuple[float, bool]] = []
     for_each_switch(flapping, lambda when, fault, begins: moments.append((when / SECOND, begins)))
     assert moments == [(11, True), (12, False), (13, True), (14, False), (15, True), (16, False)]
 
 
-# Datagrams ----------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("burst", [1.0, 5.0, 20.0])
 def test_losses_have_the_configured_share_and_run_length(burst: float) -> None:
     print("seed 7")
     count = 100_000
     links = make_links({"loss": 0.2, "burst": burst}, seed=7)
     lost = [not links.send_datagram(number, A, B, b"x") for number in range(count)]
-    # Of a two-state chain the share's deviation grows with the length of its runs.
+    # The longer the runs of a two-state chain, the more its share of losses deviates from the mean.
     assert sum(lost) / count == pytest.approx(0.2, abs=4 * 0.4 * (2 * burst / count) ** 0.5)
     runs = sum(is_lost and not lost[number - 1] for number, is_lost in enumerate(lost))
-    run_length = 1.25 if burst == 1.0 else burst  # single losses come together by chance
+    run_length = 1.25 if burst == 1.0 else burst  # independent losses have runs of 1 / (1 - 0.2)
     assert sum(lost) / runs == pytest.approx(run_length, rel=0.08)
     assert links.counts.lost == sum(lost)
 
@@ -173,7 +164,7 @@
     assert all(sum(a != b for a, b in zip(data, DATA, strict=True)) == 1 for data in corrupted)
 
 
-def test_a_limited_rate_lets_a_second_of_datagrams_wait_and_no_more() -> None:
+def test_a_limited_rate_queues_at_most_a_second_of_datagrams() -> None:
     links = make_links({"rate_kb_s": 10})
     sent = [links.send_datagram(0, A, B, b"x" * 250) for _ in range(100)]
     arrivals = [copies[0].at for copies in sent if copies]
@@ -197,29 +188,24 @@
     assert send_all() == send_all()
 
 
-# Streams ------------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize(
     ("raw", "shortest", "longest"),
     [
         ({"delay_ms": 5}, 5 * MS, 5 * MS),
-        ({"loss": 1.0}, 200 * MS * 63, 200 * MS * 63),  # doubled six times: 200 ms and so on
+        ({"loss": 1.0}, 200 * MS * 63, 200 * MS * 63),  # six time-outs: 200 ms, doubled each time
         ({"corrupt": 0.99}, 200 * MS, 200 * MS * 63),
-        ({"cut": "silent", "for_s": 3}, 2 * SECOND, 4 * SECOND),  # held, and sent again after it
+        ({"cut": "silent", "for_s": 3}, 2 * SECOND, 4 * SECOND),  # held back, and retransmitted after the cut
         ({"rate_kb_s": 1}, 600 * MS, 600 * MS),
     ],
 )
-def test_a_stream_is_delayed_where_datagrams_are_lost(
-    raw: dict[str, Any], shortest: int, longest: int
-) -> None:
-    late = make_links(raw).stream_delay(SECOND, A, E0, 600, "requests")
-    assert isinstance(late, int)
-    assert shortest <= late <= longest
+def test_impairments_delay_a_stream(raw: dict[str, Any], shortest: int, longest: int) -> None:
+    delay = make_links(raw).stream_delay(SECOND, A, E0, 600, "requests")
+    assert isinstance(delay, int)
+    assert shortest <= delay <= longest
 
 
 @pytest.mark.parametrize("cut", ["reset", "refused"])
-def test_a_stream_is_reset_by_a_cut_that_resets(cut: str) -> None:
+def test_a_cut_that_resets_or_refuses_resets_a_stream(cut: str) -> None:
     links = make_links({"cut": cut, "carries": "requests"})
     assert links.stream_delay(1, A, E0, 600, "requests") == "reset"
     assert links.stream_delay(1, A, DISCOVERY, 9, "lists") == 0
@@ -238,13 +224,11 @@
         links.add(Link(at_s=0, for_s=1))
 
 
-# In a run -----------------------------------------------------------------------------------------
-
 TWO_ZONES = [{"count": 3, "zone": zone} for zone in range(2)]
 
 
 def run(raw: dict[str, Any], seed: int = 3) -> World:
-    """Plays a scenario of six sidecars and two zones; no rule may be broken."""
+    """Runs a scenario of six sidecars and two zones, and checks that no rule is broken."""
     print(f"seed {seed}")
     base = {
         "seconds": 8,
@@ -262,7 +246,7 @@
 
 
 @pytest.mark.parametrize("cut", ["silent", "refused", "reset"])
-def test_most_requests_are_served_beside_a_cut(cut: str) -> None:
+def test_most_requests_are_served_during_a_cut(cut: str) -> None:
     link = {"at_s": 2, "for_s": 3, "from": "sidecars", "to": "zone:1", "cut": cut, "both": True}
     world = run({"links": [link]})
     in_time, requested = world.metrics.by_second()[4]
@@ -293,7 +277,7 @@
     assert sum(metrics.ended.values()) == requested
 
 
-def test_sidecars_send_datagrams_only_where_the_scenario_lets_them() -> None:
+def test_sidecars_send_datagrams_only_if_the_scenario_allows_it() -> None:
     assert run({"talk": True, "sidecars": 20}).links.counts.came > 100
     assert not run({"sidecars": 20}).links.counts.came
 
@@ -304,9 +288,6 @@
     assert counts.lost == pytest.approx(counts.came / 2, rel=0.2)
 
 
-# The search ---------------------------------------------------------------------------------------
-
-
 def test_the_search_draws_links_and_process_faults() -> None:
     random = Random(5)
     drawn = [vary(random, draw(random)) for _ in range(300)]
@@ -314,7 +295,7 @@
     assert sum(bool(scenario.links) for scenario in drawn) > 30
 
 
-def test_a_scenario_with_links_is_shrunk_by_them() -> None:
+def test_the_search_shrinks_the_links_of_a_scenario() -> None:
     random = Random(5)
     scenario = next(drawn for _ in range(100) if len((drawn := draw(random)).links) == 3)
     smaller = list(shrink_links(scenario))
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -1,4 +1,4 @@
-"""The simulation against queueing theory, its seeds and counts, experiments, the search."""
+"""The simulation: agreement with queueing theory, reproducible runs, counts, experiments and the search."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from anisespool.lab.search.shrinking import shrink
 
 SEEDS = (1, 2, 3, 4)
-T_QUANTILE = 3.18  # Student's, 95 %, of four seeds
+T_QUANTILE = 3.18  # Student's t for a 95 % interval from four seeds
 FOUND = scenario.LIBRARY.parent / "found"
 FAULT_KINDS = (
     "slow",
@@ -50,13 +50,11 @@
 )
 FAULT_SIZES = {"fail": 0.5, "neighbour": 0.5}
 
-# Queueing theory ----------------------------------------------------------------------------------
-
 
 def queueing_system(
     load: float, cores: int = 1, count: int = 1, work: str = "exponential", seconds: float = 400
 ) -> Scenario:
-    """Endpoints alone: no network, no limits, deadlines that nothing reaches."""
+    """A scenario without network delays and limits, whose deadlines no request reaches."""
     request_class = {"name": "x", "work_ms": 20, "work": work, "target_ms": 9e5, "deadline_ms": 9e5}
     return from_raw(
         {
@@ -72,7 +70,7 @@
 
 
 def mean_time_in_system(system: Scenario, seed: int, policy: str) -> float:
-    """Of one run, in service times."""
+    """Mean time in system in one run, in mean service times."""
     world = World(system, seed, POLICIES[policy])
     metrics = world.run()
     assert not world.broken
@@ -82,7 +80,7 @@
 def time_in_system(
     system: Scenario, policy: str = "random", seeds: tuple[int, ...] = SEEDS
 ) -> tuple[float, float]:
-    """Mean over the seeds in service times, and the half-width of its interval."""
+    """Mean time in system over the seeds, in mean service times, and the half-width of its interval."""
     with ProcessPoolExecutor(len(seeds)) as pool:
         means = list(pool.map(mean_time_in_system, repeat(system), seeds, repeat(policy)))
     mean = sum(means) / len(means)
@@ -108,9 +106,9 @@
         wait = load / (2 * (1 - load))
         work = "alike"
     seconds = 1500 / servers if load > 0.9 else 300
-    found, half_width = time_in_system(queueing_system(load, servers, work=work, seconds=seconds))
-    # The interval of the mean, and 3 % for what four seeds can't tell of their own spread.
-    assert abs(found - (1 + wait)) < half_width + 0.03 * (1 + wait), (found, 1 + wait, half_width)
+    measured, half_width = time_in_system(queueing_system(load, servers, work=work, seconds=seconds))
+    # The 3 % allow for the uncertainty of an interval that is estimated from only four seeds.
+    assert abs(measured - (1 + wait)) < half_width + 0.03 * (1 + wait), (measured, 1 + wait, half_width)
 
 
 def test_two_choices_and_random_choice_agree_with_theory() -> None:
@@ -123,11 +121,8 @@
     assert two_choices < random_choice / 3
 
 
-# Runs ---------------------------------------------------------------------------------------------
-
-
 def with_all_faults(**changes: Any) -> Scenario:
-    """A small fleet with an overlapping fault of each kind, every half second."""
+    """A small fleet with a fault of each kind. One begins every half second, so that they overlap."""
     faults = [
         {"kind": kind, "at_s": 0.5 * number, "for_s": 1, "part": 0.2, "size": FAULT_SIZES.get(kind, 3)}
         for number, kind in enumerate(FAULT_KINDS)
@@ -153,7 +148,7 @@
 def test_all_kinds_of_fault_at_once_break_no_rule_and_counts_balance(policy: str) -> None:
     world = World(with_all_faults(), 3, POLICIES[policy])
     metrics = world.run()
-    assert world.broken == "" or policy == "random"  # random choice overloads what is warming up
+    assert world.broken == "" or policy == "random"  # random choice overloads endpoints that warm up
     assert sum(metrics.requested.values()) > 2000
 
 
@@ -180,7 +175,7 @@
     assert other.digest not in digests
 
 
-def test_two_policies_meet_the_same_arrivals() -> None:
+def test_two_policies_get_the_same_arrivals() -> None:
     requested = []
     for policy in ("ours", "least-open"):
         world = World(with_all_faults(clients={"tries": 1}), 2, POLICIES[policy])
@@ -191,7 +186,7 @@
 def test_counts_that_do_not_balance_void_the_run() -> None:
     world = World(with_all_faults(troubles=[]), 1)
     world.metrics.request_opened(world.clock.now)
-    with pytest.raises(VoidError, match="tries came"):
+    with pytest.raises(VoidError, match="requests sent"):
         world.run()
 
 
@@ -207,13 +202,13 @@
 
 @pytest.fixture
 def watch_delay() -> WatchDelay:
-    """One sidecar's watch, each change of which takes a second times `lag`."""
+    """The watch of one sidecar, on which each change takes a second times `delay_factor`."""
     made = with_all_faults(sidecars=1, membership={"delay_s": [1.0, 1.0]})
     return WatchDelay(made, RandomStreams(1).named("membership"))
 
 
 def test_changes_of_the_endpoint_list_arrive_in_order(watch_delay: WatchDelay) -> None:
-    """A sidecar that was notified of a start before the drain would never use the endpoint again."""
+    """If a start overtook the drain before it, the sidecar would never use the endpoint again."""
     watch_delay.delay_factor = 40.0
     (slow,) = watch_delay.next_change(0)
     watch_delay.delay_factor = 1.0
@@ -229,9 +224,6 @@
     assert not watch_delay.accepts(0, late.revision)
 
 
-# Experiments --------------------------------------------------------------------------------------
-
-
 @pytest.fixture
 def cases() -> list[Case]:
     short = with_all_faults(seconds=1, troubles=[])
@@ -240,7 +232,7 @@
 
 @pytest.fixture
 def results(tmp_path: Path, cases: list[Case]) -> Iterator[Results]:
-    """A file in which a sweep that was killed stored three runs."""
+    """Results of a sweep that was killed after it had stored three runs."""
     interrupted = Results(tmp_path / "r.db")
     many(cases[:3], interrupted, 1)
     interrupted.close()
@@ -251,10 +243,10 @@
 
 def test_a_sweep_resumes_where_it_was_killed(cases: list[Case], results: Results) -> None:
     reported: list[Result] = []
-    found = many(cases, results, 2, reported.append)
-    assert len(found) == len(reported) == 8
-    assert [result.seed for result in found] == [*SEEDS, *SEEDS]
-    assert found == many(cases, results, 1)
+    resumed = many(cases, results, 2, reported.append)
+    assert len(resumed) == len(reported) == 8
+    assert [result.seed for result in resumed] == [*SEEDS, *SEEDS]
+    assert resumed == many(cases, results, 1)
 
 
 @pytest.mark.parametrize(
@@ -265,18 +257,15 @@
         ([1.0], [2.0], False),
     ],
 )
-def test_pairs_show_a_difference_that_means_hide(
+def test_paired_runs_show_a_difference_that_means_hide(
     first: list[float], second: list[float], shown: bool
 ) -> None:
     assert difference("x", first, second).shown is shown
 
 
-# The search ---------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("name", sorted(BREAKS))
 def test_the_search_finds_and_shrinks_each_mutation(name: str) -> None:
-    """By count, not by time: as many runs as a search of a minute makes several times over."""
+    """The limit is a number of runs, several times as many as a search makes in a minute, and no time."""
     for runs, found in enumerate(search(name, 1, 1e9, clock=lambda: 0.0)):
         if found:
             break
@@ -287,7 +276,7 @@
     assert len(small.scenario.faults) <= 5
     world = World(small.scenario, small.seed, BREAKS[name])
     world.run()
-    assert world.broken == small.what  # replayed to the letter
+    assert world.broken == small.what  # the replay breaks the rule with the same text
 
 
 def test_a_finding_is_saved_and_loaded(tmp_path: Path) -> None:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(("name", "message"), [("ring.toml", "include"), ("none.toml", "No such file")])
-def test_includes_without_end_and_missing_files_are_errors(tmp_path: Path, name: str, message: str) -> None:
+def test_circular_includes_and_missing_files_are_errors(tmp_path: Path, name: str, message: str) -> None:
     (tmp_path / "ring.toml").write_text('include = ["ring"]')
     with pytest.raises(ScenarioError, match=message):
         scenario.load(tmp_path / name)
--- a/tests/lab/test_standing_scenarios.py
+++ b/tests/lab/test_standing_scenarios.py
@@ -1,4 +1,4 @@
-"""Zones, tenants, prices and process faults in the simulation, and the module on the standing days."""
+"""Zones, tenants, prices and process faults in the simulation, and the library's standing scenarios."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class Arrival(NamedTuple):
-    """A request that reached an endpoint."""
+    """A request that reached an endpoint, at `at` ns of the scenario time."""
 
-    at: int  # ns of the scenario's own time
+    at: int
     sidecar_zone: int
     endpoint: int
     endpoint_zone: int
@@ -32,7 +32,7 @@
 
 
 class RecordingWorld(World):
-    """Records which requests reached endpoints, outcomes of attempts, and times of endpoint updates."""
+    """Records the requests that reach endpoints, outcomes of attempts, and times of endpoint updates."""
 
     def __init__(self, *args: Any, **options: Any) -> None:
         self.arrived: list[Arrival] = []
@@ -55,11 +55,11 @@
         super().handle(sidecar, event)
 
     def arrived_between(self, begin_s: float, end_s: float) -> list[Arrival]:
-        return [one for one in self.arrived if begin_s * SECOND < one.at < end_s * SECOND]
+        return [arrival for arrival in self.arrived if begin_s * SECOND < arrival.at < end_s * SECOND]
 
 
 def run(faults: list[dict[str, Any]], seed: int = 1, policy: str = "ours", **changes: Any) -> RecordingWorld:
-    """Plays a scenario of three zones; no rule may be broken."""
+    """Runs a scenario of three zones, and checks that no rule is broken."""
     print(f"seed {seed}")
     raw = {
         "seconds": 10,
@@ -77,7 +77,7 @@
 
 
 def tenth_of(name: str, **changes: Any) -> Scenario:
-    """A tenth of a standing day."""
+    """A standing scenario, scaled down to a tenth of its fleet and traffic."""
     scenario = load(f"standing-{name}")
     replace = msgspec.structs.replace
     groups = [replace(group, count=max(1, round(group.count / 10))) for group in scenario.endpoints]
@@ -86,17 +86,14 @@
     return replace(scenario, sidecars=sidecars, endpoints=groups, traffic=traffic, **changes)
 
 
-# Zones --------------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("policy", ["random", "ours"])
-def test_nothing_passes_between_an_isolated_zone_and_the_others(policy: str) -> None:
+def test_no_request_passes_between_an_isolated_zone_and_the_others(policy: str) -> None:
     world = run([{"kind": "cut", "zone": 2, "at_s": 3, "for_s": 3}], policy=policy)
-    during = world.arrived_between(3.01, 6)  # a hop later: what was under way has arrived
+    during = world.arrived_between(3.01, 6)  # messages under way have arrived by then
     assert during
-    assert all((one.sidecar_zone == 2) == (one.endpoint_zone == 2) for one in during)
+    assert all((arrival.sidecar_zone == 2) == (arrival.endpoint_zone == 2) for arrival in during)
     after = world.arrived_between(6, float("inf"))
-    assert any((one.sidecar_zone == 2) != (one.endpoint_zone == 2) for one in after)
+    assert any((arrival.sidecar_zone == 2) != (arrival.endpoint_zone == 2) for arrival in after)
 
 
 def test_sidecars_of_a_zone_whose_endpoints_vanish_use_other_zones() -> None:
@@ -113,28 +110,25 @@
     world = run([{"kind": "shift", "zone": 0, "at_s": 3, "for_s": 4, "size": 2.0}])
     shares = []
     for begin_s, end_s in ((0, 3), (3, 7)):
-        zones = Counter(one.sidecar_zone for one in world.arrived_between(begin_s, end_s))
+        zones = Counter(arrival.sidecar_zone for arrival in world.arrived_between(begin_s, end_s))
         shares.append(zones[0] / sum(zones.values()))
     assert shares == pytest.approx([1 / 3, 2 / 3], abs=0.06)
     counts = [sum(world.metrics.windows[second].values()) for second in (1, 2, 4, 5)]
     assert sum(counts[2:]) == pytest.approx(sum(counts[:2]), rel=0.15)
 
 
-# Endpoints and sidecars ---------------------------------------------------------------------------
-
-
-def test_updates_of_a_silent_registry_arrive_when_the_silence_ends() -> None:
+def test_updates_of_a_quiet_registry_arrive_when_the_fault_ends() -> None:
     drain = {"kind": "drain", "at_s": 2, "for_s": 0.5, "endpoints": [0]}
     faults = [{"kind": "quiet", "at_s": 1, "for_s": 4}, drain]
     raw = {"seconds": 8, "warm_s": 1, "sidecars": 3, "troubles": faults}
     world = RecordingWorld(from_raw(raw, "quiet"), 1)
     world.run()
-    notified = [at for at in world.updates if at >= 0]  # less the lists from which sidecars start
-    assert len(notified) == 6
-    assert min(notified) == 5 * SECOND
+    updated_at = [at for at in world.updates if at >= 0]  # without the lists with which sidecars start
+    assert len(updated_at) == 6
+    assert min(updated_at) == 5 * SECOND
 
 
-def test_replaced_endpoints_have_new_names_and_the_old_ones_end() -> None:
+def test_replacements_have_new_ids_and_the_replaced_endpoints_end() -> None:
     world = run([{"kind": "replace", "part": 0.5, "at_s": 2, "for_s": 2, "spread_s": 2}])
     old, new = world.endpoints[:12], world.endpoints[12:]
     assert [endpoint.id for endpoint in new] == list(range(13, 19))
@@ -143,12 +137,12 @@
     assert all(endpoint.faults.dead for endpoint in gone)
     started_s = sorted((endpoint.started_at - world.scenario_start) / SECOND for endpoint in new)
     assert started_s == pytest.approx([2 + number / 3 for number in range(6)])
-    used = {one.endpoint for one in world.arrived_between(7, float("inf"))}
+    used = {arrival.endpoint for arrival in world.arrived_between(7, float("inf"))}
     assert {endpoint.id for endpoint in new} & used
     assert not {endpoint.id for endpoint in gone} & used
 
 
-def test_a_rolling_restart_responds_to_all_accepted_requests() -> None:
+def test_a_rolling_restart_fails_no_accepted_request() -> None:
     roll = {"kind": "roll", "part": 1.0, "at_s": 3, "spread_s": 2.0}
     world = run([roll], classes=[{"name": "b"}])
     assert len(world.sidecars) == 24
@@ -168,10 +162,7 @@
     assert world.statuses["TIMEOUT"] > 50
 
 
-# Tenants and prices -------------------------------------------------------------------------------
-
-
-def test_a_flood_beyond_a_quota_weighs_little_and_takes_nothing_from_other_tenants() -> None:
+def test_traffic_beyond_a_quota_weighs_little_and_leaves_other_tenants_their_service() -> None:
     tenants = [{"name": "a", "share": 0.5}, {"name": "b", "share": 0.5}]
     flood = {"kind": "tenant", "tenant": 1, "at_s": 3, "for_s": 5, "size": 5.0}
     metrics = run([flood], tenants=tenants, traffic={"per_s": 900}).metrics
@@ -186,7 +177,7 @@
     world = run([], prices=prices, seconds=4)
     metrics = world.metrics
     requested = sum(metrics.requested.values())
-    crossings = sum(one.crosses for one in world.arrived if one.at >= 0)
+    crossings = sum(arrival.crosses for arrival in world.arrived if arrival.at >= 0)
     assert metrics.prices()["cross_zone"] == pytest.approx(0.12 * crossings / requested, rel=0.05)
     assert metrics.list_entries == 0  # all lists were sent during the warm-up
     assert metrics.net() == pytest.approx(
@@ -198,9 +189,6 @@
     )
 
 
-# Scenario files -----------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize(
     ("fault", "message"),
     [
@@ -215,11 +203,8 @@
         from_raw({"endpoints": ZONES, "troubles": [fault]}, "wrong")
 
 
-# Standing days ------------------------------------------------------------------------------------
-
-
 @pytest.mark.parametrize("name", ["calm", "flood", "roll", "herd", "zone", "split", "join"])
-def test_a_standing_day_breaks_no_rule(name: str) -> None:
+def test_a_standing_scenario_breaks_no_rule(name: str) -> None:
     world = World(tenth_of(name, seconds=12.0), 3)
     metrics = world.run()
     assert not world.broken
@@ -227,8 +212,8 @@
 
 
 def test_most_attempts_stay_in_their_zone_and_reuse_connections() -> None:
-    """200 sidecars that draw from all endpoints, anew each time, crossed zones for half of their requests
-    and opened a connection for two in five of them (the operators' calm day)."""
+    """200 sidecars that choose each time among all endpoints crossed zones for half of their requests, and
+    opened a connection for two in five of them (the operators' calm day)."""
     metrics = World(tenth_of("calm", seconds=12.0, faults=[]), 1).run()
     requested = sum(metrics.requested.values())
     assert metrics.crossings / requested < 0.25
