--- a/anisespool/lab/scenario/schema.py
+++ b/anisespool/lab/scenario/schema.py
@@ -47,7 +47,7 @@
         question: The question that the scenario answers, in one sentence.
         warm_s: Duration of the warm-up, which the metrics exclude. The scenario time starts after it.
         plays: The processes of the run: real sidecars, or "talkers", fake processes that only gossip.
-        budget: Total budget of all talkers.
+        budget: Units that all talkers may have reserved together.
         talk: Whether sidecars may send each other datagrams.
         peers: Whether operators' files enable membership; None: the same as `talk`.
     """
