--- a/anisespool/lab/experiments.py
+++ b/anisespool/lab/experiments.py
@@ -18,7 +18,7 @@
 from anisespool import balancer
 from anisespool.lab import scenario as scenarios
 from anisespool.lab.model.policies import POLICIES
-from anisespool.lab.model.timeline import Observer, ScenarioRun, utilization
+from anisespool.lab.model.timeline import ScenarioRun, TimelineSampler, utilization
 from anisespool.lab.model.world import World
 from anisespool.lab.results import Result, ResultStore
 from anisespool.lab.scenario import Scenario, ScenarioError
@@ -63,7 +63,7 @@
 def run_with_timeline(case: Case) -> ScenarioRun:
     """Run a case in this process, and sample its queues over time for a report."""
     world = World(case.scenario, case.seed, POLICIES[case.policy])
-    observer = Observer(world, world.begin, world.end)
+    observer = TimelineSampler(world, world.scenario_start, world.scenario_end)
     metrics = world.run()
     return ScenarioRun(case.name, case.scenario, metrics, observer.samples, utilization(world), world.broken)
 
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -1,11 +1,11 @@
 """The simulated fleet: the loop of a run in virtual time, with the real decision module in each sidecar.
 
-What is modelled, and how coarsely, is in docs/lab.md. The parts of a run:
+docs/lab.md describes what is modelled, and how coarsely. The parts of a run:
 
-- `clients` sends requests and judges responses, `attempts` carries them to endpoints and back;
-- `Backend`, the base class, executes them at the endpoints;
-- `endpoint_list` notifies sidecars of endpoints, `gossip` carries the sidecars' own messages;
-- `processes` holds the sidecars and what happens to their processes.
+- `clients` sends requests and checks responses, `attempts` carries them to endpoints and back;
+- `Backend`, the base class, executes requests at the endpoints;
+- `endpoint_list` delivers endpoint lists to sidecars, `gossip` carries messages between sidecars;
+- `processes` holds the sidecars and applies faults to their processes.
 """
 
 from __future__ import annotations
@@ -35,40 +35,44 @@
 from anisespool.lab.model.watch_delay import WatchDelay
 from anisespool.lab.scenario import MS, SECOND, Scenario
 
-__all__ = ["BEGIN", "Module", "Sidecar", "World", "ours"]
+__all__ = ["VIRTUAL_START_NS", "ModuleFactory", "Sidecar", "World", "make_balancer"]
 
-BEGIN = 100 * SECOND  # virtual time at the start: to the module, time 0 means "never"
-SETTLE_NS = 10 * SECOND  # after the last client request, beside its time-outs
-Module = Callable[[Settings, int, "World"], Any]
+VIRTUAL_START_NS = 100 * SECOND  # virtual time at the start: not 0, which means "never" to the module
+SETTLE_NS = 10 * SECOND  # time after the last client request's time-outs until the run ends
+ModuleFactory = Callable[[Settings, int, "World"], Any]
 
 
-def ours(settings: Settings, seed: int, world: World) -> Any:
-    """Makes the real decision module."""
+def make_balancer(settings: Settings, seed: int, world: World) -> Any:
+    """Creates the real decision module."""
     return Balancer(settings, seed)
 
 
 class World(Backend):
     """One run of a scenario.
 
+    It is also the `SimulatedRun` of its parts and the `FaultTarget` of the scenario's faults.
+
     Attributes:
-        begin: When the scenario's own time starts, after the warm-up, ns.
-        end: When it ends.
-        broken: The first rule that was broken, in a line; the run ends there.
+        scenario_start: Start of the scenario time, after the warm-up, ns.
+        scenario_end: End of the scenario time, ns.
+        broken: One-line description of the first broken rule, which ends the run; empty: none.
     """
 
-    def __init__(self, scenario: Scenario, seed: int, module: Module = ours, logged: bool = False) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int, module: ModuleFactory = make_balancer, logged: bool = False
+    ) -> None:
         self.clock: Clock
         self._streams = RandomStreams(seed)
-        super().__init__(scenario, self._streams, Clock(BEGIN))
+        super().__init__(scenario, self._streams, Clock(VIRTUAL_START_NS))
         self.seed = seed
         self.broken = ""
         self._module = module
         self._log_digest = hashlib.blake2b(digest_size=16) if logged else None
-        self._machine_draws = self._streams.named("machines")
-        self.begin, self.end = span_ns(scenario, BEGIN)
-        self.metrics = RunMetrics(scenario, self.begin)
+        self._endpoint_random = self._streams.named("machines")
+        self.scenario_start, self.scenario_end = span_ns(scenario, VIRTUAL_START_NS)
+        self.metrics = RunMetrics(scenario, self.scenario_start)
         self.watch_delay = WatchDelay(scenario, self._streams.named("membership"))
-        self.links = Links(scenario.links, self._streams.named("links"), self.begin)
+        self.links = Links(scenario.links, self._streams.named("links"), self.scenario_start)
         self.clients = Clients(self)
         self.attempts = Attempts(self, self.clients, self._streams)
         self.endpoint_list = EndpointListPublisher(self)
@@ -77,76 +81,72 @@
             self, self.clients, self.attempts, self.endpoint_list, self._make_module
         )
         self.sidecars = self.processes.sidecars
-        span = (BEGIN, self.begin, self.end)
+        span = (VIRTUAL_START_NS, self.scenario_start, self.scenario_end)
         self.arrivals = Arrivals(
             scenario, self._streams.named("arrivals"), self.clock, span, self.on_client_request
         )
 
-    # The run --------------------------------------------------------------------------------------
-
     def run(self) -> RunMetrics:
-        """Plays the scenario until every request has its response, or until `broken` is set.
+        """Runs the scenario until every request has its response or a rule is broken.
 
         Raises:
-            VoidError: The model's own counts don't balance.
+            VoidError: The model's own counts do not balance.
         """
         try:
-            self._play()
+            self._run_to_end()
         except RuleError as error:
             self.broken = str(error)
         return self.metrics
 
-    def _play(self) -> None:
+    def _run_to_end(self) -> None:
         self.processes.start_all()
         schedule(self, self._streams.named("troubles"), self._streams.named("processes"))
         self.arrivals.start()
-        self.clock.run(self.end)
+        self.clock.run(self.scenario_end)
         deadline_ms = max(request_class.deadline_ms for request_class in self.scenario.classes)
-        longest = deadline_ms * self.scenario.clients.max_attempts
-        self.clock.run(self.end + int(2 * longest * MS) + SETTLE_NS)
+        longest_ms = deadline_ms * self.scenario.clients.max_attempts
+        self.clock.run(self.scenario_end + int(2 * longest_ms * MS) + SETTLE_NS)
         for sidecar in self.sidecars:
-            sidecar.checker.nothing_owed(self.clock.now)
-        self.metrics.balance(self.clock.now)
+            sidecar.checker.check_all_answered(self.clock.now)
+        self.metrics.check_balance(self.clock.now)
 
     def _make_module(self, sidecar: Sidecar) -> Any:
         seed = self.seed * 1_000_003 + sidecar.number * 101 + sidecar.incarnation
         return self._module(sidecar.settings, seed, self)
 
     def on_client_request(self, client_request: ClientRequest) -> None:
-        """Lets a client send a request for the first time."""
+        """Handles the arrival of a client request: the client sends it for the first time."""
         self.clients.start(client_request)
 
     def serving(self, slot: int) -> Sidecar:
-        """The sidecar that serves a slot's clients now."""
+        """The sidecar that currently serves a slot's clients."""
         return self.processes.serving(slot)
 
-    def log(self, *words: object) -> None:
-        """Adds a line to the run's log, of which only the digest is kept."""
+    def log(self, *values: object) -> None:
+        """Adds a line to the run's log. Only a digest of the log is kept."""
         if self._log_digest:
-            self._log_digest.update(" ".join(map(str, (self.clock.now, *words, "\n"))).encode())
+            self._log_digest.update(" ".join(map(str, (self.clock.now, *values, "\n"))).encode())
 
     @property
     def digest(self) -> str:
-        """Digest of the log: equal for equal runs. Empty if the run was not logged."""
+        """Digest of the log, equal for equal runs; empty if the run was not logged."""
         return self._log_digest.hexdigest() if self._log_digest else ""
 
-    # Decision modules -----------------------------------------------------------------------------
-
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
-        """Passes an event to a sidecar's module and performs the actions that it returns."""
+        """Passes an event to a sidecar's module and performs the returned actions."""
         now = self.clock.now
         if isinstance(event, api.EndpointListUpdate):
-            self._note_list(sidecar, event)
-        sidecar.checker.event(now, event)
+            self._record_list(sidecar, event)
+        sidecar.checker.observe(now, event)
         actions = sidecar.module.handle(now, event)
-        sidecar.checker.actions(now, actions)
+        sidecar.checker.check(now, actions)
         for action in actions:
             self._perform(sidecar, action)
 
-    def _note_list(self, sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
+    def _record_list(self, sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
         sidecar.known_starts |= {listing.endpoint: listing.started_ns for listing in event.entries}
-        if self.clock.now >= self.begin:
-            self.metrics.lines += len(event.entries)
+        if self.clock.now >= self.scenario_start:
+            self.metrics.list_entries += len(event.entries)
 
     def _perform(self, sidecar: Sidecar, action: api.Action) -> None:
         if isinstance(action, api.Send):
@@ -166,58 +166,58 @@
         elif sidecar.incarnation == incarnation:
             self.handle(sidecar, api.TimerExpired(token))
 
-    # What the endpoints need (Backend) ------------------------------------------------------------
-
     def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
-        """Whether the sidecar that sent it knows of the endpoint's last start."""
-        return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started
+        """Whether the job's sidecar has been notified of the endpoint's last start."""
+        return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started_at
 
-    def answer(self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]) -> None:
+    def send_response(
+        self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
+    ) -> None:
         """Sends an endpoint's response back."""
-        self.attempts.answer(endpoint, job, status, load)
-
-    # What faults do (FaultTarget) -----------------------------------------------------------------
+        self.attempts.send_response(endpoint, job, status, load)
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Changes an endpoint's state in the list."""
         self.endpoint_list.publish(endpoint, state)
 
-    def publish_all(self, rows: bool) -> None:
+    def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list, or an empty one."""
-        self.endpoint_list.publish_all(rows)
+        self.endpoint_list.publish_all(with_entries)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
         """Resets an endpoint's connections."""
         self.attempts.reset_connections(endpoint)
 
-    def silence(self, endpoint: Endpoint) -> None:
-        """Nothing to do: `faults.vanished` already keeps its messages back."""
+    def make_unreachable(self, endpoint: Endpoint) -> None:
+        """Does nothing: `faults.vanished` already drops the endpoint's messages."""
 
-    def set_rate(self, times: float) -> None:
-        """Multiplies the traffic."""
-        self.arrivals.set_rate(times)
+    def set_traffic_factor(self, factor: float) -> None:
+        """Multiplies the traffic of all clients."""
+        self.arrivals.set_traffic_factor(factor)
 
-    def set_tenant(self, number: int, times: float) -> None:
+    def set_tenant_traffic_factor(self, tenant: int, factor: float) -> None:
         """Multiplies one tenant's traffic."""
-        self.arrivals.set_tenant_rate(number, times)
+        self.arrivals.set_tenant_traffic_factor(tenant, factor)
 
-    def shift(self, zone: int, times: float) -> None:
-        """Moves traffic to one zone's clients from the others'."""
-        self.arrivals.set_zone_rate(zone, times)
+    def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
+        """Multiplies the traffic of one zone's clients. Other zones get less: the total stays the same."""
+        self.arrivals.set_zone_traffic_factor(zone, factor)
 
-    def cut(self, zone: int, begins: bool, until: int) -> None:
-        """Isolates a zone, whose sidecars get no endpoint updates meanwhile."""
-        self.attempts.isolate(zone, begins)
+    def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
+        """Isolates a zone, or ends its isolation. Its sidecars get no endpoint updates before `until`."""
+        self.attempts.isolate_zone(zone, begins)
         if begins:
-            self.watch_delay.silent(until, [s.slot for s in self.sidecars if s.zone == zone])
+            self.watch_delay.hold_back(until, [s.slot for s in self.sidecars if s.zone == zone])
 
-    def replace(self, endpoint: Endpoint) -> Endpoint:
-        """Adds another machine of the same group, which has to warm up; the old one is about to leave."""
-        new = self.machine(len(self.endpoints) + 1, endpoint.kind, endpoint.spec, self._machine_draws)
+    def add_replacement(self, endpoint: Endpoint) -> Endpoint:
+        """Adds a new endpoint of the same group, which has to warm up and is not listed yet."""
+        new = self.make_endpoint(
+            len(self.endpoints) + 1, endpoint.group, endpoint.spec, self._endpoint_random
+        )
         new.restart(self.clock.now)
         self.endpoints.append(new)
         return new
 
-    def process_fault(self, process_fault: ProcessFault) -> None:
+    def apply_process_fault(self, process_fault: ProcessFault) -> None:
         """Applies a fault to a sidecar's process."""
         self.processes.apply(process_fault)
--- a/anisespool/lab/report.py
+++ b/anisespool/lab/report.py
@@ -12,13 +12,13 @@
 matplotlib.use("svg")
 from matplotlib import pyplot as plt
 
-from anisespool.lab.model.timeline import SHOWN, ScenarioRun, rows
+from anisespool.lab.model.timeline import REPORTED_OUTCOMES, ScenarioRun, class_rows
 from anisespool.lab.scenario import Fault, Scenario
 
 RUN_COLOURS = ("#1f6f8b", "#d1603d")
 FAULT_COLOUR = "#999999"
 CLASS_LINE_STYLES = ("-", "--", ":", "-.")
-COLUMNS = ("class", "asked", *SHOWN, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
+COLUMNS = ("class", "asked", *REPORTED_OUTCOMES, "p50_ms", "p90_ms", "p99_ms", "p99.9_ms")
 PERCENTILES = [50, 75, 90, 95, 99, 99.5, 99.9]
 SIZE_INCHES = (9.0, 2.6)
 MAX_DRAWN_CLASSES = 8  # further classes appear only in the table
@@ -68,7 +68,7 @@
 
 def describe_scenario(scenario: Scenario) -> str:
     """Describe the fleet, its traffic and its faults in one line."""
-    fleet = f"{scenario.size} endpoints, {scenario.sidecars} sidecars"
+    fleet = f"{scenario.endpoint_count} endpoints, {scenario.sidecars} sidecars"
     traffic = f"{scenario.traffic.per_s:g} requests per second (capacity: {scenario.capacity_per_s():.0f})"
     faults = [f"{fault.kind} at {fault.at_s:g} s for {fault.for_s:g} s" for fault in scenario.faults]
     text = f"{fleet}, {traffic}, {scenario.seconds:g} s."
@@ -77,14 +77,14 @@
 
 def format_cell(column: str, value: Any) -> str:
     """Format a value of the table for its column (one of COLUMNS)."""
-    if column in SHOWN:
+    if column in REPORTED_OUTCOMES:
         return f"{100 * value:.2f} %"
     return f"{value:.1f}" if column.endswith("ms") else str(value)
 
 
 def _table(run: ScenarioRun) -> str:
     parts = ["<table><tr>", *(f"<th>{column.replace('_', ' ')}</th>" for column in COLUMNS), "</tr>"]
-    for row in rows(run.metrics):
+    for row in class_rows(run.metrics):
         cells = (f"<td>{html.escape(format_cell(column, row[column]))}</td>" for column in COLUMNS)
         parts.append("<tr>" + "".join(cells) + "</tr>")
     return "".join(parts) + f"</table><p>{_summary(run)}</p>"
--- a/benchmarks/fleetrig.py
+++ b/benchmarks/fleetrig.py
@@ -77,7 +77,7 @@
     figures = run.metrics.figures()
     report.add_row(
         loaded.sidecars,
-        loaded.size,
+        loaded.endpoint_count,
         len(loaded.zones()),
         run.start_s,
         total_s,
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -99,7 +99,7 @@
 
 def _detect(history: History, size: int) -> Detection:
     everyone = set(range(size))
-    cut_off_members = {number for number in everyone if history.scenario.places()[number] == CUT_ZONE}
+    cut_off_members = {number for number in everyone if history.scenario.sidecar_zones()[number] == CUT_ZONE}
     survivors = set(range(size - _count_killed_at_once(size)))
     heal_s = PARTITION_AT_S + FAULT_INTERVAL_S
     found = Detection()
--- a/benchmarks/reality.py
+++ b/benchmarks/reality.py
@@ -51,7 +51,7 @@
 def _add_row(
     report: Report, name: str, model: dict[str, Any], real: dict[str, Any], run: LiveRunResult
 ) -> None:
-    attempts = max(1, run.metrics.tries)
+    attempts = max(1, run.metrics.requests_sent)
     report.add_row(
         name,
         real["asked"],
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -48,9 +48,9 @@
             if at > self.end + 10 * SECOND and not self.in_flight and kind == "timer":
                 break
             self.now = max(self.now, at)
-            self.checker.nothing_owed(self.now)
+            self.checker.check_all_answered(self.now)
             getattr(self, "on_" + kind)(data)
-        self.checker.nothing_owed(self.now + 60 * SECOND)
+        self.checker.check_all_answered(self.now + 60 * SECOND)
         assert not self.balancer.pending, "finished requests are still pending"
         assert not self.balancer.ordering.queues, "ordering keys without requests still have queues"
         return self.checker
@@ -72,9 +72,9 @@
         ]
 
     def deliver(self, event: api.Event) -> None:
-        self.checker.event(self.now, event)
+        self.checker.observe(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.check(self.now, actions)
         for action in actions:
             if isinstance(action, api.Send):
                 self.on_send(action)
@@ -85,9 +85,9 @@
 
     def on_send(self, send: api.Send) -> None:
         ledger = self.checker.requests[send.request]
-        attempt = len(ledger.copies) - 1
+        attempt = len(ledger.attempts) - 1
         self.in_flight[send.request, attempt] = send
-        limit = min(self.now + send.timeout_ns, ledger.due) if send.timeout_ns else ledger.due
+        limit = min(self.now + send.timeout_ns, ledger.deadline) if send.timeout_ns else ledger.deadline
         self.schedule(limit, "outcome", (send.request, attempt, AttemptStatus.TIMEOUT))
         status = self.random_status()
         if status is not None:
@@ -118,7 +118,7 @@
         ledger = self.checker.requests[request.request]
         if rng.random() < 0.1:
             self.schedule(self.now + 50 * MS, "disconnect", request.request)
-        self.schedule(ledger.due + TICK, "deadline", request.request)
+        self.schedule(ledger.deadline + TICK, "deadline", request.request)
 
     def on_disconnect(self, request: int) -> None:
         if not self.checker.requests[request].answered:
@@ -126,7 +126,7 @@
 
     def on_deadline(self, request: int) -> None:
         ledger = self.checker.requests[request]
-        assert ledger.answered or any(c.open for c in ledger.copies), (
+        assert ledger.answered or any(c.open for c in ledger.attempts), (
             "rule 1: neither answered nor in flight at its deadline"
         )
 
@@ -139,7 +139,7 @@
         if send is None:
             return
         finished = self.checker.requests[request].answered or status is AttemptStatus.OK
-        latency = self.now - self.checker.requests[request].copies[attempt].sent
+        latency = self.now - self.checker.requests[request].attempts[attempt].sent_at
         load = self.rng.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
         self.deliver(api.AttemptOutcome(request, send.endpoint, attempt, latency, status, finished, load))
 
