--- a/anisespool/balancer/admission/burst_capacity.py
+++ b/anisespool/balancer/admission/burst_capacity.py
@@ -9,18 +9,18 @@
 from anisespool.balancer.admission.queueing_ratio import QueueingRatio
 from anisespool.balancer.admission.service_rate import ServiceRate
 
-MIN_RATIO_RANGE = 1e-9
+MIN_RATIO_RANGE = 1e-9  # avoids a division by zero
 
 
 class BurstLimits(NamedTuple):
     """Bounds on the use of burst capacity."""
 
     usable_objective_share: float = 0.85
-    """Share of the latency objective that a backlog may fill; a random choice loads endpoints unevenly."""
+    """Share of the latency objective that a backlog may take; below 1, as a random choice loads unevenly."""
     max_own_queueing_ratio: float = 0.2
     """Largest part of the queueing ratio that is attributed to this sidecar's own burst."""
     headroom_factor: float = 2.0
-    """The headroom is complete up to halfway from uncontended answers to the latency limit, where it is 0."""
+    """The headroom is 1 up to halfway (at 2) from the uncontended ratio to the limit, where it is 0."""
 
 
 LIMITS = BurstLimits()
@@ -32,7 +32,7 @@
     Args:
         offered_capacity: Capacity shown by the rate of answers in time (offered_capacity.py).
         service_capacity: Requests that the fleet could serve before the objective.
-        headroom: Share of the difference that may be used; 0 or less: none.
+        headroom: Share of the difference between the two that may be used; 0 or less: none.
     """
     if headroom > 0 and service_capacity > offered_capacity:
         return offered_capacity + (service_capacity - offered_capacity) * headroom
@@ -40,7 +40,7 @@
 
 
 class BurstCapacity:
-    """Computes the capacity beyond the offered one, and the share of it that may be used now."""
+    """Computes what the fleet could serve, and how much of it beyond the offered capacity may be used now."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         latency: LatencyLimit,
         service_rate: ServiceRate,
     ) -> None:
-        # A burst often reaches all sidecars at once, and each observes only its own part.
+        # A burst often reaches all sidecars at once, and each observes only its own part of it.
         self._fleet_share = 1 / sqrt(fleet_size)
         self._objective_ns = objective_ns
         self._queueing = queueing
@@ -65,7 +65,7 @@
         Args:
             rate: Requests per ns that the fleet can serve.
             time_left_ns: Time until the latency objective.
-            fleet: Capacity of the fleet, with the requests of others that queue there.
+            fleet: Capacity of the fleet, with the requests of other sidecars that queue there.
             quota_factor: Share of the capacity that the request's tenant may use.
         """
         served = rate * time_left_ns * LIMITS.usable_objective_share
@@ -86,7 +86,7 @@
         external_ratio = uncontended_ratio + self._service_rate.external_queueing_ratio
         queueing_ratio = max(min(recent_ratio, external_ratio), recent_ratio - LIMITS.max_own_queueing_ratio)
         # A stalled fleet sends no answers, so the age of open requests counts too. Requests served in turn
-        # have a mean age of half the time that all of them take; a greater one is a stall.
+        # have a mean age of half the time that all of them take; a greater mean age shows a stall.
         expected_age_ns = open_in_time / rate / 2 if rate else 0.0
         stall_ratio = (open_requests.mean_age_ns - expected_age_ns) / self._objective_ns if rate else 1.0
         margin = LIMITS.headroom_factor * (limit - max(queueing_ratio, stall_ratio))
--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -27,9 +27,9 @@
     retry_after_ns: int = 0
     """Time until the excess is worked off; 0: unknown, or not to be sent."""
     open_in_time: int = 0
-    """Open requests that have not missed their objectives; all open ones where the latencies decided."""
+    """Open requests that have not missed their objectives; all open requests if it was shed by latency."""
     capacity: float = 0.0
-    """Open requests that can be answered in time; 0: not computed, as the latencies decided."""
+    """Open requests that can be answered in time; 0: the request was admitted, or shed by latency."""
 
 
 ADMITTED = AdmissionDecision(False)
@@ -41,8 +41,8 @@
     def __init__(self, settings: api.Settings, random: Random) -> None:
         classes = settings.classes
         self._random = random
-        self._targets_ns = [c.target_ns for c in classes]
-        self.objective_ns = min(self._targets_ns)
+        self._objectives_ns = [c.target_ns for c in classes]
+        self.objective_ns = min(self._objectives_ns)
         longest_deadline_ns = max(c.deadline_ns for c in classes)
 
         self.queueing = QueueingRatio(longest_deadline_ns, self.objective_ns)
@@ -73,8 +73,9 @@
             self.offered.answer_rate.add(now)
             self.peak.record_answer(now, open_now, self.queueing.ratio.value, self.latency.limit)
         concurrency = self.snapshots.snapshot.fleet.concurrency
+        # Queueing is presumed once the open requests exceed half of what the fleet serves at a time.
         has_queued = bool(concurrency) and open_before > concurrency / 2
-        self.latency.record_answer(latency_ns, self._targets_ns[class_index], has_queued)
+        self.latency.record_answer(latency_ns, self._objectives_ns[class_index], has_queued)
 
     def record_latency(self, now: int, sample: QueueingSample) -> None:
         """Update the estimates with the latency of an attempt that succeeded or timed out."""
@@ -90,7 +91,7 @@
         open_requests: int,
         source: SnapshotSource,
     ) -> AdmissionDecision:
-        """Return whether a request is shed: beyond the capacity, queues grow until every answer is late.
+        """Decide whether a request is shed: beyond the capacity, queues grow until every answer is late.
 
         Args:
             now: Monotonic ns.
@@ -98,7 +99,7 @@
             time_left_ns: Time until the request's latency objective.
             exceeds_quota: Whether the request is beyond its tenant's share.
             open_requests: Open requests of this sidecar, this one included.
-            source: Takes a snapshot of the fleet and the open requests when the cached one is too old.
+            source: Called for a snapshot of the fleet and the open requests if the cached one is too old.
         """
         quota_factor = OVER_QUOTA_CAPACITY_SHARE if exceeds_quota else 1.0
         ratio = self.queueing.ratio.read(now)
@@ -106,8 +107,8 @@
         may_shed_by_latency = ratio > limit and observed_ns > self.objective_ns
         if may_shed_by_latency and self.latency.should_shed(ratio, quota_factor, self._random):
             return self._shed_by_latency(now, ratio - limit, open_requests)
-        rate = self.offered.rate(now, observed_ns)
-        offered_capacity = self.offered.capacity(rate, limit) * quota_factor
+        answer_rate = self.offered.rate(now, observed_ns)
+        offered_capacity = self.offered.capacity(answer_rate, limit) * quota_factor
         if open_requests <= offered_capacity:
             return ADMITTED
         snapshot = self.snapshots.get(now, source)
@@ -124,7 +125,7 @@
         capacity = total_capacity(offered_capacity, service_capacity, headroom)
         if open_in_time <= capacity:
             return ADMITTED
-        return self._shed_by_capacity(now, open_in_time, capacity, max(rate, service_rate))
+        return self._shed_by_capacity(now, open_in_time, capacity, max(answer_rate, service_rate))
 
     def _shed_by_latency(self, now: int, excess_ratio: float, open_requests: int) -> AdmissionDecision:
         excess_ns = excess_ratio * self.objective_ns
@@ -134,7 +135,7 @@
     def _shed_by_capacity(
         self, now: int, open_in_time: int, capacity: float, rate: float
     ) -> AdmissionDecision:
-        """Shed a request; the excess is worked off at `rate`, or at the recent rate of answers if higher."""
+        """Return the decision to shed; the excess is worked off at `rate`, or the recent rate if higher."""
         completion_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
         excess_ns = (open_in_time - capacity) / completion_rate
         retry_after_ns = self.retry_after.next_delay_ns(
--- a/anisespool/balancer/admission/fleet_capacity.py
+++ b/anisespool/balancer/admission/fleet_capacity.py
@@ -6,14 +6,14 @@
 from anisespool.balancer.endpoint import Endpoint
 from anisespool.balancer.estimates.slowdown import SlowdownEstimates
 
-EXPLORATION_FACTOR = 2.0  # one step beyond a concurrency or rate that was reached without queueing
+EXPLORATION_FACTOR = 2.0  # multiple to try of a concurrency or rate that was reached without queueing
 
 
 class FleetCapacity(NamedTuple):
     """Capacity and queues of the ready endpoints."""
 
     concurrency: float
-    """Requests that they serve at a time: from load reports, or a step beyond what was observed."""
+    """Requests that they serve at a time: by load reports, or EXPLORATION_FACTOR times what was observed."""
     queued_by_others: float
     """Requests of other sidecars that queue there, from load reports."""
 
@@ -21,9 +21,9 @@
 def fleet_capacity(
     ready: list[Endpoint], slowdowns: SlowdownEstimates, now: int, half_life_ns: int
 ) -> FleetCapacity:
-    """Return the capacity that the endpoints have for this sidecar now.
+    """Return the endpoints' concurrency, and the requests of other sidecars that queue there.
 
-    In a burst, answers queue everywhere: only a slowdown above the lower quartile lowers the capacity.
+    A burst slows down all endpoints, so only a slowdown above the lower quartile lowers the concurrency.
 
     Args:
         ready: The endpoints that attempts may be sent to.
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -10,12 +10,12 @@
 from anisespool.balancer import interface as api
 
 MIN_LIMIT_RATIO = 0.5  # share of the objective that answers may always take
-MAX_LIMIT_RATIO = 0.95
+MAX_LIMIT_RATIO = 0.95  # above this share of the objective, requests are shed in any case
 LIMIT_MARGIN_SHARE = 0.25  # share of the time left by uncontended answers that queueing may take
 LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies average over about 50 answers
-UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the least ratio with each answer: doubles in about 7,000
+UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the least ratio with each answer: it doubles in about 7,000
 INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # typical latency before the first answer
-FULL_SHEDDING_SHARE = 0.6  # excess, on a scale from the limit (0) to 1, at which shedding is complete
+FULL_SHEDDING_SHARE = 0.6  # part of the way from the limit to a ratio of 1 at which all are shed
 MAX_SHED_SHARE = 0.95  # some requests are always admitted, as latencies are observed on those alone
 
 
@@ -24,7 +24,7 @@
 
     Attributes:
         limit: Queueing ratio above which requests are shed.
-        typical_latency_ns: Typical latency of answers that did not queue, over all classes.
+        typical_latency_ns: Typical latency of requests that did not queue, over all classes.
         uncontended_ratio: Least observed mean of latencies over their objectives.
     """
 
@@ -39,7 +39,7 @@
         self._answers = 0
 
     def record_answer(self, latency_ns: int, target_ns: int, has_queued: bool) -> None:
-        """Update the averages with an answer; one that queued does not show the typical latency."""
+        """Update the averages with an answer; a request that queued does not show the typical latency."""
         self._answers += 1
         alpha = max(LATENCY_SMOOTHING_FACTOR, 1 / self._answers)
         if not has_queued:
@@ -50,15 +50,15 @@
         least_ratio = self.uncontended_ratio * (1 + UNCONTENDED_GROWTH_FACTOR) if is_settled else 1.0
         # Uncontended answers that take nearly the whole objective are no overload.
         self.uncontended_ratio = min(least_ratio, self._typical_ratio)
-        limit = self.uncontended_ratio + (1 - self.uncontended_ratio) * LIMIT_MARGIN_SHARE
-        self.limit = min(max(self._min_limit, limit), MAX_LIMIT_RATIO)
+        wanted_limit = self.uncontended_ratio + (1 - self.uncontended_ratio) * LIMIT_MARGIN_SHARE
+        self.limit = min(max(self._min_limit, wanted_limit), MAX_LIMIT_RATIO)
 
     def should_shed(self, queueing_ratio: float, quota_factor: float, random: Random) -> bool:
         """Return whether a request is shed; the probability grows with the ratio's excess over the limit.
 
         Args:
             queueing_ratio: Current queueing ratio, above the limit.
-            quota_factor: Below 1 for a tenant beyond its quota, whose requests are shed sooner.
+            quota_factor: Below 1 for a tenant beyond its quota, whose requests are shed more often.
             random: This sidecar's random generator.
         """
         excess = (queueing_ratio - self.limit) / (1 - self.limit)
--- a/anisespool/balancer/admission/load_snapshot.py
+++ b/anisespool/balancer/admission/load_snapshot.py
@@ -24,7 +24,7 @@
     mean_age_ns: float
     """Mean age of the other requests."""
     next_objective_at: int
-    """Earliest objective among the other requests, monotonic ns."""
+    """Earliest objective among the other requests, monotonic ns; the current time if there are none."""
 
 
 class LoadSnapshot(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 def summarize_open_requests(now: int, requests: Iterable[RequestTimes]) -> OpenRequests:
-    """Return counts and ages of the open requests."""
+    """Return how many requests are late, and the mean age and earliest objective of the others."""
     late = 0
     total_age_ns = 0
     objectives = []
@@ -57,7 +57,7 @@
 
     def __init__(self, objective_ns: int) -> None:
         self.snapshot = LoadSnapshot(FleetCapacity(0.0, 0.0), OpenRequests(0, 0.0, 0))
-        self.taken_at = -objective_ns
+        self.taken_at = -objective_ns  # monotonic ns; the first call of get() takes a snapshot
         self._interval_ns = int(objective_ns * SNAPSHOT_INTERVAL_OBJECTIVES)
         self._late_interval_ns = int(objective_ns * LATE_SNAPSHOT_INTERVAL_OBJECTIVES)
 
--- a/anisespool/balancer/admission/offered_capacity.py
+++ b/anisespool/balancer/admission/offered_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity for open requests from the rate of answers in time alone."""
+"""Capacity for open requests from the rate of answers that met their latency objectives."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """The capacity that the ordinary load has shown; the fleet may be able to do more.
 
     Attributes:
-        answer_rate: Rate of answers in time, per ns.
+        answer_rate: Rate of answers that met their objectives, per ns.
     """
 
     def __init__(self, objective_ns: int) -> None:
@@ -21,7 +21,7 @@
         self._objective_ns = objective_ns
 
     def rate(self, now: int, observed_ns: int) -> float:
-        """Return the answer rate, corrected for a period of observation of only `observed_ns`."""
+        """Return the answer rate, scaled up while `observed_ns` is too short for the rate to converge."""
         observed_share = 1 - exp2(-max(observed_ns, 1) / self.answer_rate.half_life_ns)
         return self.answer_rate.read(now) / observed_share
 
@@ -29,7 +29,7 @@
         """Return how many requests may be open: Little's law, a standard deviation, and a burst allowance.
 
         Args:
-            rate: Answers in time, per ns.
+            rate: Answers that met their objectives, per ns.
             limit: Share of the latency objective that answers may take.
         """
         requests = rate * self._objective_ns * limit
--- a/anisespool/balancer/admission/peak_rate.py
+++ b/anisespool/balancer/admission/peak_rate.py
@@ -1,4 +1,4 @@
-"""Peak rate of answers in time: the highest throughput that this sidecar has observed."""
+"""Peak rate of answers that met their latency objectives: the highest throughput observed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 from anisespool.balancer.estimates.decaying_value import RATE_NORMALIZATION_FACTOR, DecayingValue
 
-PEAK_HALF_LIFE_DEADLINES = 20
-RECENT_RATE_HALF_LIFE_OBJECTIVES = 0.25  # applies to the rate whose peak is kept
-CONFIDENCE_DEVIATIONS = 1.0  # standard deviations subtracted: a few answers close together are no peak
-SATURATED_SMOOTHING_FACTOR = 0.02  # applies to the peak while answers queue
+PEAK_HALF_LIFE_DEADLINES = 20  # the peak's half-life, in multiples of the longest deadline
+RECENT_RATE_HALF_LIFE_OBJECTIVES = 0.25  # the half-life of the rate whose peak is kept, in latency objectives
+# Standard deviations subtracted from the recent rate, as a few answers close together are no peak.
+CONFIDENCE_DEVIATIONS = 1.0
+SATURATED_SMOOTHING_FACTOR = 0.02  # applies to the peak while requests queue
 
 
 class PeakRate:
@@ -18,7 +19,7 @@
     Attributes:
         rate: Peak rate, in answers per ns.
         recent_rate: Recent rate, in answers per ns.
-        is_saturated: Whether answers queued when the peak was reached. If so, the fleet can't do more;
+        is_saturated: Whether requests queued when the peak was reached. If so, the fleet can't do more;
             otherwise it was not offered more.
     """
 
@@ -29,7 +30,7 @@
         self._objective_ns = objective_ns
 
     def record_answer(self, now: int, open_requests: int, queueing_ratio: float, limit: float) -> None:
-        """Count an answer in time.
+        """Count an answer that met its latency objective.
 
         Args:
             now: Monotonic ns.
@@ -38,16 +39,17 @@
             limit: Queueing ratio above which requests are shed.
         """
         self.recent_rate.add(now)
-        rate = self.recent_rate.value
-        if rate <= self.rate.value / 2 and queueing_ratio <= limit:
+        recent_rate = self.recent_rate.value
+        if recent_rate <= self.rate.value / 2 and queueing_ratio <= limit:
             return  # the common case, kept fast
-        deviation = sqrt(rate * RATE_NORMALIZATION_FACTOR / 2 / self.recent_rate.half_life_ns)
-        confident_rate = rate - CONFIDENCE_DEVIATIONS * deviation
+        # The standard deviation of a decaying rate if answers are independent.
+        deviation = sqrt(recent_rate * RATE_NORMALIZATION_FACTOR / 2 / self.recent_rate.half_life_ns)
+        confident_rate = recent_rate - CONFIDENCE_DEVIATIONS * deviation
         peak = self.rate.read(now)
         if confident_rate > peak:
             self.rate.value = confident_rate
             self.is_saturated = queueing_ratio > limit / 2
-        # The rate also falls as a burst ends: only with enough requests open does it show a lower limit.
+        # The recent rate also falls as a burst ends; it shows a slower fleet only with many open requests.
         elif queueing_ratio > limit and open_requests > peak * self._objective_ns * limit / 2:
-            self.rate.value += SATURATED_SMOOTHING_FACTOR * (rate - peak)
+            self.rate.value += SATURATED_SMOOTHING_FACTOR * (recent_rate - peak)
             self.is_saturated = True
--- a/anisespool/balancer/admission/queueing_ratio.py
+++ b/anisespool/balancer/admission/queueing_ratio.py
@@ -1,4 +1,4 @@
-"""Queueing ratio: the share of their latency objectives that attempts took recently."""
+"""Queueing ratio: the share of their latency objectives that recent attempts took."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 QUEUEING_SMOOTHING_FACTOR = 0.3  # high, to react within a few attempts
 GOSSIP_SMOOTHING_FACTOR = 0.5  # weight of another sidecar's queueing ratio
-QUEUEING_HALF_LIFE_DEADLINES = 4
-RECENT_MAX_HALF_LIFE_OBJECTIVES = 5
+QUEUEING_HALF_LIFE_DEADLINES = 4  # the ratio's half-life, in multiples of the longest deadline
+RECENT_MAX_HALF_LIFE_OBJECTIVES = 5  # the recent maximum's half-life, in latency objectives
 
 
 class QueueingRatio:
-    """An exponentially weighted moving average of samples from 0 (no wait) to 1 (objective missed).
+    """An exponentially weighted moving average of shares of the objective, from 0 to 1 (objective missed).
 
-    Without samples it decays. Its recent maximum decays faster.
+    Between samples, the average and its recent maximum decay, each with its own half-life.
     """
 
     def __init__(self, longest_deadline_ns: int, objective_ns: int) -> None:
         self.ratio = DecayingValue(QUEUEING_HALF_LIFE_DEADLINES * longest_deadline_ns)
         self._max_half_life_ns = RECENT_MAX_HALF_LIFE_OBJECTIVES * objective_ns
         self._max = 0.0
-        self._max_at = 0
+        self._max_at = 0  # monotonic ns
 
     def recent_max(self, now: int) -> float:
         """Return the decayed recent maximum, or the ratio last read if that is greater."""
--- a/anisespool/balancer/admission/retry_after.py
+++ b/anisespool/balancer/admission/retry_after.py
@@ -1,6 +1,6 @@
 """Retry-After: the delay after which a rejected client may retry.
 
-Clients that were rejected together are spread over the time in which the excess is worked off.
+Clients that were rejected together return one after another once the excess is worked off.
 """
 
 from random import Random
@@ -9,7 +9,7 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 
-MIN_RATE_REQUESTS = 1e-12  # requests per ns
+MIN_RATE_REQUESTS = 1e-12  # requests per ns; avoids a division by zero
 
 
 class RetryAfterLimits(NamedTuple):
@@ -19,7 +19,7 @@
     mild_rejection_share: float = 0.5
     """Share of recent requests rejected up to which a client's next attempt probably succeeds."""
     severe_rejection_share: float = 0.8
-    """Share of recent requests rejected above which it probably fails."""
+    """Share of recent requests rejected above which a client's next attempt probably fails."""
     spread_objectives: float = 0.25
     """Period over which clients that were rejected together return, in latency objectives."""
     min_delay_ns: int = 1_000_000
@@ -29,7 +29,7 @@
 
 
 class RetryAfterSchedule:
-    """Assigns each rejected client the next free instant."""
+    """Assigns each rejected client the next free instant at which it may return."""
 
     def __init__(self, settings: api.Settings, answer_rate: DecayingValue, random: Random) -> None:
         self._max_delay_ns = settings.max_retry_after_ns if settings.may_retry_after else 0
@@ -67,7 +67,7 @@
     def _severity(self) -> float:
         """Return 0 where few recent requests were rejected, up to 1 where most were."""
         rejected = self._rejection_rate.value
-        share = rejected / (rejected + self._answer_rate.value)  # callers have just read both
+        share = rejected / (rejected + self._answer_rate.value)  # callers have updated both to now
         mild = LIMITS.mild_rejection_share
         if share <= mild:
             return 0.0
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -1,7 +1,8 @@
 """Rate at which the fleet serves this sidecar, relative to what its endpoints could do.
 
-Answers take long for two reasons. Queueing behind this sidecar's own burst is expected, and must not shed
-requests that still fit. The rest is external: requests of other sidecars, or a fleet that has slowed down.
+Answers take long for two reasons. Queueing behind this sidecar's own burst is expected, and is no reason to
+shed requests that can still be answered in time. The rest is external: requests of other sidecars, or a fleet
+that has slowed down.
 """
 
 from math import exp2
@@ -11,16 +12,16 @@
 from anisespool.balancer.admission.latency_limit import LIMIT_MARGIN_SHARE, LatencyLimit
 from anisespool.balancer.admission.peak_rate import PeakRate
 
-SERVICE_RATE_SMOOTHING_FACTOR = 0.05  # applies while answers queue
-RECOVERY_SMOOTHING_FACTOR = 0.1  # applies while answers don't queue
-NO_EXPLORATION_RATIO = 0.2  # external queueing ratio from which the peak is no longer exceeded
+SERVICE_RATE_SMOOTHING_FACTOR = 0.05  # applies while requests queue
+RECOVERY_SMOOTHING_FACTOR = 0.1  # applies while requests don't queue
+NO_EXPLORATION_RATIO = 0.2  # external queueing ratio from which on the peak rate is not exceeded
 
 
 class QueueingSample(NamedTuple):
     """Latency of one attempt, as a sample for admission control."""
 
     objective_share: float
-    """Share of the request's latency objective that it took, 0 to 1."""
+    """Share of the request's latency objective that the attempt took, 0 to 1."""
     smoothing_factor: float
     """Weight of this sample."""
     target_ns: int
@@ -48,15 +49,15 @@
     def rate(self, now: int, concurrency: float) -> float:
         """Return how many requests per ns the fleet can serve.
 
-        This is the higher of the rate from the endpoints' concurrency and the typical latency (Little's law)
-        and the peak rate. A peak reached without queueing may be exceeded by a step, which external queueing
-        reduces.
+        This is the higher of two rates: one from the endpoints' concurrency and the typical latency (Little's
+        law), and the peak rate. A peak reached without queueing may be exceeded by up to EXPLORATION_FACTOR;
+        external queueing lowers this factor.
         """
-        rate = self.service_rate_ratio * concurrency / max(self._latency.typical_latency_ns, 1.0)
+        expected_rate = self.service_rate_ratio * concurrency / max(self._latency.typical_latency_ns, 1.0)
         peak = self._peak.rate.read(now)
         external = min(max(self.external_queueing_ratio / NO_EXPLORATION_RATIO, 0.0), 1.0)
-        step = 1.0 if self._peak.is_saturated else EXPLORATION_FACTOR - external * (EXPLORATION_FACTOR - 1)
-        return max(rate, peak * step)
+        factor = 1.0 if self._peak.is_saturated else EXPLORATION_FACTOR - external * (EXPLORATION_FACTOR - 1)
+        return max(expected_rate, peak * factor)
 
     def record(self, now: int, sample: QueueingSample, queueing_ratio: float, concurrency: float) -> None:
         """Update the estimates with the latency of an attempt.
@@ -82,13 +83,13 @@
             self.service_rate_ratio += RECOVERY_SMOOTHING_FACTOR * (1.0 - self.service_rate_ratio)
 
     def _recover_with_time(self, now: int) -> None:
-        """Move the ratio toward 1: a burst of other sidecars that is not observed again has ended."""
+        """Move the service rate ratio toward 1, as a burst of others that is not observed again has ended."""
         decay = exp2((self._updated_at - now) / self._longest_deadline_ns)
         self.service_rate_ratio = 1.0 - (1.0 - self.service_rate_ratio) * decay
         self._updated_at = now
 
     def _record_external_queueing(self, sample: QueueingSample, nominal_rate: float) -> None:
-        """Update the queueing beyond an answer's typical latency and this sidecar's own backlog."""
+        """Update the part of latencies that exceeds the typical latency and this sidecar's own backlog."""
         rate = max(self._peak.rate.value, nominal_rate * self.service_rate_ratio)
         backlog_ns = sample.open_before / rate if rate else 0.0
         expected_share = (self._latency.typical_latency_ns + backlog_ns) / sample.target_ns
--- a/anisespool/balancer/admission/tenant_quota.py
+++ b/anisespool/balancer/admission/tenant_quota.py
@@ -8,7 +8,7 @@
 from anisespool.balancer.estimates.decaying_value import DecayingValue
 
 QUOTA_TOLERANCE_FACTOR = 1.5  # allows for fluctuations of a tenant's rate
-OVER_QUOTA_CAPACITY_SHARE = 0.5  # share of the capacity that a tenant beyond its share may use
+OVER_QUOTA_CAPACITY_SHARE = 0.5  # part of the capacity that is open to a tenant beyond its quota
 
 
 class TenantQuota:
@@ -24,7 +24,10 @@
             self._rates[tenant].add(now)
 
     def exceeds_quota(self, tenant: int, tenants: tuple[api.Tenant, ...], now: int) -> bool:
-        """Return whether this request counts, at random, to what its tenant sends beyond its share.
+        """Decide at random whether this request is one of those that its tenant sends beyond its quota.
+
+        The probability is the part of the tenant's rate above QUOTA_TOLERANCE_FACTOR times the rate of its
+        share, given the rates of the other tenants.
 
         Args:
             tenant: Index of the tenant.
@@ -36,5 +39,6 @@
         rates = [rate.read(now) for rate in self._rates]
         share = tenants[tenant].share
         others_rate = sum(rates) - rates[tenant]
-        drawn_rate = self._random.random() * rates[tenant] * (1 - share)
-        return drawn_rate > others_rate * share * QUOTA_TOLERANCE_FACTOR
+        # Both sides are multiplied by 1 - share, which may be 0.
+        scaled_draw = self._random.random() * rates[tenant] * (1 - share)
+        return scaled_draw > others_rate * share * QUOTA_TOLERANCE_FACTOR
--- a/anisespool/balancer/estimates/class_latency.py
+++ b/anisespool/balancer/estimates/class_latency.py
@@ -4,7 +4,7 @@
 
 from anisespool.balancer import interface as api
 
-CLASS_SMOOTHING_FACTOR = 0.02  # averages over about 50 answers: slower than any endpoint's slowdown
+CLASS_SMOOTHING_FACTOR = 0.02  # averages over about 50 answers, more than any endpoint's slowdown
 INITIAL_LATENCY_OBJECTIVES = 1 / 4  # typical latency before the first answer
 # Bounds on a request's expected latency, in typical latencies of its class: a hint may be any number.
 MIN_EXPECTED_LATENCIES = 1 / 4
--- a/anisespool/balancer/estimates/concurrency.py
+++ b/anisespool/balancer/estimates/concurrency.py
@@ -5,7 +5,8 @@
 from anisespool.balancer.endpoint import Endpoint
 
 MAX_CONCURRENCY_REQUESTS = 64.0
-MAX_UNCONTENDED_LATENCIES = 2.0  # answers up to this long did not queue; above 1, as requests differ in work
+# An attempt of up to this many uncontended latencies did not queue; above 1, as requests differ in work.
+MAX_UNCONTENDED_LATENCIES = 2.0
 UNCONTENDED_FALL_SMOOTHING_FACTOR = 0.3
 # Slower than a fall: a longer answer may have queued behind requests of other sidecars.
 UNCONTENDED_RISE_SMOOTHING_FACTOR = 0.1
@@ -18,16 +19,16 @@
 class ConcurrencyEstimator:
     """Estimates each endpoint's concurrency.
 
-    An answer that took no longer than an uncontended one was served concurrently with all attempts in flight.
-    In a load report with queued requests, those in service are as many as the endpoint serves at a time.
+    An attempt that did not queue was served concurrently with all others in flight at the endpoint. If a load
+    report has queued requests, its requests in service are as many as the endpoint serves at a time.
     """
 
     def __init__(self, class_count: int) -> None:
-        # Mean latency by class of attempts without another of this sidecar's in flight there; 0: none yet.
+        # Mean latency, by class, of attempts that were this sidecar's only one at the endpoint; 0: none yet.
         self.uncontended_latency_ns = [0.0] * class_count
 
     def record_answer(self, endpoint: Endpoint, class_index: int, latency_ns: int, in_flight: int) -> None:
-        """Update the estimate with an answer to one of `in_flight` attempts of this sidecar there."""
+        """Update the estimate with an answer to one of this sidecar's `in_flight` attempts there."""
         observed = self._observe(class_index, latency_ns, in_flight, endpoint.observed_concurrency)
         endpoint.observed_concurrency = min(observed, MAX_CONCURRENCY_REQUESTS)
 
@@ -43,7 +44,7 @@
         return observed
 
     def record_report(self, endpoint: Endpoint, queue: float, in_flight: float) -> None:
-        """Update the estimate with a load report: requests queued there, and all requests there."""
+        """Update the estimate with a load report: `queue` requests wait among `in_flight` at the endpoint."""
         if MIN_BUSY_QUEUE_REQUESTS <= queue <= MAX_BUSY_QUEUE_REQUESTS:
             in_service = max(1.0, min(in_flight - queue, MAX_CONCURRENCY_REQUESTS))
             previous = endpoint.reported_concurrency or in_service
--- a/anisespool/balancer/estimates/load.py
+++ b/anisespool/balancer/estimates/load.py
@@ -20,8 +20,8 @@
     def __init__(self, settings: api.Settings, half_life_ns: int, concurrency: ConcurrencyEstimator) -> None:
         columns = settings.load_report_columns
         has_queue = QUEUE_COLUMN in columns
-        # An index past the reported columns is in no report. Without a queue column, the requests in flight
-        # are used in its place.
+        # An index past the reported columns stands for a missing column. Without a queue column, the requests
+        # in flight are used in its place.
         names = [*columns, QUEUE_COLUMN, IN_FLIGHT_COLUMN]
         self._queue_column = names.index(QUEUE_COLUMN if has_queue else IN_FLIGHT_COLUMN)
         self._in_flight_column = names.index(IN_FLIGHT_COLUMN) if has_queue else len(names)
@@ -30,7 +30,10 @@
         self.mean_queue = 0.0  # exponentially weighted moving average over all reports
 
     def effective_load(self, endpoint: Endpoint, now: int) -> float:
-        """Return L_i in requests: the reported queue, decayed toward the mean, plus attempts sent since."""
+        """Return L_i in requests: the reported queue, decayed toward the mean, plus attempts sent since.
+
+        The result is at least the number of this sidecar's attempts in flight.
+        """
         in_flight = len(endpoint.in_flight)
         decay = exp2((endpoint.reported_at - now) / self._half_life_ns)
         sent = endpoint.sent_since_report
@@ -51,7 +54,7 @@
     def record_observation(
         self, endpoint: Endpoint, observation: api.EndpointObservation, observed_at: int
     ) -> None:
-        """Apply another sidecar's observation if it is newer and of the same process."""
+        """Apply another sidecar's observation if it is newer than the last report and of the same process."""
         is_newer = observed_at > max(endpoint.reported_at, endpoint.listing.started_ns)
         if is_newer and 0 <= observation.queue < MAX_REPORTED_REQUESTS:
             self._set_queue(endpoint, observation.queue, observed_at)
--- a/anisespool/balancer/estimates/slowdown.py
+++ b/anisespool/balancer/estimates/slowdown.py
@@ -10,9 +10,9 @@
 SUCCESS_SMOOTHING_FACTOR = 0.3
 FAILURE_SMOOTHING_FACTOR = 0.6  # applies within a class; higher, as failures are rarer than answers
 GROUP_SMOOTHING_FACTOR = 0.1  # a machine group's mean averages over about 10 answers
-CLASS_HALF_LIFE_DEADLINES = 8  # longer than over all classes, as answers of one class are rarer
-MAX_SLOWDOWN_RATIO = 50.0  # bounds a sample: a single stall must not starve an endpoint
-MIN_SLOWDOWN_RATIO = 1e-9
+CLASS_HALF_LIFE_DEADLINES = 8  # times the one over all classes, as answers of one class are rarer
+MAX_SLOWDOWN_RATIO = 50.0  # bounds a sample, so that a single stall does not starve an endpoint
+MIN_SLOWDOWN_RATIO = 1e-9  # slowdowns are divisors
 MAX_GOSSIPED_RATIO = 1e9  # slowdowns of this size or more from other sidecars are invalid
 
 
@@ -32,7 +32,7 @@
         """Return an endpoint's slowdown as of `now`, in one class where it is given.
 
         Samples of the class take precedence: the mean hides that an endpoint fails one class if it serves the
-        others. An endpoint that stalls yields no samples, so the age of its oldest attempt counts as one.
+        others. An endpoint that stalls yields no samples, so the age of its oldest attempt is a lower bound.
         """
         # `typical_slowdown` is inlined: this runs for every candidate of every attempt.
         slowdown = self.group_slowdown.get(endpoint.machine_group) or self.mean_weight / endpoint.weight
@@ -66,7 +66,7 @@
     def record_sample(
         self, endpoint: Endpoint, class_index: int, sample: float, previous: float, succeeded: bool, now: int
     ) -> None:
-        """Move an endpoint's slowdown, `previous` over all classes, toward the sample of one attempt."""
+        """Move an endpoint's slowdowns, in one class and over all (`previous`), toward one sample."""
         previous_in_class = self.slowdown(endpoint, now, class_index)
         alpha = SUCCESS_SMOOTHING_FACTOR if succeeded else FAILURE_SMOOTHING_FACTOR
         class_slowdown = endpoint.slowdown_by_class.get(class_index)
@@ -79,7 +79,7 @@
     def record_observation(
         self, endpoint: Endpoint, observation: api.EndpointObservation, observed_at: int
     ) -> None:
-        """Apply another sidecar's observation if it is newer and of the same process."""
+        """Apply another sidecar's observation if it is newer than the last sample and of the same process."""
         is_newer = observed_at > max(endpoint.slowdown_at, endpoint.listing.started_ns)
         if is_newer and 0 < observation.slowdown < MAX_GOSSIPED_RATIO:
             self._set_slowdown(endpoint, min(observation.slowdown, MAX_SLOWDOWN_RATIO), observed_at)
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -50,7 +50,7 @@
     time_left_ns: int = OBJECTIVE,
     exceeds_quota: bool = False,
 ) -> int:
-    """The largest number of open requests at which a request is admitted."""
+    """Return the largest number of open requests at which a request is admitted."""
     for count in range(1, 5000):
         admission.snapshots.taken_at = -OBJECTIVE  # makes decide() take a new snapshot
         source = partial(LoadSnapshot, fleet, open_requests)
@@ -116,7 +116,7 @@
     admission, small_fleet = new_admission(), FleetCapacity(1.0, 0.0)
     now = record_answers(admission, SECOND, 3000, 2 * MS, 300 * MS)
     assert admission.peak.is_saturated
-    # The fleet is idle again; the peak allows 350 in an objective, less a tenth.
+    # The fleet is idle again. 500 answers a second are 350 in an objective; deviation and decay take a tenth.
     now = record_answers(admission, now, 30, 100 * MS, 20 * MS)
     assert 150 < capacity(admission, now, small_fleet) < 350
 
@@ -152,7 +152,7 @@
 
 
 def test_only_queueing_beyond_this_sidecars_own_burst_is_external() -> None:
-    """If all of it were, queueing at the start of a burst that fits would get its end rejected."""
+    """If all queueing were, queueing at the start of a burst that fits would get its end rejected."""
     own, others = new_admission(), new_admission()
     for admission, open_before in ((own, 200), (others, 3)):
         now = record_answers(admission, SECOND, 50, 100 * MS, 20 * MS)
@@ -221,7 +221,7 @@
     def take_snapshot() -> LoadSnapshot:
         nonlocal snapshots
         snapshots += 1
-        return LoadSnapshot(IDLE, OpenRequests(0, 0.0, now))  # one has always just missed its objective
+        return LoadSnapshot(IDLE, OpenRequests(0, 0.0, now))  # a request has always just missed its objective
 
     for count in range(10_000):  # within one objective
         at = now + count * 70_000
--- a/tests/balancer/test_estimates.py
+++ b/tests/balancer/test_estimates.py
@@ -26,7 +26,7 @@
     sidecar = Sidecar([listed(n) for n in range(1, 6)])
 
     def share_of_first(requests: int, is_failing: bool) -> float:
-        """Serve requests, where endpoint 1 may fail; returns its share of them."""
+        """Serve requests, which fail at endpoint 1 if `is_failing`; returns its share of them."""
         chosen = []
         for _ in range(requests):
             [send] = sends(sidecar.request(cls=2))
@@ -117,7 +117,7 @@
 
 
 def test_an_endpoint_without_samples_takes_its_machine_groups_mean() -> None:
-    """Most of many endpoints have no samples; slow machines must not get the weight of fast ones."""
+    """In a large fleet, most endpoints have no samples; slow ones must not get the weight of fast ones."""
     fast = [listed(n, machine_type=0) for n in range(20)]
     slow = [listed(n, machine_type=1) for n in range(20, 40)]
     sidecar = Sidecar([*fast, *slow], seed=3)
@@ -134,7 +134,10 @@
 
 @pytest.mark.parametrize(("latency_ns", "expected"), [(90 * MS, 4.5), (300 * MS, 1.0)])
 def test_an_answer_that_did_not_queue_shows_the_concurrency(latency_ns: int, expected: float) -> None:
-    """An answer that took at most twice an uncontended one was served along with all eight in flight."""
+    """An answer within two uncontended latencies was served along with all eight in flight.
+
+    The estimate moves halfway from 1 to 8.
+    """
     sidecar = Sidecar([listed(1)])
     sidecar.serve(30, latency_ns=50 * MS)
     estimator = sidecar.balancer.estimates.concurrency
