--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -27,9 +27,9 @@
     retry_after_ns: int = 0
     """Time until the excess is worked off; 0: unknown, or not to be sent."""
     open_in_time: int = 0
-    """Open requests that have not missed their objectives; all open requests if it was shed by latency."""
+    """Open requests without a missed objective; all open requests if this one was shed by latency."""
     capacity: float = 0.0
-    """Open requests that can be answered in time; 0: the request was admitted, or shed by latency."""
+    """Open requests that can be answered in time; 0: this one was admitted, or shed by latency."""
 
 
 ADMITTED = AdmissionDecision(False)
@@ -73,7 +73,7 @@
             self.offered.answer_rate.add(now)
             self.peak.record_answer(now, open_now, self.queueing.ratio.value, self.latency.limit)
         concurrency = self.snapshots.snapshot.fleet.concurrency
-        # Queueing is presumed once the open requests exceed half of what the fleet serves at a time.
+        # Queueing is presumed if more than half of what the fleet serves at a time was open before.
         has_queued = bool(concurrency) and open_before > concurrency / 2
         self.latency.record_answer(latency_ns, self._objectives_ns[class_index], has_queued)
 
--- a/anisespool/balancer/admission/fleet_capacity.py
+++ b/anisespool/balancer/admission/fleet_capacity.py
@@ -13,7 +13,7 @@
     """Capacity and queues of the ready endpoints."""
 
     concurrency: float
-    """Requests that they serve at a time: by load reports, or EXPLORATION_FACTOR times what was observed."""
+    """Requests served at a time: by load reports, or EXPLORATION_FACTOR times what was observed."""
     queued_by_others: float
     """Requests of other sidecars that queue there, from load reports."""
 
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -13,9 +13,9 @@
 MAX_LIMIT_RATIO = 0.95  # above this share of the objective, requests are shed in any case
 LIMIT_MARGIN_SHARE = 0.25  # share of the time left by uncontended answers that queueing may take
 LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies average over about 50 answers
-UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the least ratio with each answer: it doubles in about 7,000
+UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the uncontended ratio with each answer: doubles in about 7,000
 INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # typical latency before the first answer
-FULL_SHEDDING_SHARE = 0.6  # part of the way from the limit to a ratio of 1 at which all are shed
+FULL_SHEDDING_SHARE = 0.6  # part of the way from the limit to 1 at which all would be shed
 MAX_SHED_SHARE = 0.95  # some requests are always admitted, as latencies are observed on those alone
 
 
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -34,7 +34,7 @@
     """Estimates the rate at which this sidecar's requests are served.
 
     Attributes:
-        service_rate_ratio: Rate at which endpoints serve this sidecar over what they could, 0 to 1.
+        service_rate_ratio: Rate at which endpoints serve this sidecar, relative to what they could, 0 to 1.
         external_queueing_ratio: Part of the queueing ratio not explained by this sidecar's own requests.
     """
 
@@ -89,7 +89,7 @@
         self._updated_at = now
 
     def _record_external_queueing(self, sample: QueueingSample, nominal_rate: float) -> None:
-        """Update the part of latencies that exceeds the typical latency and this sidecar's own backlog."""
+        """Update the external queueing ratio: latency beyond the typical one and this sidecar's backlog."""
         rate = max(self._peak.rate.value, nominal_rate * self.service_rate_ratio)
         backlog_ns = sample.open_before / rate if rate else 0.0
         expected_share = (self._latency.typical_latency_ns + backlog_ns) / sample.target_ns
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -69,7 +69,7 @@
 
         self.pending: dict[int, PendingRequest] = {}
         self.open_requests = 0
-        self._runnable: list[PendingRequest] = []  # first of their keys' queues, after another left
+        self._runnable: list[PendingRequest] = []  # may be sent now, as another has left their queue
         self.ordering = KeyOrdering(settings.ordering_settle_ns)
         self.request_rate = DecayingValue(REQUEST_RATE_HALF_LIFE_DEADLINES * longest_deadline_ns)
 
--- a/anisespool/balancer/estimates/slowdown.py
+++ b/anisespool/balancer/estimates/slowdown.py
@@ -29,7 +29,7 @@
         self.group_slowdown: dict[MachineGroup, float] = {}
 
     def slowdown(self, endpoint: Endpoint, now: int, class_index: int | None = None) -> float:
-        """Return an endpoint's slowdown as of `now`, in one class where it is given.
+        """Return an endpoint's slowdown as of `now`, in one class if `class_index` is given.
 
         Samples of the class take precedence: the mean hides that an endpoint fails one class if it serves the
         others. An endpoint that stalls yields no samples, so the age of its oldest attempt is a lower bound.
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -32,7 +32,10 @@
 
 
 def inspect(balancer: Balancer, now: int, limit: int) -> BalancerView:
-    """Return the module's state as of `now` (monotonic ns), with at most `limit` endpoints."""
+    """Return the module's state as of `now` (monotonic ns), with at most `limit` endpoints.
+
+    The module's time advances to `now`.
+    """
     balancer.now = max(balancer.now, now)
     shares = _selection_shares(balancer)
     views = []
--- a/anisespool/balancer/interface.py
+++ b/anisespool/balancer/interface.py
@@ -142,7 +142,7 @@
     """A gossip message from another sidecar has arrived."""
 
     sender: int
-    queueing_ratio: float = 0.0  # 0: recent attempts did not queue; 1: all missed their objectives
+    queueing_ratio: float = 0.0  # share of their objectives that recent attempts took; 1: all missed
     observations: tuple[EndpointObservation, ...] = ()
 
 
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -11,7 +11,7 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.estimates.decaying_value import RATE_NORMALIZATION_FACTOR, DecayingValue
 
-PLANNED_ALLOWANCE_SHARE = 0.6  # part of the overload multiple: traffic is uneven and estimates are rough
+PLANNED_ALLOWANCE_SHARE = 0.6  # used part of the overload multiple: traffic is uneven and estimates are rough
 INITIAL_WARMUP_REQUESTS = 1.5  # decaying work allowed before the first answer, in requests
 HALF_LIFE_WINDOW_PERCENT = 25  # part of the overload window that is the half-life of both rates
 
--- a/anisespool/balancer/simulator/protocol.py
+++ b/anisespool/balancer/simulator/protocol.py
@@ -27,7 +27,7 @@
 _GOSSIP_RECEIVED = struct.Struct("<IHH")
 
 _OBSERVATION = struct.Struct("<IBBB")
-_STEPS_PER_DOUBLING = 16  # gossip has logarithmic values, which double with each of these steps
+_STEPS_PER_DOUBLING = 16  # gossip has logarithmic values: a value doubles in this many steps
 _AGE_UNIT_NS = 50_000_000  # gossip has ages in this unit
 
 _ALL_INSTANCES = 0xFFFFFFFF
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -36,6 +36,7 @@
     """The endpoint starts with a quarter of its capacity, and fails at more than 2.5 times its capacity."""
     fair = 1 / 5
     warming_share = share_sent_to_warming([listed(n) for n in range(1, 6)], {5}, 5 * MS)
+    # In this second, the capacity rises from 0.25 to 0.33; the bound of 0.5 leaves a margin.
     assert warming_share < 2.5 * 0.5 * fair
 
 
--- a/tests/balancer/test_weights.py
+++ b/tests/balancer/test_weights.py
@@ -59,11 +59,11 @@
     for _ in range(60):  # open at the same time; none is rejected, as the answer rate is not known yet
         for send in sends(sidecar.request()):
             counts[send.endpoint] += 1
-    assert min(counts.values()) > 20  # even odds would fail for one seed in 75
+    assert min(counts.values()) > 20  # even odds would fail for one seed in 74
 
 
 def test_endpoints_with_an_idle_connection_are_preferred_if_handshakes_have_a_cost() -> None:
-    """Without this, hundreds of sidecars open a connection for every second request."""
+    """Without the preference, hundreds of sidecars open a connection for every second request."""
     endpoints_used = {}
     for price in (0.0, 0.07):
         sidecar = Sidecar([listed(n) for n in range(8)], prices__handshake=price)
