--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -10,7 +10,7 @@
 from anisespool.balancer import interface as api
 
 MIN_LIMIT_RATIO = 0.5  # share of the objective that answers may always take
-MAX_LIMIT_RATIO = 0.95  # above this share of the objective, requests are shed in any case
+MAX_LIMIT_RATIO = 0.95  # upper bound on the limit: load is shed at any ratio above it
 LIMIT_MARGIN_SHARE = 0.25  # share of the time left by uncontended answers that queueing may take
 LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies average over about 50 answers
 UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the uncontended ratio with each answer: doubles in about 7,000
