--- a/anisespool/balancer/interface.py
+++ b/anisespool/balancer/interface.py
@@ -24,7 +24,7 @@
 
     ERROR = 0
     OK = 1
-    FULL = 2
+    FULL = 2  # the endpoint has rejected the attempt without executing it
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -79,7 +79,7 @@
 
     request: int
     class_index: int
-    remaining_ns: int  # time until the client gives up this request
+    remaining_ns: int  # time until the client gives up its current attempt
     work_hint_ns: int | None = None  # expected work, as time on a standard core
     key: int = 0  # key for ordering and key affinity; 0: none
     tenant: int = 0  # index into the settings' tenants
@@ -142,7 +142,7 @@
     """A gossip message from another sidecar has arrived."""
 
     sender: int
-    queueing_ratio: float = 0.0  # 0: recent attempts did not queue; 1: all missed their objectives
+    queueing_ratio: float = 0.0  # share of their objectives that recent attempts took; 1: all missed
     observations: tuple[EndpointObservation, ...] = ()
 
 
