--- a/anisespool/codec/http1/encoding.py
+++ b/anisespool/codec/http1/encoding.py
@@ -10,7 +10,7 @@
 
 
 def encode_request(request: Request, host: bytes, headers: dict[bytes, bytes]) -> bytes:
-    """Encode a request with `headers` instead of its own, in one piece so that it can fit one packet."""
+    """Encode a request with `headers` in place of its own, as one buffer so that it can fit one packet."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1", b"Host: " + host]
     lines += [name + b": " + value for name, value in headers.items()]
     if request.body or request.method != b"GET":
--- a/anisespool/codec/http1/message_buffer.py
+++ b/anisespool/codec/http1/message_buffer.py
@@ -50,7 +50,7 @@
 
     @property
     def content_length(self) -> int:
-        """Declared length of the body, 0 without one. httptools accepts only a number."""
+        """Declared length of the body; 0 without one. httptools rejects a value that is no number."""
         declared = self.headers.get(b"content-length")
         return int(declared) if declared else 0
 
@@ -66,7 +66,7 @@
         return b"close" in (option.strip() for option in options)
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Add a header. Trailers count towards the limit but are not stored."""
+        """Add a header or trailer. Trailers count towards the limit but are not stored."""
         name = name.lower()
         value = value or b""
         self.head_bytes += len(name) + len(value)
@@ -83,7 +83,7 @@
             self.body.append(data)
 
     def end_head(self) -> None:
-        """Check the framing headers once the head is complete."""
+        """Mark the head as complete, and the message as ambiguous if its framing headers are."""
         self.in_head = False
         encoding = self.headers.get(b"transfer-encoding")
         if encoding is not None and (encoding.lower() != b"chunked" or b"content-length" in self.headers):
--- a/anisespool/codec/http1/request_parser.py
+++ b/anisespool/codec/http1/request_parser.py
@@ -15,7 +15,7 @@
     """Parses received bytes into complete requests.
 
     Attributes:
-        error_status: Status of the response to invalid input, after which parsing stops; 0 without one.
+        error_status: Status of the response to invalid input, after which parsing stops; 0 if there was none.
         expects_continue: Whether the client waits for `100 Continue` before it sends the body.
     """
 
@@ -32,7 +32,7 @@
 
     @property
     def partial(self) -> bool:
-        """Whether part of a request has been received."""
+        """Whether a request has been received in part only."""
         return self._message_begun or self._message.raw_bytes > 0
 
     def close(self) -> None:
@@ -48,9 +48,10 @@
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # no upgrade is supported
                 self.error_status = self.error_status or HTTPStatus.BAD_REQUEST
                 # The declared length may not fit what follows. The end of the last message received with the
-                # invalid bytes is therefore uncertain, and the message may contain another request.
+                # invalid bytes is uncertain, so it is dropped: it may contain another request.
                 if self._completed:
                     self._completed.pop()
+            # Input that completes a message is not counted: the next message's part of it is unknown.
             if message_before is self._message:
                 message_before.raw_bytes += len(data)
             if self._message.too_large:
@@ -75,7 +76,10 @@
         self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Reject a head that is ambiguous or too large before its body arrives."""
+        """Check the head before the body arrives.
+
+        It is rejected if it is ambiguous, too large or announces too large a body.
+        """
         message = self._message
         message.end_head()
         if message.ambiguous:
--- a/anisespool/codec/http1/response_parser.py
+++ b/anisespool/codec/http1/response_parser.py
@@ -1,4 +1,4 @@
-"""Parser for one response."""
+"""Parser for one response and the interim responses before it."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         return self.response
 
     def _invalid_input(self) -> None:
-        """Mark the response as failed or, if it is complete, mark only the connection as unusable."""
+        """Mark the response as failed or, if it is complete, the connection as not reusable."""
         if self.response is None:
             self.failed = True
         else:
--- a/anisespool/codec/json_stream.py
+++ b/anisespool/codec/json_stream.py
@@ -17,7 +17,7 @@
 
 
 class FeedResult(NamedTuple):
-    """What a piece of input completed."""
+    """Documents and line ends that a piece of input completed."""
 
     documents: list[Any]
     line_ends: int
@@ -113,7 +113,7 @@
 
 
 def _parse_first_line(line: bytes) -> Any:
-    """Parse a document that may end with its first line; return None if it continues.
+    """Parse a document that may end with its first line; return None if it ends earlier or later.
 
     An invalid document may have no end and would then include the following documents. No JSON token
     continues after a line end, so invalid input before it can be rejected at once.
--- a/anisespool/listener/connection.py
+++ b/anisespool/listener/connection.py
@@ -20,7 +20,7 @@
 from anisespool.proxy.call import FinalResponse
 
 MAX_PIPELINED_REQUESTS = 64  # requests read ahead on one connection
-MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # limit on their total, as hundreds of clients may pipeline
+MAX_PIPELINED_BODY_BYTES = http1.MAX_BODY_BYTES  # limit on their total size; hundreds of clients may pipeline
 MIN_QUEUE_WAIT_NS = 1_000_000  # a shorter wait in the pipeline is not subtracted from the client's timeout
 DISCARD_PAUSE_S = 0.004  # pause between two reads of discarded input
 
@@ -57,7 +57,7 @@
         self._pipelined: deque[PipelinedRequest] = deque()
         self._pipelined_body_bytes = 0
         self._idle_before_request_s = 0.0
-        # The open request. Its id is 0 until the proxy's `start_request` has returned.
+        # State of the open request. Its id is 0 until the proxy's `start_request` has returned.
         self._has_open_request = False
         self._request_id = 0
         self._trace_id = b""
@@ -147,7 +147,7 @@
         self._parser.close()
 
     def _discard_input(self) -> None:
-        """Throttle a client that keeps sending after an error; reading all of it would use up the CPU."""
+        """Throttle a client that keeps sending after an error; reading all its input would use up the CPU."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(DISCARD_PAUSE_S, self._resume_reading)
@@ -232,7 +232,7 @@
     def _respond_and_continue(self, response: FinalResponse) -> None:
         """Send the proxy's response and start the next request."""
         self._respond(response)
-        if self._request_id:  # otherwise `_start_requests` is still running and continues
+        if self._request_id:  # if 0, `_start_requests` is still running and continues
             self._request_id = 0
             self._start_requests()
 
@@ -252,7 +252,7 @@
     def _may_keep_alive(self) -> bool:
         """Whether the listener and the keep-alive policy keep the connection open.
 
-        It is never closed once the client has sent its next request, even if that request is unread.
+        The connection is never closed once the client has sent its next request, even if that is unread.
         """
         if self._listener.stopping:
             return self._has_more_input
@@ -280,7 +280,7 @@
             self._transport.write_eof()
 
     def _report_rejection(self, response: FinalResponse, request: http1.Request | None) -> None:
-        """Report a response that the listener itself produced."""
+        """Pass a response that the listener itself produced to `on_reject`, if it is set."""
         if self._listener.on_reject:
             self._listener.on_reject(response, request)
 
@@ -310,13 +310,16 @@
             self.close_if_idle()
 
     def close_if_peer_closed(self) -> None:
-        """Detect that the client has disconnected while reading is paused."""
+        """Close the connection and cancel its requests if the client has disconnected.
+
+        This is detected even while reading is paused.
+        """
         if poll_now(self._transport, PEER_CLOSED_EVENTS):
             self.abort()
             self._cancel()
 
     def close_if_idle(self) -> bool:
-        """Close the connection if it is idle, and return whether it was. Unread input counts as a request."""
+        """Close the connection if it is idle and has no unread input; return whether it was closed."""
         if not self.is_idle or not self._transport or self.has_unread_input:
             return False
         self._closing = True
--- a/anisespool/listener/connection_table.py
+++ b/anisespool/listener/connection_table.py
@@ -96,14 +96,17 @@
         return decision is not KeepAliveDecision.CLOSE
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that has been idle longest, skipping those with an unread request."""
+        """Close the connection that has been idle longest, except those with an unread request.
+
+        At most `MAX_CANDIDATE_CONNECTIONS` are considered.
+        """
         for connection in islice(self._idle, MAX_CANDIDATE_CONNECTIONS):
             if connection.close_if_idle():
                 self.discard(connection)
                 return
 
     def evict_if_full(self) -> None:
-        """Abort one connection at the connection limit, so that the accepted one can be served."""
+        """If the connection limit is reached, abort one connection so that the accepted one can be served."""
         if len(self) < self.max_connections:
             return
         if connection := connection_to_evict(self._new, self._idle, time.monotonic()):
--- a/anisespool/listener/eviction.py
+++ b/anisespool/listener/eviction.py
@@ -11,8 +11,8 @@
 
 from anisespool.listener.tracked_connection import TrackedConnection
 
-NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection for a request sends it within this time
-MAX_CANDIDATE_CONNECTIONS = 16  # limit for each group, to bound the time spent on one accepted connection
+NEW_CONNECTION_GRACE_S = 0.2  # a client that opens a connection to use it sends a request within this time
+MAX_CANDIDATE_CONNECTIONS = 16  # limit on each group of candidates, to bound the time for one accept
 
 
 def connection_to_evict(
--- a/anisespool/listener/keepalive.py
+++ b/anisespool/listener/keepalive.py
@@ -4,9 +4,10 @@
 send one request and keep the connection open can use up all of them. New requests then never reach the
 listener, although this sidecar has descriptors to spare.
 
-An idle connection is useful if it is reused before its descriptor is needed. By Little's law, that is within
-idle limit / (responses per second). The connection's own gaps between a response and the next request predict
-its reuse. After its first request, the share of other connections that were reused predicts it instead.
+An idle connection is useful if it is reused before its descriptor is needed. By Little's law, the descriptor
+is needed after idle limit / (responses per second). The connection's own gaps between a response and the next
+request predict its reuse. After its first request, the share of other connections that were reused predicts
+it instead.
 
 The policy is pure: it uses no I/O and no clock. Times are seconds of one monotonic clock.
 """
@@ -21,12 +22,12 @@
 MAX_IDLE_FRACTION = 1 / 3  # limit on idle connections, relative to the client's descriptors
 CLOSE_SILENT_FRACTION = 0.75  # share of the client's descriptors above which silent connections close
 MIN_IDLE_CONNECTIONS = 4  # allowed regardless of other connections
-RATE_HALF_LIFE_S = 2.0
+RATE_HALF_LIFE_S = 2.0  # time in which the weight of an event in the rates halves
 GAP_WEIGHT = 0.3  # weight of a connection's newest gap in its mean gap
 FIRST_GAP_WEIGHT = 0.1  # weight of one connection's first gap in the average over all connections
 REUSE_WEIGHT = 0.05  # weight of one connection in the reuse ratio
 UNRESTRICTED_FRACTION = 0.5  # share of the idle limit below which every connection stays open
-MIN_REUSE_RATIO = 0.5  # reuse ratio needed to keep connections with one request above that share
+MIN_REUSE_RATIO = 0.5  # above UNRESTRICTED_FRACTION, needed to keep connections with one request
 ARRIVAL_RESERVE_S = 0.5  # descriptors are reserved for the new connections expected in this time
 MIN_RESPONSES_PER_S = 1e-9  # prevents a division by 0 before the first response
 
--- a/anisespool/listener/listener_context.py
+++ b/anisespool/listener/listener_context.py
@@ -1,6 +1,6 @@
 """Interface of the listener, as used by the client connections that it accepted.
 
-It has its own module because `Server` imports `ClientConnection`, which uses this interface.
+The interface has its own module because `Server` imports `ClientConnection`, which uses this interface.
 """
 
 from __future__ import annotations
--- a/anisespool/listener/request.py
+++ b/anisespool/listener/request.py
@@ -21,7 +21,7 @@
 
 
 class InvalidRequest(ValueError):
-    """A well-formed HTTP request that the platform's protocol does not allow. It is never forwarded.
+    """A well-formed HTTP request that the platform's protocol does not allow. No such request is forwarded.
 
     The exception's text is the body of the response.
 
@@ -62,7 +62,7 @@
     request_class = _request_class(segments, names)
     class_settings = settings.classes[request_class]
     headers = request.headers
-    _check_idempotency(request, class_settings.idempotency)
+    _check_trace_id_and_idempotency(request, class_settings.idempotency)
     timeout_ms = _number(headers, b"x-expires-in-ms")
     size_hint_us = _number(headers, b"x-size-hint")
     tenant = names.index_of(names.tenants, headers.get(b"x-customer", b""))
@@ -73,7 +73,7 @@
         tenant=len(names.tenants) if tenant is None else tenant,
         timeout_ns=class_settings.deadline_ns if timeout_ms is None else _timeout_ns(timeout_ms),
         size_hint_ns=None if size_hint_us is None else size_hint_us * 1000,
-        # Computed only if the class or the settings use the key, to save CPU.
+        # The key is computed only if the class or the settings use it, to save CPU.
         affinity_key=_affinity_key(segments[-1]) if has_affinity else 0,
         is_retry=headers.get(b"x-second-try") == b"1",
     )
@@ -95,14 +95,14 @@
 def _percent_decoded(name: bytes) -> bytes:
     """Return the name that a path segment encodes.
 
-    `urllib.parse` is imported here, as only class names beyond ASCII need it and it takes 0.4 MB of memory.
+    `urllib.parse` is imported here, because it takes 0.4 MB of memory and only percent-encoded names need it.
     """
     from urllib.parse import unquote_to_bytes
 
     return unquote_to_bytes(name)
 
 
-def _check_idempotency(request: Request, idempotency: Idempotency) -> None:
+def _check_trace_id_and_idempotency(request: Request, idempotency: Idempotency) -> None:
     """Check the trace id, and that method, body and idempotency key fit the request's class.
 
     Raises:
@@ -117,8 +117,8 @@
         raise InvalidRequest("GET has no body")
     if idempotency is not Idempotency.IDEMPOTENT:
         key = headers.get(b"idempotency-key")
-        unexpected = (key is None) is (idempotency is Idempotency.WITH_KEY)
-        if unexpected or key is not None and not PRINTABLE_TOKEN.fullmatch(key):
+        mismatch = (key is None) is (idempotency is Idempotency.WITH_KEY)
+        if mismatch or key is not None and not PRINTABLE_TOKEN.fullmatch(key):
             raise InvalidRequest("Idempotency-Key does not fit the class")
 
 
@@ -142,5 +142,5 @@
 
 
 def _affinity_key(segment: bytes) -> int:
-    """Return a digest that is the same at every sidecar, and never 0, which stands for no key."""
+    """Return a digest of the key that is the same at every sidecar, and never 0, which stands for no key."""
     return int.from_bytes(hashlib.blake2b(segment, digest_size=8).digest(), "big") or 1
--- a/anisespool/listener/server.py
+++ b/anisespool/listener/server.py
@@ -24,7 +24,7 @@
 
 
 class Server:
-    """Accepts connections without asyncio's server, so that closing resets no connection in the backlog.
+    """Accepts connections without asyncio's server, so that closing the listener resets none in the backlog.
 
     Attributes:
         proxy: Handles valid requests.
@@ -57,7 +57,7 @@
         self.idle_timeout_s = IDLE_TIMEOUT_S
         self.open_trace_ids: set[bytes] = set()
         self.on_reject: RejectionCallback | None = None
-        self._listener: socket.socket | None = None
+        self._listening_socket: socket.socket | None = None
         self._accept_tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -73,10 +73,12 @@
         """
         # asyncio sets TCP_NODELAY on accepted sockets only if the protocol is explicit. Without TCP_NODELAY,
         # the kernel would delay a response that follows another one, and a reset would discard it.
-        self._listener = listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.setblocking(False)
-        listener.bind(address)
+        self._listening_socket = listening_socket = socket.socket(
+            socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
+        )
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.setblocking(False)
+        listening_socket.bind(address)
 
     def listen(self) -> Address:
         """Start accepting connections, and return the bound address.
@@ -84,13 +86,16 @@
         Raises:
             OSError: Another process listens on the address.
         """
-        assert self._listener
-        self._listener.listen(BACKLOG_CONNECTIONS)
+        assert self._listening_socket
+        self._listening_socket.listen(BACKLOG_CONNECTIONS)
         self._start_accepting()
-        return Address(*self._listener.getsockname())
+        return Address(*self._listening_socket.getsockname())
 
     async def sweep(self) -> None:
-        """Apply the timeouts of all inactive connections, without a timer for each. Runs until cancelled."""
+        """Close connections after timeouts and, if they are paused, after disconnects. Runs until cancelled.
+
+        One periodic check replaces a timer for each connection.
+        """
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = time.monotonic()
@@ -102,18 +107,18 @@
 
     async def close_listener(self) -> None:
         """Accept the connections in the backlog, then close the listening socket."""
-        if self._listener:
-            asyncio.get_running_loop().remove_reader(self._listener)
+        if self._listening_socket:
+            asyncio.get_running_loop().remove_reader(self._listening_socket)
             while self._accept_one():  # closing would reset connections left in the backlog
                 pass
-            self._listener.close()
-            self._listener = None
+            self._listening_socket.close()
+            self._listening_socket = None
         if self._accept_tasks:
             await asyncio.wait(self._accept_tasks)
 
     def _start_accepting(self) -> None:
-        if self._listener:
-            asyncio.get_running_loop().add_reader(self._listener, self._accept)
+        if self._listening_socket:
+            asyncio.get_running_loop().add_reader(self._listening_socket, self._accept)
 
     def _accept(self) -> None:
         """Accept at most `MAX_ACCEPTED_CONNECTIONS` connections.
@@ -127,16 +132,16 @@
     def _accept_one(self) -> bool:
         """Accept one connection, and return whether there may be more."""
         loop = asyncio.get_running_loop()
-        if not self._listener:
+        if not self._listening_socket:
             return False
         try:
-            client_socket, _ = self._listener.accept()
+            client_socket, _ = self._listening_socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionError):
             return False
         except OSError as error:
             # Without a free descriptor the listening socket stays readable, and the event loop would spin.
             log_event("listener_accept_failed", error=error, retry_s=ACCEPT_RETRY_S)
-            loop.remove_reader(self._listener)
+            loop.remove_reader(self._listening_socket)
             loop.call_later(ACCEPT_RETRY_S, self._start_accepting)
             return False
         self.table.evict_if_full()
@@ -152,5 +157,5 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: ClientConnection(self, self.table), client_socket)
-        except OSError:  # the client may have reset it already
+        except OSError:  # the client may have reset the connection already
             self.table.accepting -= 1
--- a/anisespool/listener/shutdown.py
+++ b/anisespool/listener/shutdown.py
@@ -25,13 +25,13 @@
     deadline_s = loop.time() + timeout_s
     server.stopping = True
     server.proxy.set_shutdown_deadline(int((deadline_s - FLUSH_RESERVE_S) * 1e9))
-    # Clients use a connection as long as it is open. If it closes now, they can still reconnect.
+    # Clients would keep using an idle connection. If it closes now, they can still reconnect.
     server.table.close_idle()
     await asyncio.sleep(min(accept_s, timeout_s))
     await server.close_listener()
     await _wait_for_connections(server, deadline_s)
     server.table.close_idle()
-    await asyncio.sleep(0)
+    await asyncio.sleep(0)  # lets the event loop close the connections
 
 
 async def _wait_for_connections(server: Server, deadline_s: float) -> None:
--- a/anisespool/listener/timeouts.py
+++ b/anisespool/listener/timeouts.py
@@ -1,7 +1,7 @@
 """Timeouts of client connections, and what happens to a connection when one expires.
 
 The platform has no setting for these timeouts, as its deadlines begin with the last byte of a request.
-Correct clients may be slow; connections of others have to be closed within 3 s.
+Correct clients may be slow; connections of faulty clients have to be closed within 3 s.
 
 The functions are pure: they use no I/O and no clock.
 """
--- a/anisespool/listener/tracked_connection.py
+++ b/anisespool/listener/tracked_connection.py
@@ -1,6 +1,7 @@
 """Interface of a client connection, as used by the connection table, the timeout sweep and the shutdown.
 
-It has its own module because `ClientConnection` imports `ConnectionTable`, which in turn manages connections.
+The interface has its own module because `ClientConnection` imports `ConnectionTable`, which manages
+connections.
 """
 
 from __future__ import annotations
@@ -40,10 +41,10 @@
         """Close or reject the connection if its client took too long (`now_s`: monotonic clock)."""
 
     def close_if_peer_closed(self) -> None:
-        """Detect that the client has disconnected while reading is paused."""
+        """Close the connection if the client has disconnected, detected even while reading is paused."""
 
     def close_if_idle(self) -> bool:
-        """Close the connection if it is idle, and return whether it was."""
+        """Close the connection if it is idle and has no unread input; return whether it was closed."""
 
     def abort(self) -> None:
         """Close immediately, without sending buffered output."""
