--- a/tests/listener/test_bad_clients.py
+++ b/tests/listener/test_bad_clients.py
@@ -110,7 +110,7 @@
 
 @pytest.mark.usefixtures("short_timeouts")
 async def test_timeouts_for_silence_do_not_apply_while_a_request_is_open(tmp_path: Path) -> None:
-    """The timeout for a partial request behind it starts only after the response has been sent."""
+    """A partial request behind the open one times out only after the response has been sent."""
     async with (
         Endpoint(respond_after(0.4)).serve() as endpoint,
         running_sidecar(tmp_path, endpoint) as sidecar,
@@ -158,7 +158,7 @@
 async def test_silent_connections_do_not_displace_those_with_requests(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """The process may have 256 descriptors. A connection with an open request is never evicted."""
+    """The configuration allows 256 descriptors. A connection with an open request is never evicted."""
     async with (
         Endpoint(respond_after(0.3)).serve() as endpoint,
         running_sidecar(tmp_path, endpoint) as sidecar,
--- a/tests/listener/test_keepalive.py
+++ b/tests/listener/test_keepalive.py
@@ -60,7 +60,7 @@
     idle = int(policy.max_idle_limit * 0.7)
     assert policy.decide(now, single_use_connection(policy), idle, 5, 0) is KeepAliveDecision.CLOSE
     assert policy.decide(now, reused_connection(policy, 0.05), idle, 5, 0) is KeepAliveDecision.KEEP
-    # Reused, but after too long a gap.
+    # This connection is reused, but after too long a gap.
     assert policy.decide(now, reused_connection(policy, 5.0), idle, 5, 0) is KeepAliveDecision.CLOSE
 
 
@@ -85,11 +85,11 @@
     assert policy.max_idle_limit < CLIENT_CAPACITY / 2
 
 
-@pytest.mark.parametrize(("active", "silent"), [(CLIENT_CAPACITY, 0), (0, 1000), (CLIENT_CAPACITY, 1000)])
-def test_a_few_idle_connections_are_allowed_regardless_of_other_connections(active: int, silent: int) -> None:
+@pytest.mark.parametrize(("active", "new"), [(CLIENT_CAPACITY, 0), (0, 1000), (CLIENT_CAPACITY, 1000)])
+def test_a_few_idle_connections_are_allowed_regardless_of_other_connections(active: int, new: int) -> None:
     policy = KeepAlivePolicy(DESCRIPTORS)
-    assert policy.max_idle(active, silent) == MIN_IDLE_CONNECTIONS
-    assert policy.decide(1.0, reused_connection(policy, 0.05), 0, active, silent) is KeepAliveDecision.KEEP
+    assert policy.max_idle(active, new) == MIN_IDLE_CONNECTIONS
+    assert policy.decide(1.0, reused_connection(policy, 0.05), 0, active, new) is KeepAliveDecision.KEEP
 
 
 def test_many_new_connections_lower_the_idle_limit() -> None:
@@ -154,7 +154,7 @@
 
 async def test_single_use_connections_do_not_use_up_the_client_descriptors(tmp_path: Path) -> None:
     """The client opens three times as many connections as it has descriptors. Without the policy, the last
-    would wait ten seconds for the first to time out."""
+    connection would wait ten seconds for the first one to time out."""
     async with (
         Endpoint().serve() as endpoint,
         running_sidecar(tmp_path, endpoint, sockets=DESCRIPTORS) as sidecar,
--- a/tests/proxy/test_deadlines.py
+++ b/tests/proxy/test_deadlines.py
@@ -18,5 +18,5 @@
     assert times == [client_gives_up_at - 10 * MS, client_gives_up_at - 4 * MS, client_gives_up_at]
 
 
-def test_the_shutdown_reserves_leave_time_for_the_longest_deadline() -> None:
+def test_the_flush_and_exit_reserves_fit_in_the_margin_before_sigkill() -> None:
     assert 0 < FLUSH_RESERVE_S < SIGKILL_MARGIN_S - EXIT_RESERVE_S
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -68,7 +68,7 @@
         assert len(first.requests) + len(second.requests) == attempts
 
 
-async def test_an_unsafe_request_without_response_fails_by_its_deadline(tmp_path: Path) -> None:
+async def test_a_non_idempotent_request_without_response_fails_by_its_deadline(tmp_path: Path) -> None:
     async with Endpoint(never_respond).serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         started_s = monotonic()
         response = await send_request(sidecar.address, request_bytes("once", left_ms=150))
@@ -208,7 +208,7 @@
 ) -> None:
     async with Endpoint().serve() as endpoint, running_sidecar(tmp_path, endpoint) as sidecar:
         assert (await send_request(sidecar.address, request_bytes())).status == 200
-        await asyncio.sleep(REUSE_DELAY_S)  # the connection to the endpoint is reusable after this
+        await asyncio.sleep(REUSE_DELAY_S)  # then the connection to the endpoint can be reused
         reader, writer = await asyncio.open_connection(*sidecar.address)
         client = socket.socket()
         client.setblocking(False)
@@ -246,7 +246,7 @@
 
 
 def corrupted(rng: random.Random, data: bytes) -> bytes:
-    """`data` with some bytes changed, or random bytes."""
+    """Return `data` with some bytes changed, or random bytes instead."""
     changed = bytearray(data)
     for _ in range(rng.randrange(1, 5)):
         changed[rng.randrange(len(changed))] = rng.randrange(256)
--- a/tests/proxy/test_request_lifecycle.py
+++ b/tests/proxy/test_request_lifecycle.py
@@ -92,7 +92,7 @@
         assert sorted(o.attempt for o in harness.balancer.outcomes()) == [0, 1]
 
 
-async def test_only_a_rejection_of_an_open_request_counts_as_full(tmp_path: Path) -> None:
+async def test_the_rejection_of_an_open_request_counts_as_full(tmp_path: Path) -> None:
     async with (
         Endpoint(NEVER_RAN).serve() as endpoint,
         proxy_harness(tmp_path, endpoint, send_once) as harness,
--- a/tests/proxy/test_single_response.py
+++ b/tests/proxy/test_single_response.py
@@ -1,4 +1,4 @@
-"""Each request gets one response and each attempt one status, in any order of events."""
+"""Each request gets at most one response and each attempt one status, in any order of events."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     return not cluster.connecting_count and cluster.connections == idle
 
 
-async def end_request(
+async def start_and_end_request(
     harness: ProxyHarness,
     endpoint: Endpoint,
     order: tuple[Callable[[ProxyHarness, int], None], ...],
@@ -80,13 +80,13 @@
 
 
 @pytest.mark.parametrize("state", ["waiting", "sent"])
-async def test_events_that_end_a_request_in_any_order_give_one_response_and_one_status_per_attempt(
+async def test_end_events_in_any_order_give_at_most_one_response_and_one_status_per_attempt(
     tmp_path: Path, state: str
 ) -> None:
     async with Endpoint(never_respond).serve() as endpoint:
         for order in permutations(END_EVENTS, 3):
             async with proxy_harness(tmp_path, endpoint, send_twice_and_retry) as harness:
-                await end_request(harness, endpoint, order, state == "sent")
+                await start_and_end_request(harness, endpoint, order, state == "sent")
                 outcomes = [(o.request, o.attempt) for o in harness.balancer.outcomes()]
                 assert len(outcomes) == len(set(outcomes)) >= 2, order
                 responses = len(harness.responses)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""Each way in which an attempt ends, on sockets, and whether its status may rule out execution."""
+"""Each way in which an attempt ends, on sockets: its status rules out execution only if that is proven."""
 
 from __future__ import annotations
 
@@ -149,10 +149,10 @@
         (UNTIL_CLOSED.replace(b"200 OK", b"500 Oops"), b"", "close", AttemptStatus.ERROR),
     ],
 )
-async def test_a_response_without_length_is_complete_if_its_connection_closes_in_order(
+async def test_a_response_without_length_is_complete_if_its_connection_closes_without_reset(
     head: bytes, more: bytes, end: str, status: AttemptStatus
 ) -> None:
-    """The connection ends only after all of the response has been read."""
+    """The connection ends only after the sidecar has read the whole response."""
     may_end = asyncio.Event()
 
     async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -220,7 +220,7 @@
         assert [a.status for a in harness.finished] == [AttemptStatus.CANCELLED]
 
 
-async def test_an_attempt_whose_connection_is_lost_while_it_is_established_is_not_executed(
+async def test_an_attempt_whose_connection_is_lost_during_its_setup_is_not_executed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -244,7 +244,7 @@
 
 
 async def test_unsent_bytes_of_a_cancelled_request_are_dropped() -> None:
-    """If its last byte were sent, the endpoint could execute it after the attempt has ended."""
+    """If the request's last byte were sent, the endpoint could execute it after the attempt has ended."""
     size = 30_000_000
     received = 0
     ended = asyncio.Event()
--- a/tests/upstream/test_connection_pool.py
+++ b/tests/upstream/test_connection_pool.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("moved", [True, False])
-async def test_a_new_start_or_address_closes_the_old_connections(moved: bool) -> None:
+async def test_a_new_start_time_or_address_closes_the_old_connections(moved: bool) -> None:
     async with Endpoint().serve() as old, Endpoint().serve() as new:
         harness = ClusterHarness(old.address)
         await harness.send_and_wait()
--- a/tests/upstream/test_connection_timing.py
+++ b/tests/upstream/test_connection_timing.py
@@ -34,7 +34,7 @@
 async def test_a_connection_established_just_before_the_timeout_is_used_and_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timeout expires between the handshake and the event loop's notification of it."""
+    """The timeout expires after the handshake, before the event loop reports the connection."""
     loop = asyncio.get_running_loop()
     create = loop.create_connection
 
@@ -56,7 +56,7 @@
 
 
 def fill_send_buffer(sock: socket.socket) -> None:
-    """Send until the kernel accepts no more. Servers ignore the empty lines (RFC 9112, section 2.2)."""
+    """Send empty lines, which servers ignore (RFC 9112, section 2.2), until `send` raises BlockingIOError."""
     while True:
         sock.send(b"\r\n" * 100_000)
 
