--- a/anisespool/agent/call_errors.py
+++ b/anisespool/agent/call_errors.py
@@ -1,6 +1,6 @@
 """Errors that end a gRPC call, and `errors_as_status`, which converts them into the call's status.
 
-The direct subclasses of CallError stand for the cause of the failure, and the status shows it: the request
+Each direct subclass of CallError stands for one cause of failure, which the status shows: the request
 (INVALID_ARGUMENT, NOT_FOUND), a limit of the agent (RESOURCE_EXHAUSTED), the state of a change or an instance
 (FAILED_PRECONDITION), a conflicting change by another operator (ABORTED), or a store or instance that is
 currently unavailable (UNAVAILABLE). Scripts parse the texts.
@@ -153,10 +153,10 @@
 
 @dataclass(eq=False)
 class DrainRejectedError(NotPossibleError):
-    """A drain on every instance was rejected by at least one of them.
+    """At least one instance rejected a drain that every instance should apply.
 
     Attributes:
-        rejections: One "NAME: reason" for each of these instances; not empty.
+        rejections: One "NAME: reason" for each instance that rejected it; not empty.
     """
 
     rejections: list[str]
--- a/anisespool/agent/change_sender.py
+++ b/anisespool/agent/change_sender.py
@@ -20,7 +20,8 @@
 from anisespool.control.generations import ApplyDecision
 from anisespool.log import log_event
 
-# The configuration of the instance has changed meanwhile. The poll after the rejection shows the current one.
+# Rejections that are not recorded: the instance's configuration has changed since its last report. The poll
+# after the rejection reads the current one.
 TRANSIENT_DECISIONS = frozenset((ApplyDecision.BASE_MISMATCH, ApplyDecision.STALE))
 
 
@@ -46,16 +47,16 @@
         self._desired = repository.desired
         self._request_slots = request_slots
         self._hooks = hooks
-        self._settles_at = 0.0  # end of the pause after the last wave, in time.monotonic()
+        self._settle_time_end_s = 0.0  # end of the pause after the last wave, in time.monotonic()
 
     @property
     def settle_time_over(self) -> bool:
         """Whether the pause after the last wave is over."""
-        return time.monotonic() >= self._settles_at
+        return time.monotonic() >= self._settle_time_end_s
 
     def skip_settle_time(self) -> None:
         """End the pause after the last wave immediately."""
-        self._settles_at = 0.0
+        self._settle_time_end_s = 0.0
 
     async def send(self, change: Change, clients: list[ControlClient]) -> None:
         """Record the deliveries of `change` to `clients`, then start a task for each in `in_flight`.
@@ -80,7 +81,7 @@
         finally:
             self.in_flight.remove(client.name)
             if not self.in_flight:
-                self._settles_at = time.monotonic() + change.settle_ms / MS_PER_S
+                self._settle_time_end_s = time.monotonic() + change.settle_ms / MS_PER_S
             self._hooks.on_done()
 
     async def _apply(self, change: Change, client: ControlClient) -> None:
@@ -99,7 +100,7 @@
             self._hooks.poll_now(client.name)
             return
         except RequestRejectedError as error:
-            await self._record_rejection(change, client, boot, error)
+            await self._handle_rejection(change, client, boot, error)
             return
         self._hooks.at_crash_point(CrashPoint.ANSWERED)
         await self._repository.record_deliveries(
@@ -107,9 +108,10 @@
         )
         self._hooks.at_crash_point(CrashPoint.CONFIRMED)
 
-    async def _record_rejection(
+    async def _handle_rejection(
         self, change: Change, client: ControlClient, boot: str, error: RequestRejectedError
     ) -> None:
+        """Record and publish a rejection unless it is transient, and poll the instance in either case."""
         if error.decision not in TRANSIENT_DECISIONS:
             await self._repository.record_deliveries(
                 change, [Delivery(client.name, boot, DeliveryState.REJECTED, error.text)]
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -52,11 +52,11 @@
 
 
 class ControlClient:
-    """Client of one instance. It exists from the scan that finds the socket until the socket is removed.
+    """Client of one instance. It is kept from the scan that finds the socket until the socket is removed.
 
     Attributes:
         path: Path of the control socket.
-        name: Name of the instance.
+        name: Name of the instance, taken from the file name of the socket.
         reachability: Reachability according to the last poll or change.
         detail: Why the instance is not reachable; empty if it is.
         state: State that the instance last reported; None before the first report.
@@ -139,6 +139,7 @@
         self.detail = str(error)
 
     def _record_state(self, report: JsonObject) -> None:
+        """Record the state that a report holds, or a protocol error if the report is invalid."""
         try:
             self.state = parse_state(report)
         except InvalidStateError as error:
--- a/anisespool/agent/control_connection.py
+++ b/anisespool/agent/control_connection.py
@@ -17,7 +17,7 @@
 
 
 class ControlConnection:
-    """Sends one request at a time. The caller closes it after an exchange that failed or was cancelled."""
+    """Sends one request at a time. The caller closes the connection after a failed or cancelled exchange."""
 
     def __init__(self, path: Path) -> None:
         """Create a connection that the first request opens."""
--- a/anisespool/agent/control_protocol.py
+++ b/anisespool/agent/control_protocol.py
@@ -128,7 +128,7 @@
 
 
 def _value(report: JsonObject, key: str, *types: type) -> Any:
-    """Return the value of `key`, whose type is one of `types`."""
+    """Return the value of `key`. Raises InvalidStateError if it is missing or has none of `types`."""
     value = report.get(key)
     if not isinstance(value, types):
         raise InvalidStateError(key)
--- a/anisespool/agent/conversion.py
+++ b/anisespool/agent/conversion.py
@@ -70,7 +70,7 @@
 
 
 def progress_message(change: Change, summary: StatusSummary) -> pb.Progress:
-    """Return the progress of a rollout. The values of RolloutStatus are the names of its count fields."""
+    """Return the progress of a rollout. Each value of RolloutStatus is the name of a count field."""
     counts = {status.value: count for status, count in summary.by_status.items()}
     return pb.Progress(
         generation=change.generation,
@@ -83,7 +83,7 @@
 
 
 def drain_progress_message(targets: list[ControlClient], revision: int, drains: DrainSet) -> pb.DrainProgress:
-    """Return how many of `targets` have applied this revision of the drains or a later one."""
+    """Return the progress of a drain: how many of `targets` have applied this revision or a later one."""
     reachable = [client for client in targets if client.is_reachable]
     unreachable = [client for client in targets if not client.is_reachable]
     applied = sum(
--- a/anisespool/agent/crash_points.py
+++ b/anisespool/agent/crash_points.py
@@ -14,7 +14,7 @@
     SENDING = 3  # the request to one instance is sent next
     ANSWERED = 4  # the instance has confirmed the change, but this is not stored yet
     CONFIRMED = 5  # the confirmation is stored
-    SETTLING = 6  # every reachable instance is up to date
+    SETTLING = 6  # no instance is left to send to, and the settled state is stored next
     SETTLED = 7  # the settled state is stored
     DRAIN_RECORDED = 8  # a new set of drains is stored
     DRAIN_DELIVERED = 9  # one instance has applied the set of drains
--- a/anisespool/agent/desired_state.py
+++ b/anisespool/agent/desired_state.py
@@ -18,7 +18,7 @@
 
     Attributes:
         generation: Higher than that of every earlier change.
-        base: Generation of the change before it.
+        base: Generation of the previous change; 0 for the first change.
         digest: Digest of the document.
         content: Canonical JSON of the document.
         state: State of the rollout.
--- a/anisespool/agent/desired_state_repository.py
+++ b/anisespool/agent/desired_state_repository.py
@@ -26,7 +26,7 @@
     The methods raise sqlite3.Error if the store can't be read or written.
 
     Attributes:
-        desired: The desired state as last read or written. Other classes modify it only through this one.
+        desired: The desired state as last read or written. Other classes only read it.
     """
 
     def __init__(self, store: StoreWriter, publish: Publish, at_crash_point: CrashHook) -> None:
@@ -76,7 +76,7 @@
         return change
 
     async def set_state(self, change: Change, state: RolloutState, reason: str) -> None:
-        """Record and publish a state transition, unless another one of the change was recorded first."""
+        """Record and publish a state transition, unless the state of the change has changed meanwhile."""
         was_recorded = await self._store.execute(
             lambda db: change_table.update_state(db, change.generation, change.state, state, reason)
         )
--- a/anisespool/agent/events.py
+++ b/anisespool/agent/events.py
@@ -1,4 +1,4 @@
-"""Notification of the agent's streams: a bounded event queue for each watcher, and a signal of changes."""
+"""Notification of the agent's gRPC streams: a bounded event queue for each watcher, and a signal of polls."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
         """Publish an event about `subject`: the name of an instance, a generation, a revision, or empty."""
 
 
-class ChangeSignal:
-    """Wakes all waiters after each observation, since anything may have changed."""
+class PollSignal:
+    """Wakes all waiters after each poll of an instance, since any part of its state may have changed."""
 
     def __init__(self) -> None:
         self._waiters: set[asyncio.Event] = set()
@@ -59,7 +59,7 @@
 
     Attributes:
         max_watchers: Limit of subscriptions; the caller of `subscribe` checks it.
-        queues: Queues of the subscribed watchers. The queue of a dropped watcher ends with None.
+        queues: Queues of the subscribed watchers. A dropped watcher's queue is removed, and ends with None.
     """
 
     def __init__(self, max_watchers: int) -> None:
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -17,7 +17,7 @@
 
 MAX_CONCURRENT_REQUESTS = 32
 MAX_DETAIL_CHARACTERS = 200
-CHECK_REVISION = 2**52  # above the revision of any instance, which would reject an older one
+CHECK_REVISION = 2**52  # above the revision of any instance; an instance rejects a revision below its own
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
 
 
 async def check_drains_on_each(clients: Iterable[ControlClient], endpoints: list[str]) -> None:
-    """Have each instance check that the drains leave it an endpoint, as endpoint lists may differ.
+    """Have each instance check that the drains leave it an endpoint, as its endpoint list may differ.
 
     Instances that can't be reached are skipped.
 
--- a/anisespool/agent/fleet_status.py
+++ b/anisespool/agent/fleet_status.py
@@ -1,4 +1,4 @@
-"""Compares the instances with the desired state: which are targets, and how far each of them is."""
+"""Determines which instances are targets of the desired state, and the rollout status of each target."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
         return [client for client in self.targets() if client.is_reachable]
 
     def highest_generation(self) -> int:
-        """Return the highest generation that an instance has reported; 0 if none has."""
+        """Return the highest generation in the last report of any instance; 0 if there is no report."""
         states = [client.state for client in self._directory.clients.values()]
         return max((state.generation for state in states if state), default=0)
 
     def highest_drains_revision(self) -> int:
-        """Return the highest revision of drains that an instance has reported; 0 if none has."""
+        """Return the highest drains revision in the last report of any instance; 0 if there is no report."""
         states = [client.state for client in self._directory.clients.values()]
         return max((state.drains_revision for state in states if state), default=0)
 
--- a/anisespool/agent/instance_directory.py
+++ b/anisespool/agent/instance_directory.py
@@ -82,7 +82,7 @@
         self.synced.set()
 
     def _scan(self) -> None:
-        """Add clients for new sockets, and remove the clients whose sockets no longer exist."""
+        """Remove clients whose sockets no longer exist, and add clients for new sockets up to the limit."""
         found = self._find_sockets()
         for name in self.clients.keys() - found.keys():
             self._remove(name)
@@ -139,7 +139,7 @@
             poll_request.clear()
 
     def poll_now(self, name: str) -> None:
-        """Poll an instance immediately instead of at the end of its interval."""
+        """Request an immediate poll of an instance. Does nothing if it has no client any more."""
         if name in self._poll_requests:
             self._poll_requests[name].set()
 
--- a/anisespool/agent/main.py
+++ b/anisespool/agent/main.py
@@ -15,7 +15,7 @@
 from anisespool.agent.control_client import ControlClient
 from anisespool.agent.crash_points import CrashHook, never_crash
 from anisespool.agent.desired_state_repository import DesiredStateRepository
-from anisespool.agent.events import ChangeSignal, EventBroadcaster, EventKind
+from anisespool.agent.events import EventBroadcaster, EventKind, PollSignal
 from anisespool.agent.grpc_server import GrpcServer, create_server
 from anisespool.agent.instance_directory import InstanceDirectory
 from anisespool.agent.operator_commands import OperatorCommands
@@ -30,7 +30,7 @@
 from anisespool.control.socket_directory import acquire_lock, prepare_directory
 from anisespool.log import log_event
 
-SHUTDOWN_GRACE_S = 1.0  # time limit of open calls at shutdown
+SHUTDOWN_GRACE_S = 1.0  # time that open calls have to end at shutdown
 
 
 class ExitStatus(IntEnum):
@@ -87,15 +87,15 @@
     control_directory: Path, settings: AgentOptions, store: StoreWriter, at_crash_point: CrashHook
 ) -> _Components:
     """Create the components of the agent, and load the desired state from the store."""
-    change_signal = ChangeSignal()
+    poll_signal = PollSignal()
     broadcaster = EventBroadcaster(settings.max_watchers)
     repository = DesiredStateRepository(store, broadcaster.publish, at_crash_point)
     reconciler = _create_reconciler(
-        control_directory, settings, repository, broadcaster, change_signal, at_crash_point
+        control_directory, settings, repository, broadcaster, poll_signal, at_crash_point
     )
     commands = OperatorCommands(reconciler, repository, broadcaster.publish)
     await repository.load()
-    return _Components(reconciler, AgentService(reconciler, commands, store, broadcaster, change_signal))
+    return _Components(reconciler, AgentService(reconciler, commands, store, broadcaster, poll_signal))
 
 
 def _create_reconciler(
@@ -103,13 +103,14 @@
     settings: AgentOptions,
     repository: DesiredStateRepository,
     broadcaster: EventBroadcaster,
-    change_signal: ChangeSignal,
+    poll_signal: PollSignal,
     at_crash_point: CrashHook,
 ) -> Reconciler:
     """Return the reconciler of all instances.
 
     Each poll wakes the reconcile loop and the streams; a change of an instance is published as an event.
-    The directory's callback uses the reconciler, which is created after it: no instance is polled before.
+    The directory's callback uses the reconciler, which is created after the directory. This is safe because
+    the directory polls no instance until it runs.
     """
 
     def on_poll(client: ControlClient, change: str | None) -> None:
@@ -117,7 +118,7 @@
             log_event("instance_changed", instance=client.name, change=change, error=client.detail)
             broadcaster.publish(EventKind.INSTANCE, client.name, f"{change} {client.detail}".strip())
         reconciler.wake()
-        change_signal.notify_all()
+        poll_signal.notify_all()
 
     directory = InstanceDirectory(control_directory, settings, on_poll)
     reconciler = Reconciler(
@@ -157,7 +158,9 @@
 
 
 def _acquire_state_lock(state_directory: Path) -> int:
-    """Return the lock's descriptor. Two agents on one state would undo each other's changes.
+    """Lock the state directory and return the lock's descriptor.
+
+    Two agents on one state would undo each other's changes.
 
     Raises:
         ConfigError: another agent holds the lock.
--- a/anisespool/agent/operator_commands.py
+++ b/anisespool/agent/operator_commands.py
@@ -49,7 +49,7 @@
         highest_observed = self._status.highest_generation()
         newest = self._desired.newest
         if newest and self._reconciler.is_about_to_settle(newest):
-            await self._repository.set_state(newest, RolloutState.SETTLED, "")  # it was not recorded yet
+            await self._repository.set_state(newest, RolloutState.SETTLED, "")  # the loop has not recorded it
             self._reconciler.wake()
         change = await self._repository.insert_change(draft, base, highest_observed)
         self._reconciler.skip_settle_time()
@@ -60,7 +60,9 @@
         return change
 
     async def rollback_draft(self, author: str) -> ChangeDraft:
-        """Return a draft with the content of the last settled change before the newest, or an empty document.
+        """Return a draft with the content of the last settled change before the newest.
+
+        Without such a change, the draft has an empty document.
 
         Raises:
             NoChangeError: there is no change.
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -35,7 +35,7 @@
 
     Attributes:
         directory: The instances.
-        desired: The desired state; `OperatorCommands` changes it.
+        desired: The desired state, which `OperatorCommands` changes through the repository.
         status: Comparison of the instances with the desired state.
     """
 
--- a/anisespool/agent/rollout/desired_generation.py
+++ b/anisespool/agent/rollout/desired_generation.py
@@ -31,8 +31,8 @@
 ) -> DesiredGeneration | None:
     """Return the generation to send to an instance that reports `observed`, or None if there is none to send.
 
-    A paused or aborted change is not sent to further instances. An instance that has restarted meanwhile gets
-    the last settled generation. An instance that already has the newest generation keeps it until a rollback.
+    A paused or aborted change is not sent to further instances. An instance that restarts then gets the
+    last settled generation. An instance that already has the newest generation keeps it until a rollback.
 
     Args:
         newest: The newest change, None if there is none.
--- a/anisespool/agent/rollout/errors.py
+++ b/anisespool/agent/rollout/errors.py
@@ -1,4 +1,4 @@
-"""Errors of operator commands that the newest change does not allow. Scripts parse the texts."""
+"""Errors of operator commands that are not possible at present. Scripts parse the error texts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RolloutNotPossibleError(AgentError):
-    """The state of the newest change does not allow an operator's command."""
+    """Base class. There is no newest change, or its generation or state does not allow the command."""
 
 
 class NoChangeError(RolloutNotPossibleError):
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False)
 class NotNewestGenerationError(RolloutNotPossibleError):
-    """The command names a generation other than the newest, or there is no change."""
+    """A pause, resume or abort names a generation that is not the newest, or there is no change at all."""
 
     generation: int
 
--- a/anisespool/agent/rollout/planner.py
+++ b/anisespool/agent/rollout/planner.py
@@ -19,7 +19,7 @@
     """Decision of the planner about a running rollout."""
 
     CONTINUE = "running"
-    SETTLE = "settled"  # every reachable instance is up to date; the others follow when they respond
+    SETTLE = "settled"  # no instance is left to send to; unreachable ones follow when they respond
     PAUSE = "pause"
 
 
--- a/anisespool/agent/rollout/state.py
+++ b/anisespool/agent/rollout/state.py
@@ -16,7 +16,7 @@
     SUPERSEDED = "superseded"  # a newer change replaced it before it settled
 
 
-DRY_RUN_STATE = "checked"  # progress of a dry run: validated, but not sent
+DRY_RUN_STATE = "checked"  # state reported for a dry run, whose change was validated but not sent
 # A change in one of these states is desired on every instance.
 PROPAGATING_STATES = frozenset((RolloutState.RUNNING, RolloutState.SETTLED))
 
@@ -30,7 +30,7 @@
 
 
 class _Transition(NamedTuple):
-    """An action, and the state in which it is applied to a change."""
+    """An action, and the state of the change before it. `_TRANSITIONS` has the state after it."""
 
     action: RolloutAction
     state: RolloutState
--- a/anisespool/agent/rollout/status.py
+++ b/anisespool/agent/rollout/status.py
@@ -6,9 +6,9 @@
 
 
 class RolloutStatus(Enum):
-    """Status of one instance with respect to one generation. The values are those of agent.proto."""
+    """Status of one instance with respect to one change. The values are those of agent.proto."""
 
-    UP_TO_DATE = "has"  # the instance reports this generation
+    UP_TO_DATE = "has"  # the instance reports the generation of the change
     OUTDATED = "lacks"  # it responds and reports an older generation
     IN_FLIGHT = "sent"  # the change was sent, but there is no response yet
     REJECTED = "refused"  # it rejected the change and has not restarted since
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -26,7 +26,7 @@
 from anisespool.agent.control_client import ControlClient, UnreachableError
 from anisespool.agent.control_protocol import ControlClientError, EndpointBody, RequestRejectedError
 from anisespool.agent.desired_state import Change, ChangeDraft
-from anisespool.agent.events import ChangeSignal, EventBroadcaster
+from anisespool.agent.events import EventBroadcaster, PollSignal
 from anisespool.agent.operator_commands import OperatorCommands
 from anisespool.agent.reconciler import Reconciler
 from anisespool.agent.rollout.state import RolloutState
@@ -55,7 +55,7 @@
         commands: OperatorCommands,
         store: StoreWriter,
         broadcaster: EventBroadcaster,
-        change_signal: ChangeSignal,
+        poll_signal: PollSignal,
     ) -> None:
         self._commands = commands
         self._desired = reconciler.desired
@@ -63,7 +63,7 @@
         self._status = reconciler.status
         self._store = store
         self._broadcaster = broadcaster
-        self._change_signal = change_signal
+        self._poll_signal = poll_signal
 
     async def List(self, request: pb.ListRequest, context: Context) -> AsyncIterator[pb.Instance]:
         """Stream the instances whose names match the pattern, sorted by name."""
@@ -158,7 +158,7 @@
     async def Apply(self, request: pb.ApplyRequest, context: Context) -> AsyncIterator[pb.Progress]:
         """Start the rollout of a document and stream the progress; with `dry_run`, only validate it."""
         async with errors_as_status(context):
-            command = validation.check_apply(request)
+            command = validation.parse_apply(request)
             await self._directory.synced.wait()
             if request.dry_run:
                 targets = self._status.targets()
@@ -198,12 +198,12 @@
             if newest.state is not RolloutState.RUNNING:
                 return
             await asyncio.sleep(PROGRESS_INTERVAL_S)
-            await self._change_signal.wait(PROGRESS_TIMEOUT_S)
+            await self._poll_signal.wait(PROGRESS_TIMEOUT_S)
 
     async def Steer(self, request: pb.SteerRequest, context: Context) -> pb.Progress:
         """Pause, resume or abort the newest rollout, and return its progress."""
         async with errors_as_status(context):
-            action = validation.check_action(request)
+            action = validation.parse_action(request)
             author = validation.truncate_text(request.author)
             change = await self._commands.control_rollout(action, request.generation, author)
         return self._progress(change)
@@ -228,7 +228,7 @@
 
     async def _start_drain(self, request: pb.DrainRequest) -> int:
         """Record the drains, start to send them, and return their revision."""
-        drained = validation.check_drained_count(request, self._desired.drains.endpoints)
+        drained = validation.drained_after(request, self._desired.drains.endpoints)
         if request.drain and not request.force:
             await fan_out.check_drains_on_each(self._status.reachable_targets(), drained)
         author = validation.truncate_text(request.author)
--- a/anisespool/agent/store/change_table.py
+++ b/anisespool/agent/store/change_table.py
@@ -74,7 +74,7 @@
 
 
 def insert_change(db: sqlite3.Connection, draft: ChangeDraft, base: int, highest_observed: int) -> Change:
-    """Make `draft` the newest change, and return it. A rollout that is under way is superseded.
+    """Make `draft` the newest change, and return it. A running or paused rollout is superseded.
 
     Args:
         db: Connection in a transaction.
@@ -122,7 +122,7 @@
 
 
 def _write_newest(db: sqlite3.Connection, change: Change) -> None:
-    """Insert the newest change, mark a rollout under way as superseded, and delete expired changes."""
+    """Insert the newest change, mark a running or paused one as superseded, and delete expired changes."""
     db.execute(
         "UPDATE changes SET state = ? WHERE state IN (?, ?)",
         (RolloutState.SUPERSEDED.value, RolloutState.RUNNING.value, RolloutState.PAUSED.value),
--- a/anisespool/agent/store/writer.py
+++ b/anisespool/agent/store/writer.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 Result = TypeVar("Result")
-Operation = Callable[[sqlite3.Connection], Result]  # function of a table's module, its other arguments bound
+Operation = Callable[[sqlite3.Connection], Result]  # function of a table module with other arguments bound
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     a wave share a few syncs to disk. The end of the `async with` block, or `close`, ends the thread.
 
     Attributes:
-        last_error: Error of the last write; empty if the write succeeded.
+        last_error: Text of the last SQLite error; empty once a later write has succeeded.
     """
 
     def __init__(self, db: sqlite3.Connection) -> None:
@@ -41,7 +41,7 @@
         self._flush_task: asyncio.Task[None] | None = None
 
     async def execute(self, operation: Operation[Result]) -> Result:
-        """Run `operation` and return its result once it is on disk. If it raises, it alone is rolled back.
+        """Run `operation` and return its result once it is on disk. A failed operation alone is rolled back.
 
         Raises:
             sqlite3.Error: the operation could not be committed.
--- a/anisespool/agent/validation.py
+++ b/anisespool/agent/validation.py
@@ -1,4 +1,4 @@
-"""Checks of requests of agent.proto. Each raises a CallError if the request is invalid."""
+"""Checks requests of agent.proto and converts them to the agent's types. Invalid ones raise a CallError."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from anisespool.config import operator
 from anisespool.config.platform import ConfigError
 
-MAX_TEXT_CHARACTERS = 200
+MAX_TEXT_CHARACTERS = 200  # longer authors and notes are truncated, longer endpoint ids rejected
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     draft: ChangeDraft
 
 
-def check_apply(request: pb.ApplyRequest) -> ApplyCommand:
+def parse_apply(request: pb.ApplyRequest) -> ApplyCommand:
     """Return the document and the draft of its change, with the limits of the rollout.
 
     Raises:
@@ -61,7 +61,7 @@
     return ApplyCommand(document, draft)
 
 
-def check_action(request: pb.SteerRequest) -> RolloutAction:
+def parse_action(request: pb.SteerRequest) -> RolloutAction:
     """Return the action of a SteerRequest.
 
     Raises:
@@ -84,7 +84,7 @@
         raise InvalidEndpointsError
 
 
-def check_drained_count(request: pb.DrainRequest, current: Sequence[str]) -> list[str]:
+def drained_after(request: pb.DrainRequest, current: Sequence[str]) -> list[str]:
     """Return the endpoints that would be drained after a DrainRequest, sorted.
 
     Raises:
