--- a/anisespool/config/clock.py
+++ b/anisespool/config/clock.py
@@ -1,6 +1,6 @@
-"""The wall clock. No other module reads it, so that the lab can shift it for the whole process.
+"""The wall clock. No other module of a sidecar or the agent reads it, so that the lab can shift it.
 
-Durations are differences of the monotonic clock. The wall clock only dates what leaves the process.
+Durations are differences of the monotonic clock. The wall clock is used only to write and read timestamps.
 """
 
 from __future__ import annotations
--- a/anisespool/config/operator/__init__.py
+++ b/anisespool/config/operator/__init__.py
@@ -1,7 +1,7 @@
 """The operator's configuration: a TOML file, and live changes to it.
 
-Features beyond the platform's are enabled here and are off without a file. Importing this package imports
-msgspec, so a sidecar that was started without an operator's file never imports it.
+The file enables optional features, which are off without it. Importing this package imports msgspec, so a
+sidecar that was started without an operator's file never imports it.
 
 A `LiveConfig` holds the sections that can change while an instance runs, as one document with a generation
 and a digest. The other sections are read only once, at the start.
--- a/anisespool/config/operator/canonical.py
+++ b/anisespool/config/operator/canonical.py
@@ -13,7 +13,7 @@
 
 
 def canonical_json(live: LiveConfig) -> bytes:
-    """Return JSON with sorted keys and all defaults of its sections: equal contents give equal bytes."""
+    """Return JSON with sorted keys and the given sections' defaults. Equal contents give equal bytes."""
     return msgspec.json.encode(live, order="sorted")
 
 
--- a/anisespool/config/operator/parsing.py
+++ b/anisespool/config/operator/parsing.py
@@ -15,7 +15,7 @@
 )
 from anisespool.config.operator.schema import LIVE_SECTIONS, LiveConfig, OperatorConfig
 from anisespool.config.operator.tables import Tables
-from anisespool.config.operator.validation import validate_live_sections, validate_operator_config
+from anisespool.config.operator.validation import validate_operator_config, validate_sections_except_agent
 
 # Maximum size of a file or document, equal to the largest request of the control socket.
 MAX_DOCUMENT_BYTES = 64 * 1024
@@ -91,7 +91,7 @@
         names = ", ".join(str(key) for key in needing_restart)[:MAX_LISTED_CHARACTERS]
         raise OperatorConfigError(source, names, "in a live change", f"only {', '.join(LIVE_SECTIONS)}")
     live = _convert(tables, LiveConfig, source)
-    validate_live_sections(OperatorConfig().with_live_config(live), source)
+    validate_sections_except_agent(OperatorConfig().with_live_config(live), source)
     return live
 
 
--- a/anisespool/config/operator/schema.py
+++ b/anisespool/config/operator/schema.py
@@ -21,8 +21,8 @@
 class LiveConfig(Section, frozen=True, kw_only=True, omit_defaults=True):
     """A live change.
 
-    Its sections replace those of the instance's own file. For a section that it lacks the file applies, so an
-    empty document restores the configuration of the file.
+    Its sections replace those of the instance's own file. The file applies to sections that the change lacks,
+    so an empty change restores the configuration of the file.
     """
 
     endpoints: EndpointOptions | None = None
@@ -46,7 +46,7 @@
     sampling: SamplingOptions = SamplingOptions()
 
     def with_live_config(self, live: LiveConfig) -> OperatorConfig:
-        """Return this configuration with its sections replaced by those that `live` has."""
+        """Return a copy of this configuration whose sections are replaced by those that `live` has."""
         sections = {name: getattr(live, name) for name in _LIVE_FIELDS}
         given = {name: section for name, section in sections.items() if section is not None}
         return msgspec.structs.replace(self, **given)
--- a/anisespool/config/operator/sections.py
+++ b/anisespool/config/operator/sections.py
@@ -76,11 +76,12 @@
         ping_timeout_ms: Time to wait for a direct acknowledgement before requesting indirect probes.
         probe_timeout_ms: Time to wait for a direct or indirect acknowledgement before suspecting the target.
         indirect_probes: Number of members requested to probe the target (SWIM's ping-req).
-        suspicion_min_ms: Time from the start of a failed probe to dead with all `confirmations`.
-        suspicion_max_ms: Time from the start of a failed probe to dead without a confirmation.
-        confirmations: Number of independent suspicions that reduces the timeout to its minimum.
+        suspicion_min_ms: Time from the start of a failed probe until the target counts as dead, if it has all
+            `confirmations`.
+        suspicion_max_ms: The same time without any confirmation.
+        confirmations: Number of independent suspicions that reduces this time to its minimum.
         gossip_interval_ms: Time between two rounds of dissemination.
-        fanout: Number of members that receive a round.
+        fanout: Number of members that a round is sent to.
         anti_entropy_interval_ms: Time between two comparisons of a part of the view with another member.
         reconnect_interval_ms: Time between two attempts to reach a member that counts as dead.
         pause_threshold_ms: Delay of this process's own timers beyond which it counts as paused.
--- a/anisespool/config/operator/validation.py
+++ b/anisespool/config/operator/validation.py
@@ -21,9 +21,9 @@
     """Validate a whole file.
 
     Raises:
-        OperatorConfigError: A key contradicts another one, or its value is not an address but should be.
+        OperatorConfigError: A key contradicts another one, an address is invalid, or an id is listed twice.
     """
-    validate_live_sections(config, source)
+    validate_sections_except_agent(config, source)
     if config.agent is None:
         return
     if config.control is None:
@@ -31,8 +31,8 @@
     _validate_agent(config.agent, source)
 
 
-def validate_live_sections(config: OperatorConfig, source: str) -> None:
-    """Validate all sections except `[agent]`, which a live change can't have.
+def validate_sections_except_agent(config: OperatorConfig, source: str) -> None:
+    """Validate all sections except `[agent]`. Also used for a live change, which has no such section.
 
     Raises:
         OperatorConfigError: Same as for `validate_operator_config`.
--- a/anisespool/config/platform/endpoint_list.py
+++ b/anisespool/config/platform/endpoint_list.py
@@ -84,6 +84,7 @@
     is_removed = state == EndpointState.GONE
     address = NO_ADDRESS if is_removed else Address.parse(raw["host_port"])
     up_since_ms = int(raw.get("up_since_ms", 0))
+    # The result is in monotonic ns. 0 stands for an unknown start, so a known start is at least 1.
     started_ns = max(1, up_since_ms * NS_PER_MS - names.monotonic_epoch_ns) if up_since_ms else 0
     zone = names.zone_index(raw.get("locality", ""))
     machine_type = names.machine_type_index(raw.get("flavor", ""))
--- a/anisespool/config/platform/names.py
+++ b/anisespool/config/platform/names.py
@@ -1,4 +1,4 @@
-"""Converts names in the platform's settings to indexes."""
+"""Converts names to indexes in the platform's settings, with the offset that converts start times."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
     """Index of each name in the platform's settings; the balancer identifies all of them by index.
 
     A zone, machine type or tenant that the settings lack gets the index past the end, which the balancer
-    treats as unknown.
+    treats as unknown. The clock offset is here because the parser of endpoint lists needs it with the names.
 
     Attributes:
         classes: Indexes of the request classes.
         tenants: Indexes of the tenants.
         zones: Indexes of the zones.
         machine_types: Indexes of the machine types, which the settings call SKUs.
-        monotonic_epoch_ns: Unix time minus monotonic time in ns. It is read only once: a new difference for
-            each update would change the start time of an endpoint that did not restart.
+        monotonic_epoch_ns: Unix time minus monotonic time in ns, to convert endpoints' start times. Read only
+            once: a new difference for each update would change the start time of an endpoint that did
+            not restart.
     """
 
     classes: dict[str, int]
@@ -29,7 +30,7 @@
 
     @staticmethod
     def index_of(names: dict[str, int], name: bytes) -> int | None:
-        """Return the index of a name in UTF-8 or else Latin-1 (RFC 9110, 5.5), or None if it is unknown."""
+        """Return the index of a name in UTF-8 or else Latin-1 (RFC 9110, 5.5); None if `names` lacks it."""
         try:
             text = name.decode()
         except UnicodeDecodeError:
--- a/anisespool/config/platform/platform_config.py
+++ b/anisespool/config/platform/platform_config.py
@@ -24,7 +24,7 @@
         max_sockets: Maximum number of open file descriptors of the sidecar.
         keepalive_ns: Time in ns for which an endpoint keeps an idle connection open.
         settings: Settings of the balancer.
-        names: Indexes of the names in the settings.
+        names: Indexes of the names in the settings, and the clock offset for endpoint lists.
         initial_endpoints: Endpoint list used until discovery sends one.
     """
 
--- a/anisespool/config/platform/platform_file.py
+++ b/anisespool/config/platform/platform_file.py
@@ -57,7 +57,7 @@
             raise PlatformConfigError(FILE_VARIABLE, error, key) from None
 
     def positive_number(self, section: str, key: str, default: int) -> int:
-        """Return a number of at least 1 from a section, without its fraction.
+        """Return a number from a section, rounded down to an integer.
 
         Args:
             section: Key of the section.
@@ -73,14 +73,16 @@
         return int(value)
 
     def indexes_by_name(self, key: str, name_of: Callable[[Any], str]) -> dict[str, int]:
-        """Return the index of each name in a list of the settings; a missing list counts as empty.
+        """Return the index of each name in a list of the settings. A missing or falsy value counts as empty.
+
+        The value may be of any iterable type: a string is read as a list of its characters.
 
         Args:
             key: Key of the list.
             name_of: Returns the name of an entry; raises KeyError or TypeError if it has none.
 
         Raises:
-            PlatformConfigError: The value is not a list, or an entry has no name.
+            PlatformConfigError: The value is not iterable, or an entry has no name that can be a key.
         """
         try:
             return {name_of(entry): index for index, entry in enumerate(self.raw.get(key) or [])}
--- a/anisespool/config/platform_loader.py
+++ b/anisespool/config/platform_loader.py
@@ -102,6 +102,7 @@
 
 
 def _name_index(raw_settings: PlatformFile) -> NameIndex:
+    """Return the indexes of the names in the settings, with the current clock offset for endpoint lists."""
     monotonic_epoch_ns = wall_ns() - time.monotonic_ns()
     return NameIndex(
         classes=raw_settings.indexes_by_name("request-classes", _entry_name),
