--- a/anisespool/control/connection.py
+++ b/anisespool/control/connection.py
@@ -38,7 +38,7 @@
             sock: The accepted socket, non-blocking. This connection closes it.
             idle_timeout_s: Maximum time without a complete request.
             respond: Returns the response to a request.
-            on_closed: Called when the connection is closed.
+            on_closed: Called by each `abort`, so possibly again after the connection is closed.
         """
         self._sock = sock
         self._idle_timeout_s = idle_timeout_s
--- a/anisespool/control/errors.py
+++ b/anisespool/control/errors.py
@@ -41,7 +41,7 @@
 
 @dataclass(eq=False)
 class AlreadyLockedError(ControlError):
-    """Another running process holds the lock on the file `path`."""
+    """Another descriptor, of this or another process, holds the lock on the file `path`."""
 
     path: Path
 
@@ -51,7 +51,7 @@
 
 @dataclass(eq=False)
 class InstanceNameInUseError(AlreadyLockedError):
-    """Another running process holds the lock on the instance name `instance`."""
+    """The lock on the instance name `instance` is held, usually by another process of that name."""
 
     instance: str
 
@@ -180,7 +180,7 @@
 
 @dataclass(eq=False)
 class StaleDrainRevisionError(StateConflictError):
-    """The fleet drains have an older revision, or the applied one with other endpoints.
+    """Requested fleet drains have an older revision than the applied ones, or the same with other endpoints.
 
     Attributes:
         revision: Revision of the fleet drains that are applied.
--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -25,7 +25,7 @@
     """The handlers of one instance, and the state that they work on.
 
     Attributes:
-        routes: The handler of each route. Other subsystems may add routes.
+        by_route: The handler of each route. Other subsystems may add routes.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._drains = OperatorDrains(proxy, frozenset(operator_config.endpoints.drained))
         self._config_updater = ConfigUpdater(config, operator_config, proxy, controls, self._drains)
         self._inspector = Inspector(config, proxy, controls, self._config_updater, self._drains)
-        self.routes: dict[Route, Handler] = {
+        self.by_route: dict[Route, Handler] = {
             routes.GET_STATE: self._get_state,
             routes.DESCRIBE: self._describe,
             routes.GET_EVENTS: self._get_events,
--- a/anisespool/control/inspection.py
+++ b/anisespool/control/inspection.py
@@ -53,8 +53,8 @@
         self._controls = controls
         self._config_updater = config_updater
         self._drains = drains
-        self._started_ns = time.monotonic_ns()
-        self._started_ms = wall_ns() // 1_000_000
+        self._started_ns = time.monotonic_ns()  # Monotonic time.
+        self._started_ms = wall_ns() // 1_000_000  # Unix time.
         self._description: JsonObject = {}
         self._described_at_ns = -DESCRIPTION_MAX_AGE_NS  # Monotonic time of the cached description.
         self._described_publish_count = -1  # `drains.publish_count` at that time.
--- a/anisespool/control/operator_drains.py
+++ b/anisespool/control/operator_drains.py
@@ -94,7 +94,7 @@
         self.check_allowed(endpoints | self.sources.fleet | self.sources.by_hand, force)
 
     def set_document(self, endpoints: frozenset[str]) -> None:
-        """Replace the endpoints that the configuration drains. The caller has to call `publish`."""
+        """Replace the endpoints that the configuration drains. The caller then calls `publish`."""
         self.sources.document = endpoints
 
     def set_fleet(self, request: FleetDrainsRequest) -> None:
@@ -146,7 +146,7 @@
         return changed
 
     def publish(self) -> None:
-        """Apply all drains to the connections and the balancer before returning."""
+        """Apply all drains to the connections and the balancer before returning. Records a new set."""
         drained = self.sources.all
         if drained != self._proxy.operator_drains:
             self._proxy.event_log.record(OperatorDrainsChanged(sorted(drained)[:MAX_ENDPOINTS_IN_EVENT]))
--- a/anisespool/control/requests.py
+++ b/anisespool/control/requests.py
@@ -1,7 +1,7 @@
 """Types for the bodies of control requests, and functions that decode them.
 
-They don't use `msgspec.convert`, whose error texts would differ from those that scripts parse. Unknown fields
-are ignored.
+The functions don't use `msgspec.convert`, whose error texts would differ from those that scripts parse. They
+ignore unknown fields.
 """
 
 from __future__ import annotations
--- a/anisespool/control/responses.py
+++ b/anisespool/control/responses.py
@@ -100,7 +100,7 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """Whether a request changed the instance; sent after InstanceState."""
+    """Whether a request changed the instance. Sent after the fields of InstanceState, in the same object."""
 
     changed: bool
 
--- a/anisespool/control/server.py
+++ b/anisespool/control/server.py
@@ -24,7 +24,7 @@
     """Serve the control socket of `instance` in `directory` until cancelled.
 
     After a restart, the previous process may still be draining and hold this name. The control socket then
-    opens when that process ends. Application requests don't wait for it.
+    opens when that process ends. Application requests don't wait for the control socket.
     """
     with closing(await _start(directory, instance, options, routes)):
         await asyncio.Event().wait()
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -102,7 +102,7 @@
             raise InstanceNameInUseError(error.path, instance) from None
 
     def listen(self) -> socket.socket:
-        """Return a listening, non-blocking socket. Replace one left over from a process that ended."""
+        """Return a listening, non-blocking socket. Replace the socket file of a process that ended."""
         self.path.unlink(missing_ok=True)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         listener.setblocking(False)
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -137,10 +137,10 @@
 
 
 async def _wait_for_current_list(watch: EndpointWatch, config: PlatformConfig) -> None:
-    """Wait for the agent's endpoint list before the first request, if the discovery mode is push.
+    """Wait for the discovery service's endpoint list before listening, if the discovery mode is push.
 
-    A drain that the agent already has applies from this sidecar's start, and the initial list may be older
-    than the drain. The wait is limited to the drain grace period: without an agent the initial list is used.
+    A drain that the service already has applies from this sidecar's start, and the initial list may be older
+    than the drain. If the first attempt fails or the drain grace period passes, the initial list is used.
     """
     if config.settings.discovery_mode is DiscoveryMode.PUSH:
         with suppress(TimeoutError):
@@ -149,7 +149,7 @@
 
 @contextmanager
 def _listen_errors() -> Iterator[None]:
-    """Raise an error of the listening socket as one in the variable that names its address."""
+    """Convert an error of the listening socket into an error of the variable that has its address."""
     try:
         yield
     except OSError as error:
--- a/anisespool/sidecar/live_controls.py
+++ b/anisespool/sidecar/live_controls.py
@@ -1,4 +1,4 @@
-"""State of this running sidecar, and changes to it by a controller or a reloaded configuration."""
+"""State of this running sidecar, and changes to it by the control socket or a reloaded configuration."""
 
 from __future__ import annotations
 
--- a/anisespool/sidecar/optional_features.py
+++ b/anisespool/sidecar/optional_features.py
@@ -79,13 +79,13 @@
         handlers = ControlHandlers(self._config, self._operator_config, self.proxy, controls)
         membership = self._membership
         if membership:
-            handlers.routes[routes.LIST_MEMBERS] = lambda body: membership.describe()
+            handlers.by_route[routes.LIST_MEMBERS] = lambda body: membership.describe()
         options = self._operator_config.control
         if options is None:
             return []
         directory = prepare_directory(options.directory)
         return [
-            asyncio.create_task(serve(directory, self._config.name, options, handlers.routes)),
+            asyncio.create_task(serve(directory, self._config.name, options, handlers.by_route)),
             asyncio.create_task(watch_pauses(self.proxy.event_log)),
         ]
 
--- a/anisespool/sidecar/process_signals.py
+++ b/anisespool/sidecar/process_signals.py
@@ -30,7 +30,7 @@
 
 
 def block_signals() -> None:
-    """Block these signals for the rest of the process, which is about to end.
+    """Block the signals that `Signals` handles for the rest of the process, which is about to end.
 
     A closing event loop restores the default actions, so a late SIGHUP would kill the process before it exits
     with its own status.
--- a/anisespool/sidecar/shutdown.py
+++ b/anisespool/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""Time limits of the graceful shutdown; proxy/deadlines.py describes the order of all instants.
+"""Time limits of the graceful shutdown; proxy/deadlines.py lists all points in time in order.
 
 The limits follow from the platform's protocol. After SIGTERM clients open new connections for up to 0.4 s,
 and SIGKILL comes no sooner than the longest deadline of a request class (at most 3 s) plus 0.7 s.
