--- a/tests/agent/process_fleet.py
+++ b/tests/agent/process_fleet.py
@@ -38,6 +38,6 @@
         return str(lines[-1]["change"]["state"])
 
     async def reported_up_to_date(self) -> dict[str, bool]:
-        """Return whether the agent reports that an instance has the change, by instance name."""
+        """Return by instance name whether the agent reports the instance as up to date."""
         _, lines = await self.run_command("status")
         return {target["name"]: target["standing"] == "has" for target in lines[-1]["targets"]}
--- a/tests/agent/test_changes.py
+++ b/tests/agent/test_changes.py
@@ -34,7 +34,7 @@
 
 async def test_a_change_is_sent_in_waves_and_applied_once_by_each_instance(harness: AgentHarness) -> None:
     async with harness.agent_with_instances(7) as stub:
-        started = []  # numbers of instances that have the change or to which it was sent
+        started = []  # for each message, number of instances that have the change or a delivery in flight
         request = pb.ApplyRequest(content_json=CONTENT, wave=3, first_wave=1, most_unreachable=-1)
         async for progress in stub.Apply(request):
             started.append(progress.has + progress.sent)
@@ -49,7 +49,7 @@
         assert [(row.name, row.generation, row.standing) for row in rows] == [
             (f"i{number}", 1, "has") for number in range(3)
         ]
-        (late,) = await harness.start_instances("new")  # it gets the generation without another call
+        (late,) = await harness.start_instances("new")  # "new" gets the generation without another call
         await wait_until(lambda: late.generation == 1)
         await harness.instances["i3"].restart()
         await wait_until(lambda: harness.instances["i3"].generation == 1)
@@ -133,7 +133,7 @@
 async def test_a_reconciliation_during_resume_ignores_cleared_rejections(
     harness: AgentHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The reconcile loop runs once more before resume has read the store again."""
+    """The reconcile loop runs once more before the resume has read the rollout from the store again."""
     async with harness.agent_with_instances(3) as stub:
         reject_changes(harness.instances["i1"], "invalid value")
         assert (await apply(stub)).state == "paused"
@@ -163,7 +163,7 @@
 async def test_a_restarted_agent_derives_statuses_from_reports(harness: AgentHarness) -> None:
     await harness.start_instances("a", "b", "c")
     async with harness.agent() as stub:
-        harness.instances["b"].faults.max_acknowledged = 0  # applies it, and closes without a response
+        harness.instances["b"].faults.max_acknowledged = 0  # "b" applies the change without a response
         await apply(stub)
     harness.instances["c"].stop()
     await harness.start_instances("d")
--- a/tests/agent/test_crash_recovery.py
+++ b/tests/agent/test_crash_recovery.py
@@ -37,7 +37,7 @@
         await fleet.run_command("apply", str(change), "--wave", "2")
         await fleet.wait_for_crash()
         up_to_date = {instance.name for instance in fleet.instances if instance.generation}
-        # The others reject it, so that the first status shows what the killed agent had delivered.
+        # The others reject the change, so that the first status shows what the killed agent had delivered.
         for instance in fleet.instances:
             if not instance.generation:
                 reject_changes(instance, "wait")
--- a/tests/agent/test_rollout.py
+++ b/tests/agent/test_rollout.py
@@ -57,7 +57,7 @@
 
 
 @given(strategies.integers(1, 30), strategies.integers(0, 7), strategies.integers(0, 2**32))
-def test_a_rollout_reaches_all_instances_in_no_fewer_waves_than_needed(
+def test_a_rollout_reaches_all_instances_in_waves_of_bounded_size(
     size: int, wave_size: int, seed: int
 ) -> None:
     """Some instances become unreachable during the rollout and respond again later."""
--- a/tests/agent/test_service.py
+++ b/tests/agent/test_service.py
@@ -116,7 +116,7 @@
         assert harness.instances["i0"].received_generations == []
 
 
-async def test_a_dry_run_offers_the_change_to_no_instance(harness: AgentHarness) -> None:
+async def test_a_dry_run_validates_the_change_and_applies_it_nowhere(harness: AgentHarness) -> None:
     async with harness.agent_with_instances(1) as stub:
         assert (await apply(stub, dry_run=True)).has == 1
         assert harness.instances["i0"].received_generations == []
--- a/tests/config/test_platform_config.py
+++ b/tests/config/test_platform_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: errors name the missing or invalid part, and start times are stable."""
+"""The platform's configuration: errors name the invalid part, and equal start times stay equal."""
 
 from __future__ import annotations
 
--- a/tests/control/test_operator_drains.py
+++ b/tests/control/test_operator_drains.py
@@ -1,4 +1,4 @@
-"""Drains by the operator: of endpoints by the agent or by hand, and of the instance."""
+"""Drains of endpoints by the agent or by hand, and the graceful shutdown of the instance."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
         assert await instance.post_rejected("endpoints/drained", every_endpoint) == "last-endpoint"
 
 
-async def test_draining_the_instance_completes_open_requests_and_removes_the_socket(
+async def test_a_graceful_shutdown_completes_open_requests_and_removes_the_socket(
     start_sidecar: StartSidecar,
 ) -> None:
     release = asyncio.Event()
--- a/tests/control/test_router.py
+++ b/tests/control/test_router.py
@@ -39,6 +39,6 @@
 
 
 def test_every_kind_of_error_has_a_status_and_a_code() -> None:
-    # Their status or code depends on their fields.
+    # The status or code of these errors depends on their fields.
     depending_on_fields = {errors.RequestFramingError, errors.UpdateRejectedError}
     assert set(ERROR_CODES) | depending_on_fields == leaf_classes(errors.RequestError)
--- a/tests/control/test_server.py
+++ b/tests/control/test_server.py
@@ -1,4 +1,4 @@
-"""Misbehaving clients of the control socket get an error or are disconnected. Application requests go on."""
+"""Clients that misbehave on the control socket get an error or are disconnected, and delay no requests."""
 
 from __future__ import annotations
 
--- a/tests/control/test_socket_directory.py
+++ b/tests/control/test_socket_directory.py
@@ -23,7 +23,7 @@
 
 
 def is_locked(path: Path) -> bool:
-    """Return whether a process holds the lock of the socket `path`."""
+    """Return whether a descriptor of any process holds the lock on the name of the socket `path`."""
     descriptor = os.open(path.with_suffix(LOCK_SUFFIX), os.O_RDWR | os.O_CLOEXEC)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
@@ -71,7 +71,7 @@
     second.listen().close()
     assert second.path == path
     assert is_locked(path)
-    with pytest.raises(InstanceNameInUseError):  # The same process can't lock it twice.
+    with pytest.raises(InstanceNameInUseError):  # The same process can't lock the name twice.
         InstanceSocket(directory, "a")
     second.release()
     assert not path.exists()
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -149,7 +149,7 @@
 
 
 async def test_a_closed_standard_error_causes_neither_a_lost_response_nor_a_busy_loop(tmp_path: Path) -> None:
-    """The balancer logs each response of the endpoint before its decision, and the watch each attempt."""
+    """The balancer's decision about a response and the watch's next attempt each follow a log line."""
     listen = f"127.0.0.1:{free_port()}"
     error = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
     async with Endpoint(error).serve() as bad, ResettingDiscovery().serve() as discovery:
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -106,7 +106,7 @@
 async def test_a_new_address_does_not_wait_for_the_backoff_of_the_old_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failures at the old address have made the backoff longer than the endpoint list may be late."""
+    """The connection to the old address has failed, and a backoff of up to 60 s delays its next attempt."""
     monkeypatch.setattr(timeouts, "INITIAL_BACKOFF_S", 60.0)
     monkeypatch.setattr(composition, "watch_timing", lambda settings: timeouts.WatchTiming(60.0, 60.0, 60.0))
     new_discovery = ScriptedDiscovery()
--- a/tests/sidecar/test_start.py
+++ b/tests/sidecar/test_start.py
@@ -18,25 +18,25 @@
 from tests.support import MS, SECOND
 
 
-@pytest.mark.parametrize("agent", ["responds", "silent", "resets"])
-async def test_the_first_request_uses_the_agents_list_or_without_an_agent_the_cached_list(
-    tmp_path: Path, agent: str
+@pytest.mark.parametrize("discovery_behavior", ["responds", "silent", "resets"])
+async def test_the_first_request_uses_the_list_of_discovery_or_if_it_fails_the_cached_list(
+    tmp_path: Path, discovery_behavior: str
 ) -> None:
-    """The agent's list counts as delivered from the start of the process. So the sidecar does not listen
-    until the agent has responded or the drain grace period has passed."""
+    """In push mode, discovery's list counts as delivered from the start of the process. So the sidecar does
+    not listen until discovery has responded or failed, or the drain grace period has passed."""
     async with Endpoint().serve() as old, Endpoint().serve() as new:
         discovery = DiscoveryService([member("s-0", old.address, "draining"), member("s-1", new.address)])
-        grace_ns = 60 * SECOND if agent == "responds" else 50 * MS
+        grace_ns = 60 * SECOND if discovery_behavior == "responds" else 50 * MS
         cached = [member("s-0", old.address)]
         listen = f"127.0.0.1:{free_port()}"
         env = write_config(tmp_path, discovery.address, cached, listen, guarantees__drain_grace_ns=grace_ns)
         async with discovery.serve():
-            discovery.set_outage(Outage.RESET if agent == "resets" else Outage.SILENT)
+            discovery.set_outage(Outage.RESET if discovery_behavior == "resets" else Outage.SILENT)
             env["LB_DISCOVERY"] = "{}:{}".format(*discovery.address)
             config = load_platform_config(env)
             listening = asyncio.get_running_loop().create_future()
             task = asyncio.create_task(run(config, Signals(), listening.set_result))
-            if agent == "responds":
+            if discovery_behavior == "responds":
                 await wait_until(lambda: discovery.watch_requests == 1)
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection(*config.listen)
@@ -44,6 +44,8 @@
                 discovery.set_outage(Outage.NONE)
             address = await listening
             assert (await send_request(address, request_bytes("once"))).status == 200
-            assert (len(old.requests), len(new.requests)) == ((0, 1) if agent == "responds" else (1, 0))
+            assert (len(old.requests), len(new.requests)) == (
+                (0, 1) if discovery_behavior == "responds" else (1, 0)
+            )
             discovery.set_outage(Outage.NONE)
             task.cancel()
