--- a/anisespool/agent/call_errors.py
+++ b/anisespool/agent/call_errors.py
@@ -153,7 +153,7 @@
 
 @dataclass(eq=False)
 class DrainRejectedError(NotPossibleError):
-    """At least one instance rejected a drain that every instance should apply.
+    """One or more instances rejected a drain that every instance should apply.
 
     Attributes:
         rejections: One "NAME: reason" for each instance that rejected it; not empty.
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -30,9 +30,9 @@
 
     UNKNOWN = "unknown"  # it has not been polled yet
     REACHABLE = "answers"
-    UNRESPONSIVE = "silent"  # its socket exists, but no response arrived within the time limit
+    UNRESPONSIVE = "silent"  # no response arrived within the time limit, or the connection failed
     NOT_LISTENING = "gone"  # no process listens on its socket
-    PROTOCOL_ERROR = "strange"  # its response does not conform to the control protocol
+    PROTOCOL_ERROR = "strange"  # it rejected a poll, or its response violates the control protocol
 
 
 @dataclass(eq=False)
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -161,14 +161,14 @@
         """Return the generation to send to an instance immediately; None if there is none."""
         if client.name in self._sender.in_flight or client.state is None:
             return None
-        desired = desired_generation(
+        to_send = desired_generation(
             NewestChange(newest.generation, newest.state),
             last_settled.generation if last_settled else 0,
             client.state.generation,
         )
-        if desired is None or desired.in_waves:
+        if to_send is None or to_send.in_waves:
             return None
         was_rejected = self.status.status_of(client) is RolloutStatus.REJECTED
-        if was_rejected and desired.generation == newest.generation:
+        if was_rejected and to_send.generation == newest.generation:
             return None
-        return desired.generation
+        return to_send.generation
--- a/anisespool/agent/service.py
+++ b/anisespool/agent/service.py
@@ -91,7 +91,7 @@
                 yield reply
 
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
-        """Return one change, the status of each instance for it, the latest changes, and the drains."""
+        """Return the requested or newest change with all statuses, recent changes, and the drains."""
         await self._directory.synced.wait()
         history = await self._store.execute(lambda db: change_table.recent_changes(db, MAX_HISTORY_RECORDS))
         reply = pb.StatusReply(
--- a/anisespool/config/operator/record_sections.py
+++ b/anisespool/config/operator/record_sections.py
@@ -48,7 +48,9 @@
 
 
 class RecordOptions(Section, frozen=True, kw_only=True):
-    """`[records]`: one syslog record (RFC 5424) of the path of each request. Off without the section.
+    """`[records]`: a syslog record (RFC 5424) for each request, subject to `[sampling]`.
+
+    Off without the section.
 
     Attributes:
         destination: `udp://IP:PORT`, `tcp://IP:PORT`, `tls://IP:PORT` or `unix:///PATH`.
--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -60,7 +60,7 @@
     def _state(self) -> JsonObject:
         return json_object(self._inspector.state())
 
-    def _state_after(self, changed: bool) -> JsonObject:
+    def _state_with_result(self, changed: bool) -> JsonObject:
         return json_object(self._inspector.state(), ChangeResult(changed))
 
     def _get_state(self, body: RequestBody) -> JsonObject:
@@ -79,7 +79,7 @@
 
     def _apply(self, body: RequestBody) -> JsonObject:
         changed = self._config_updater.apply(requests.decode_apply(body))
-        return self._state_after(changed)
+        return self._state_with_result(changed)
 
     def _shut_down(self, body: RequestBody) -> JsonObject:
         """Shut the instance down gracefully, as SIGTERM does."""
@@ -94,10 +94,10 @@
     def _drain_endpoint(self, body: RequestBody) -> JsonObject:
         request = requests.decode_endpoint(body)
         changed = self._drains.drain_by_hand(request.endpoint, request.force)
-        return self._state_after(changed)
+        return self._state_with_result(changed)
 
     def _undrain_endpoint(self, body: RequestBody) -> JsonObject:
         request = requests.decode_endpoint(body)
         generation = self._config_updater.applied.generation
         changed = self._drains.undrain_by_hand(request.endpoint, generation)
-        return self._state_after(changed)
+        return self._state_with_result(changed)
--- a/anisespool/sidecar/optional_features.py
+++ b/anisespool/sidecar/optional_features.py
@@ -70,6 +70,7 @@
             await self.recorder.close()
 
     def _start_control(self, controls: SidecarControls) -> list[asyncio.Task[None]]:
+        """Apply the live sections of the file, and open the control socket if the file has `[control]`."""
         from anisespool.control import routes
         from anisespool.control.handlers import ControlHandlers
         from anisespool.control.server import serve
