--- a/anisespool/control/handlers.py
+++ b/anisespool/control/handlers.py
@@ -25,7 +25,7 @@
     """The handlers of one instance, and the state that they work on.
 
     Attributes:
-        routes: The handler of each route. Other subsystems may add routes.
+        by_route: The handler of each route. Other subsystems may add routes.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._drains = OperatorDrains(proxy, frozenset(operator_config.endpoints.drained))
         self._config_updater = ConfigUpdater(config, operator_config, proxy, controls, self._drains)
         self._inspector = Inspector(config, proxy, controls, self._config_updater, self._drains)
-        self.routes: dict[Route, Handler] = {
+        self.by_route: dict[Route, Handler] = {
             routes.GET_STATE: self._get_state,
             routes.DESCRIBE: self._describe,
             routes.GET_EVENTS: self._get_events,
@@ -60,7 +60,7 @@
     def _state(self) -> JsonObject:
         return json_object(self._inspector.state())
 
-    def _state_after(self, changed: bool) -> JsonObject:
+    def _state_with_result(self, changed: bool) -> JsonObject:
         return json_object(self._inspector.state(), ChangeResult(changed))
 
     def _get_state(self, body: RequestBody) -> JsonObject:
@@ -79,7 +79,7 @@
 
     def _apply(self, body: RequestBody) -> JsonObject:
         changed = self._config_updater.apply(requests.decode_apply(body))
-        return self._state_after(changed)
+        return self._state_with_result(changed)
 
     def _shut_down(self, body: RequestBody) -> JsonObject:
         """Shut the instance down gracefully, as SIGTERM does."""
@@ -94,10 +94,10 @@
     def _drain_endpoint(self, body: RequestBody) -> JsonObject:
         request = requests.decode_endpoint(body)
         changed = self._drains.drain_by_hand(request.endpoint, request.force)
-        return self._state_after(changed)
+        return self._state_with_result(changed)
 
     def _undrain_endpoint(self, body: RequestBody) -> JsonObject:
         request = requests.decode_endpoint(body)
         generation = self._config_updater.applied.generation
         changed = self._drains.undrain_by_hand(request.endpoint, generation)
-        return self._state_after(changed)
+        return self._state_with_result(changed)
