--- a/anisespool/lab/live/connection_proxy.py
+++ b/anisespool/lab/live/connection_proxy.py
@@ -96,7 +96,7 @@
         if self._dropped:
             return
         attempt = self._attempt
-        if attempt and not attempt.ended and not attempt.stopped:
+        if attempt and not attempt.ended and not attempt.endpoint_done:
             attempt.ended = True
             self._proxy.handler.connection_closed(attempt)
         else:
--- a/anisespool/lab/live/endpoint_list_feeds.py
+++ b/anisespool/lab/live/endpoint_list_feeds.py
@@ -76,7 +76,7 @@
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Send a change of one endpoint to every sidecar, each with its own delay."""
-        for sidecar, due_at, revision in self._watch_delay.next_change(self._clock.now):
+        for sidecar, due_at, revision in self._watch_delay.schedule_change(self._clock.now):
             entry = self._build_entry(endpoint, sidecar)
             update = _Update(due_at, revision, endpoint.id, state, endpoint.started_at, entry)
             self._feeds[sidecar].pending.append(update)
@@ -84,7 +84,7 @@
 
     def publish_complete(self, endpoints: list[Endpoint], is_empty: bool) -> None:
         """Send a complete list to all at once; an empty one stands for a registry that was wiped."""
-        self._watch_delay.complete_list()
+        self._watch_delay.record_complete_list()
         for sidecar, feed in enumerate(self._feeds):
             for endpoint in endpoints:
                 state = EndpointState.GONE if is_empty else endpoint.list_state
@@ -117,7 +117,7 @@
                 self._clock.at(update.due_at, self._deliver_due, sidecar)
                 return
             feed.pending.popleft()
-            if self._watch_delay.accepts(sidecar, update.revision):
+            if self._watch_delay.receive_change(sidecar, update.revision):
                 self._record_state(feed, update.endpoint, update.state, update.started)
                 feed.discovery.publish(update.entry)
 
--- a/anisespool/lab/live/live_backend.py
+++ b/anisespool/lab/live/live_backend.py
@@ -277,7 +277,7 @@
         else:
             self.cancel_request(attempt)
 
-    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def sidecar_knows_start(self, job: Job, endpoint: Endpoint) -> bool:
         """Return whether the job's sidecar was notified of the endpoint's last start."""
         return self.feeds.was_notified_of_start(job.sidecar, endpoint)
 
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -59,7 +59,7 @@
         speed = spec.speed * random.uniform(1 - spec.speed_spread, 1 + spec.speed_spread)
         return Endpoint(number, group, spec, self.scenario.rules, speed)
 
-    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def sidecar_knows_start(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the job's sidecar has been notified of the endpoint's last start."""
         raise NotImplementedError
 
@@ -74,7 +74,9 @@
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or endpoint.faults.dead:
             return  # its sidecar got a reset
-        broken = endpoint.check_overload(self.clock.now, job.work_ns, self.is_notified_of(job, endpoint))
+        broken = endpoint.record_arrived_work(
+            self.clock.now, job.work_ns, self.sidecar_knows_start(job, endpoint)
+        )
         require(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
         if endpoint.overloaded or endpoint.faults.vanished:
             return
@@ -91,15 +93,15 @@
     def cancel_request(self, job: Job) -> None:
         """Closes a job's connection, and cancels its request if the group's `cancel` setting covers it."""
         endpoint = self.endpoints[job.endpoint - 1]
-        if endpoint.incarnation != job.incarnation or job.stopped:
+        if endpoint.incarnation != job.incarnation or job.endpoint_done:
             return
         endpoint.connections -= 1
         if endpoint.spec.cancel == "none":
             return
         if not job.running:
-            job.stopped = True
+            job.endpoint_done = True
         elif endpoint.spec.cancel == "all":
-            job.stopped = True
+            job.endpoint_done = True
             job.running = False
             endpoint.busy_cores -= 1
             self._execute_queued(endpoint)
@@ -120,13 +122,13 @@
             self.clock.after(max(1, service_time), self._finish_execution, endpoint, job)
 
     def _finish_execution(self, endpoint: Endpoint, job: Job) -> None:
-        if endpoint.incarnation != job.incarnation or job.stopped:
+        if endpoint.incarnation != job.incarnation or job.endpoint_done:
             return
         if self.clock.now < endpoint.faults.paused_until:
             self.clock.at(endpoint.faults.paused_until, self._finish_execution, endpoint, job)
             return
         job.running = False
-        job.stopped = True
+        job.endpoint_done = True
         self._respond(endpoint, job, AttemptStatus.OK)  # first, as its load report includes this request
         endpoint.busy_cores -= 1
         self._execute_queued(endpoint)
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -26,7 +26,7 @@
         ended: The decision module has been notified of the outcome.
         connected: The request has been sent on a connection.
         fresh: A new connection was opened for it.
-        stopped: The endpoint has executed or cancelled it.
+        endpoint_done: The endpoint has executed or cancelled it.
         delayed_until: Time until which a link delays it, ns.
     """
 
@@ -42,7 +42,7 @@
     connected: bool = False
     fresh: bool = False
     running: bool = False
-    stopped: bool = False
+    endpoint_done: bool = False
     delayed_until: int = 0
 
 
@@ -131,7 +131,7 @@
         """Work that one core does per second now."""
         return self.speed * self.capacity_share(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
 
-    def check_overload(self, now: int, work_ns: int, notified: bool) -> bool:
+    def record_arrived_work(self, now: int, work_ns: int, notified: bool) -> bool:
         """Counts arrived work, and overloads the endpoint if it is warming up and gets too much (rule 4).
 
         The work that arrives within `fall_ms` has to stay below `fall_multiple` times what the endpoint can
@@ -170,7 +170,7 @@
         """Takes the next request from the queue, if a core is free. Cancelled requests are dropped."""
         while self.waiting and self.busy_cores < self.spec.cores and not self.overloaded:
             job = self.waiting.popleft()
-            if not job.stopped:
+            if not job.endpoint_done:
                 self.busy_cores += 1
                 job.running = True
                 return job
--- a/anisespool/lab/model/endpoint_list.py
+++ b/anisespool/lab/model/endpoint_list.py
@@ -48,7 +48,7 @@
         """Changes an endpoint's state; each sidecar is notified after its own delay."""
         endpoint.list_state = state
         listing = self._listing(endpoint)
-        for change in self._watch_delay.next_change(self._clock.now):
+        for change in self._watch_delay.schedule_change(self._clock.now):
             event = api.EndpointListUpdate(change.revision, EndpointListKind.DELTA, (listing,))
             sidecar = self._run.serving(change.sidecar)
             arrives_at = self._arrives_at(change, sidecar) if self._run.links else change.at
@@ -67,14 +67,18 @@
     def publish_all(self, with_entries: bool) -> None:
         """Sends every sidecar the complete list, or an empty one as a wiped registry does."""
         listings = self._listings() if with_entries else ()
-        event = api.EndpointListUpdate(self._watch_delay.complete_list(), EndpointListKind.FULL, listings)
+        event = api.EndpointListUpdate(
+            self._watch_delay.record_complete_list(), EndpointListKind.FULL, listings
+        )
         for slot in range(self._scenario.sidecars):
             self._run.handle(self._run.serving(slot), event)
 
     def _receive(self, sidecar: Sidecar, incarnation: int, event: api.EndpointListUpdate) -> None:
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._receive, sidecar, incarnation, event)
-        elif sidecar.incarnation == incarnation and self._watch_delay.accepts(sidecar.slot, event.version):
+        elif sidecar.incarnation == incarnation and self._watch_delay.receive_change(
+            sidecar.slot, event.version
+        ):
             _drop_stale_connections(sidecar, event)
             self._run.handle(sidecar, event)
 
--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -46,7 +46,7 @@
         for sidecar in range(len(self._blocked_until)) if sidecars is None else sidecars:
             self._blocked_until[sidecar] = max(self._blocked_until[sidecar], until)
 
-    def next_change(self, now: int) -> Iterator[ListChange]:
+    def schedule_change(self, now: int) -> Iterator[ListChange]:
         """Creates the next revision, and yields when each sidecar receives it."""
         self._revision += 1
         for sidecar, last_arrival in enumerate(self._last_arrivals):
@@ -55,7 +55,7 @@
             self._last_arrivals[sidecar] = arrival
             yield ListChange(sidecar, arrival, self._revision)
 
-    def complete_list(self) -> int:
+    def record_complete_list(self) -> int:
         """Creates the revision of a complete list, which all sidecars receive immediately."""
         self._revision += 1
         self._received_revisions = [self._revision] * len(self._received_revisions)
@@ -67,7 +67,7 @@
         self._received_revisions[sidecar] = self._revision
         return self._revision
 
-    def accepts(self, sidecar: int, revision: int) -> bool:
+    def receive_change(self, sidecar: int, revision: int) -> bool:
         """Whether an arriving change is new to the sidecar: a complete list contains all earlier changes."""
         if revision <= self._received_revisions[sidecar]:
             return False
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -166,7 +166,7 @@
         elif sidecar.incarnation == incarnation:
             self.handle(sidecar, api.TimerExpired(token))
 
-    def is_notified_of(self, job: Job, endpoint: Endpoint) -> bool:
+    def sidecar_knows_start(self, job: Job, endpoint: Endpoint) -> bool:
         """Whether the job's sidecar has been notified of the endpoint's last start."""
         return self.sidecars[job.sidecar].known_starts.get(endpoint.id) == endpoint.started_at
 
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -210,18 +210,18 @@
 def test_changes_of_the_endpoint_list_arrive_in_order(watch_delay: WatchDelay) -> None:
     """If a start overtook the drain before it, the sidecar would never use the endpoint again."""
     watch_delay.delay_factor = 40.0
-    (slow,) = watch_delay.next_change(0)
+    (slow,) = watch_delay.schedule_change(0)
     watch_delay.delay_factor = 1.0
-    (fast,) = watch_delay.next_change(0)
+    (fast,) = watch_delay.schedule_change(0)
     assert slow.at == fast.at == 40 * SECOND
-    assert watch_delay.accepts(0, slow.revision)
-    assert watch_delay.accepts(0, fast.revision)
+    assert watch_delay.receive_change(0, slow.revision)
+    assert watch_delay.receive_change(0, fast.revision)
 
 
 def test_a_complete_list_contains_the_changes_before_it(watch_delay: WatchDelay) -> None:
-    (late,) = watch_delay.next_change(0)
-    assert watch_delay.complete_list() > late.revision
-    assert not watch_delay.accepts(0, late.revision)
+    (late,) = watch_delay.schedule_change(0)
+    assert watch_delay.record_complete_list() > late.revision
+    assert not watch_delay.receive_change(0, late.revision)
 
 
 @pytest.fixture
