--- a/anisespool/lab/model/arrivals.py
+++ b/anisespool/lab/model/arrivals.py
@@ -1,7 +1,7 @@
-"""Arrivals of client requests. They are open loop: the outcome of one request never moves the next.
+"""Arrivals of client requests. They are open loop: outcomes of requests never move later arrivals.
 
-The simulation generates arrivals on its virtual clock. A run with real processes plans all of them
-beforehand, and so has the same client requests at the same moments.
+The simulation generates arrivals on its virtual clock. A run with real processes generates all of them
+beforehand with the same code, and so has the same client requests at the same moments.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         self._refilled_at = 0
 
     def take(self, tenant: int, now: int) -> bool:
-        """Takes a token; returns False if the tenant is over its quota. Without tenants there is no quota."""
+        """Takes a token of the tenant; returns False if none is left. Without tenants there is no quota."""
         if not self._quotas_per_s:
             return True
         elapsed_s = (now - self._refilled_at) / SECOND
@@ -68,7 +68,7 @@
         self._first, self._scenario_start, self._end = span
         self._client_requests = 0
         self._traffic_factor = 1.0
-        self._tenant_traffic_factor = 1.0  # total rate relative to the usual one, from tenants' faults
+        self._tenant_traffic_factor = 1.0  # total rate relative to a run without faults of tenants
         self._zone_factors = dict.fromkeys(scenario.zones(), 1.0)
         self._tenant_factors = [1.0] * len(scenario.tenants)
         self._quotas = QuotaBuckets(scenario.quotas_per_s())
@@ -80,11 +80,11 @@
             self.set_tenant_traffic_factor(0, 1.0)
 
     def set_traffic_factor(self, factor: float) -> None:
-        """Multiplies the traffic by a fault's factor."""
+        """Multiplies the traffic of all clients. The factor replaces the one set before."""
         self._traffic_factor = factor
 
     def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
-        """Multiplies one zone's traffic. The other zones get less, so that the total stays the same."""
+        """Multiplies one zone's traffic. Zones without a factor get less: the total stays the same."""
         self._zone_factors[zone] = factor
         usual = self._usual_shares()
         factors = [self._zone_factors[zone] for zone in self._scenario.sidecar_zones()]
@@ -125,7 +125,7 @@
             self._clock.at(self._scenario_start + int(burst.at_s * SECOND), self._burst, burst)
 
     def _next_arrival(self) -> None:
-        """Generates an arrival of the steady traffic, and schedules the next."""
+        """Generates an arrival of the traffic outside bursts, and schedules the next."""
         now = self._clock.now
         rate_per_s = self._rate_per_s(now)
         if self._first < now < self._end:
@@ -156,7 +156,7 @@
             self._clock.after(int(burst.every_s * SECOND), self._burst, burst)
 
     def _arrive(self, class_index: int, tenant: int = 0) -> None:
-        """Creates a client request. Another order of the draws would change the run of every seed."""
+        """Creates a client request. The order of the draws is fixed: another one would change all runs."""
         clients = self._scenario.clients
         random = self._random
         work = self._draw_work(self._scenario.classes[class_index])
@@ -190,7 +190,7 @@
 
 
 def plan_client_requests(scenario: Scenario, seed: int) -> list[ClientRequest]:
-    """All client requests of a run in order of arrival, as in the simulation; times from its first moment."""
+    """All client requests of a run in order of arrival, as in the simulation. The run begins at 0 ns."""
     clock = Clock(0)
     client_requests: list[ClientRequest] = []
     begin, end = span_ns(scenario, 0)
@@ -206,7 +206,7 @@
 
 
 def _schedule_factor(clock: Clock, arrivals: Arrivals, fault: Fault, when: int, factor: float) -> None:
-    """Schedules a change of traffic, if the fault changes that of all clients, a tenant or a zone."""
+    """Schedules a traffic factor if the fault has one: for all clients, a tenant or a zone."""
     if fault.kind == "traffic":
         clock.at(when, arrivals.set_traffic_factor, factor)
     elif fault.kind == "tenant":
--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -55,7 +55,7 @@
         return sidecar.zone in self._isolated_zones or zone in self._isolated_zones
 
     def _draw_hop(self, sidecar: Sidecar, endpoint: Endpoint) -> int:
-        """Draws the one-way delay between the two, ns."""
+        """Draws the one-way delay between the sidecar and the endpoint, ns."""
         width = self._scenario.network.spread
         spread = self._network_random.uniform(1 - width, 1 + width) if width else 1.0
         return hop_ns(
@@ -81,7 +81,7 @@
         return delay if isinstance(delay, int) else None
 
     def send(self, sidecar: Sidecar, action: api.Send) -> None:
-        """Starts an attempt."""
+        """Starts an attempt, and schedules its time-out."""
         now = self._clock.now
         request = self._clients.open.get(RequestKey(sidecar.number, action.request))
         require(request is not None, "rule 1: a send for a request that has ended")
@@ -148,7 +148,7 @@
             self._transmit(sidecar, endpoint, job, self._draw_hop(sidecar, endpoint))
 
     def _transmit(self, sidecar: Sidecar, endpoint: Endpoint, job: Job, hop: int) -> None:
-        """Sends the request on its connection. Links may delay it or reset the connection."""
+        """Sends the request. A zone's isolation loses it; links may delay it or reset the connection."""
         if self._is_isolated(sidecar, endpoint):
             return
         delay = self._request_delay(sidecar, endpoint)
@@ -167,7 +167,7 @@
         hop = self._draw_hop(sidecar, endpoint)
         if self._is_isolated(sidecar, endpoint):
             return
-        if loss and self._loss_random.uniform() < loss:  # ends as a reset or a time-out
+        if loss and self._loss_random.uniform() < loss:  # the sidecar gets a reset, or a time-out
             if self._loss_random.uniform() < RESET_SHARE:
                 self._clock.after(hop, self._end, job, AttemptStatus.RESET)
             return
@@ -190,7 +190,7 @@
             if job.connected:
                 hop = self._draw_hop(self._run.sidecars[job.sidecar], endpoint)
                 self._clock.after(hop, self._end, job, AttemptStatus.RESET)
-            else:  # after a delay it could be open, and execute a request reported as not executed
+            else:  # at once: once open, it could execute a request reported as not executed
                 self._end(job, AttemptStatus.CONNECT_FAILED)
         for sidecar in self._run.sidecars:
             sidecar.idle_connections.pop(endpoint.id, None)
@@ -202,14 +202,14 @@
             self._give_up(job, AttemptStatus.CANCELLED)
 
     def _give_up(self, job: Job, status: AttemptStatus) -> None:
-        """Ends an attempt for its sidecar. Without a connection its request was not executed."""
+        """Ends an attempt by time-out or cancellation. Without a connection its request was not executed."""
         if job.ended:
             return
         sidecar = self._run.sidecars[job.sidecar]
         if sidecar.frozen_until > self._clock.now:
             self._clock.at(sidecar.frozen_until, self._give_up, job, status)
             return
-        if job.connected:  # the closing cannot overtake a request that a link holds back
+        if job.connected:  # the close arrives after a request that a link still delays
             hop = self._draw_hop(sidecar, self._run.endpoints[job.endpoint - 1])
             link_delay = max(0, job.delayed_until - self._clock.now)
             self._clock.after(hop + link_delay, self._run.cancel_request, job)
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -1,7 +1,8 @@
 """The endpoints of a run: they queue, execute, fail and cancel the requests that arrive.
 
-The simulation runs this code in virtual time, and a run with real processes runs it behind sockets. The two
-therefore differ only in the sidecar, its sockets and its machine.
+The simulation runs this code in virtual time, and a run with real processes runs it behind sockets. Endpoints
+therefore behave the same. Only the sidecar, its sockets and its machine are simulated in one and real in the
+other.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 
     @property
     def now(self) -> int:
-        """The current time, ns."""
+        """The clock's current time, ns."""
 
     def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Schedules `callback(*arguments)` for a moment, ns."""
+        """Schedules `callback(*arguments)` at the time `when`, ns, on the clock of `now`."""
 
     def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
         """Schedules `callback(*arguments)` after a delay, ns."""
@@ -73,20 +74,20 @@
         """Handles a request that has arrived in full: the endpoint queues, executes, fails or rejects it."""
         endpoint = self.endpoints[job.endpoint - 1]
         if endpoint.incarnation != job.incarnation or endpoint.faults.dead:
-            return  # its sidecar got a reset
-        broken = endpoint.record_arrived_work(
+            return  # the process has ended, and the sidecar got a reset
+        rule_4_broken = endpoint.record_arrived_work(
             self.clock.now, job.work_ns, self.sidecar_knows_start(job, endpoint)
         )
-        require(not broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
+        require(not rule_4_broken, f"rule 4: endpoint {endpoint.id} was pushed over while it was cold")
         if endpoint.overloaded or endpoint.faults.vanished:
-            return
+            return  # the request is lost, and the sidecar gets no answer
         failure_rate = endpoint.faults.failure_rate
         if failure_rate and self._failure_random.uniform() < failure_rate:
             job.client_request.executions += 1
             self._respond(endpoint, job, AttemptStatus.ERROR)
             return
-        if status := endpoint.enqueue(job):
-            self._respond(endpoint, job, status)
+        if rejection := endpoint.enqueue(job):
+            self._respond(endpoint, job, rejection)
             return
         self._execute_queued(endpoint)
 
@@ -107,14 +108,14 @@
             self._execute_queued(endpoint)
 
     def _execute_queued(self, endpoint: Endpoint) -> None:
-        """Executes requests from the queue while cores are free."""
+        """Begins to execute requests from the queue while cores are free."""
         now = self.clock.now
         while job := endpoint.start_next():
             client_request = job.client_request
             client_request.executions += 1
-            unsafe = self.scenario.classes[client_request.class_index].effect == "once"
+            single_execution = self.scenario.classes[client_request.class_index].effect == "once"
             require(
-                not unsafe or client_request.executions == 1,
+                not single_execution or client_request.executions == 1,
                 f"rule 2: wish {client_request.number} ran twice",
             )
             service_time = int(job.work_ns / endpoint.core_speed(now))
@@ -129,7 +130,7 @@
             return
         job.running = False
         job.endpoint_done = True
-        self._respond(endpoint, job, AttemptStatus.OK)  # first, as its load report includes this request
+        self._respond(endpoint, job, AttemptStatus.OK)  # first: its load report includes this request
         endpoint.busy_cores -= 1
         self._execute_queued(endpoint)
 
@@ -137,8 +138,8 @@
         if endpoint.faults.vanished or endpoint.overloaded:
             return
         now = self.clock.now
-        valid_until = now + int(self._report_random.uniform(*self.scenario.reports.every_ms) * MS)
-        self.send_response(endpoint, job, status, endpoint.load_report(now, self.columns, valid_until))
+        new_valid_until = now + int(self._report_random.uniform(*self.scenario.reports.every_ms) * MS)
+        self.send_response(endpoint, job, status, endpoint.load_report(now, self.columns, new_valid_until))
 
     @property
     def columns(self) -> tuple[str, ...]:
@@ -147,25 +148,25 @@
 
 
 def node_of(endpoint: Endpoint) -> Node:
-    """The endpoint's node, by which links select it."""
+    """The endpoint as a node, in the form that selectors of links match."""
     return Node("endpoint", endpoint.id - 1, endpoint.spec.zone)
 
 
-def hop_ns(scenario: Scenario, same_zone: bool, spread: float, delay_factor: float) -> int:
+def hop_ns(scenario: Scenario, same_zone: bool, spread_factor: float, delay_factor: float) -> int:
     """One-way delay between a sidecar and an endpoint, ns.
 
     Args:
-        scenario: Defines the usual delays.
+        scenario: Defines the mean delays.
         same_zone: Whether both are in one zone.
-        spread: Factor drawn for this message.
-        delay_factor: Factor from a fault of the endpoint.
+        spread_factor: Factor of random variation, drawn for this message; 1: the mean delay.
+        delay_factor: Factor by which a fault of the endpoint multiplies the delay.
     """
     network = scenario.network
-    usual_ms = network.same_ms if same_zone else network.cross_ms
-    return int(usual_ms * MS * spread * delay_factor)
+    mean_ms = network.same_ms if same_zone else network.cross_ms
+    return int(mean_ms * MS * spread_factor * delay_factor)
 
 
 def span_ns(scenario: Scenario, first: int) -> tuple[int, int]:
-    """Start (after the warm-up) and end of the scenario time, ns, in a run whose first moment is `first`."""
+    """Start and end of the scenario time, ns, in a run that begins at `first`, with its warm-up."""
     start = first + int(scenario.warm_s * SECOND)
     return start, start + int(scenario.seconds * SECOND)
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -1,4 +1,9 @@
-"""Checks a decision module against the four rules, and the order of requests that share a key.
+"""Checks a decision module against three of the four rules, and the order of requests that share a key.
+
+- Rule 1: each request gets exactly one final response, in time for its deadline.
+- Rule 2: no request is repeated, or rejected so that its client repeats it, if it may then be executed twice.
+- Rule 3: no request is sent to an endpoint after its drain grace.
+- Rule 4: sidecars do not overload an endpoint that warms up. The endpoints check it (backend.py).
 
 The checker shares no logic with the module: it derives its verdict from events and actions alone. It
 deliberately has its own copy of the rule of idempotency (the module's is in balancer/retry/idempotency.py).
@@ -11,14 +16,14 @@
 from anisespool.balancer import interface as api
 from anisespool.balancer.interface import AttemptStatus, DedupScope, EndpointState, Idempotency, Settings
 
-# Defined here and not imported, so that a wrong definition in the checked module is found.
+# Defined here and not imported, so that a wrong definition in the decision module is found.
 NOT_EXECUTED = {AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED, AttemptStatus.MOOT}
 MAY_STILL_EXECUTE = {AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
 MAX_TIMER_NS = 71 * 60 * 10**9
 
 
 class RuleError(AssertionError):
-    """A rule was broken. The text begins with the rule's number."""
+    """A rule was broken, or an action was invalid. The text for a rule begins with "rule" and its number."""
 
 
 def require(condition: bool, text: str) -> None:
@@ -50,7 +55,7 @@
     Attributes:
         deadline: The request's deadline, ns.
         attempts: All attempts in the order in which they were sent.
-        answered: The module or an endpoint has given the final response.
+        answered: The request has its final response, or its client has disconnected.
         key: The request's key if requests of that key are executed in order; 0: no order.
         key_settles_at: Earliest time at which the key's next request may be sent, ns. Until then an attempt
             of this request may still be executed.
@@ -64,7 +69,7 @@
     key_settles_at: int = 0
 
     def is_over(self) -> bool:
-        """Whether the request has its final response and no open attempt."""
+        """Whether the request is answered and has no open attempt."""
         return self.answered and not any(attempt.open for attempt in self.attempts)
 
 
@@ -85,13 +90,13 @@
         self.settings = settings
         self.requests: dict[int, RequestRecord] = {}
         self._drops_finished = drops_finished
-        self._listings: dict[int, api.EndpointListing] = {}
+        self._current_listings: dict[int, api.EndpointListing] = {}
         self._unavailable_since: dict[int, int] = {}
-        self._last_listings: dict[int, api.EndpointListing] = {}  # includes removed endpoints
+        self._last_listings: dict[int, api.EndpointListing] = {}  # latest of each endpoint, listed or removed
         self._requests_by_key: dict[int, list[int]] = {}  # requests by key in order of arrival
 
     def observe(self, now: int, event: api.Event) -> None:
-        """Records an event. To be called before the module handles it."""
+        """Records an event. The caller calls this before the module handles the event."""
         match event:
             case api.RequestArrived():
                 self._record_arrival(now, event)
@@ -130,38 +135,38 @@
 
     def _update_endpoints(self, now: int, update: api.EndpointListUpdate) -> None:
         if update.kind != api.EndpointListKind.DELTA:
-            for endpoint in set(self._listings) - {listing.endpoint for listing in update.entries}:
-                del self._listings[endpoint]
+            for endpoint in set(self._current_listings) - {listing.endpoint for listing in update.entries}:
+                del self._current_listings[endpoint]
                 self._unavailable_since.setdefault(endpoint, now)
         for listing in update.entries:
             self._last_listings[listing.endpoint] = listing
-            self._listings[listing.endpoint] = listing
+            self._current_listings[listing.endpoint] = listing
             if listing.state == EndpointState.READY:
                 self._unavailable_since.pop(listing.endpoint, None)
             else:
                 self._unavailable_since.setdefault(listing.endpoint, now)
 
     def check(self, now: int, actions: list[api.Action]) -> None:
-        """Checks the actions that the module decided on.
+        """Checks the actions that the module decided on, and records them.
 
         Raises:
-            RuleError: An action breaks a rule, or the settings do not allow it.
+            RuleError: An action breaks a rule, is invalid, or is not allowed by the settings.
         """
         for action in actions:
             match action:
                 case api.Send():
                     self._check_send(now, action)
                 case api.Reject():
-                    self._check_rejection(self._check_final(now, action.request))
+                    self._check_rejection(self._record_final(now, action.request))
                     self._drop_finished(action.request)
                 case api.Fail():
-                    self._check_final(now, action.request)
+                    self._record_final(now, action.request)
                     self._drop_finished(action.request)
                 case _:
                     self._check_auxiliary(action)
 
     def _check_auxiliary(self, action: api.Action) -> None:
-        """Checks an action that neither sends a request nor ends it."""
+        """Checks an action that neither sends a request to an endpoint nor ends it."""
         match action:
             case api.Cancel():
                 require(self.settings.may_cancel, "a cancellation that the settings do not allow")
@@ -198,12 +203,12 @@
                 not any(attempt.open for attempt in record.attempts),
                 "two open attempts of a request without hedging",
             )
-        self._check_effects(now, record, send.endpoint)
+        self._check_repeat(now, record, send.endpoint)
         self._check_order(now, send.request, record)
         record.attempts.append(AttemptRecord(send.endpoint, now))
 
-    def _check_effects(self, now: int, record: RequestRecord, endpoint: int) -> None:
-        """Checks rule 2 for another attempt."""
+    def _check_repeat(self, now: int, record: RequestRecord, endpoint: int) -> None:
+        """Checks rule 2 for a new attempt to `endpoint`: repeating the request has to be harmless."""
         possibly_executed = [attempt for attempt in record.attempts if not attempt.not_executed]
         if not possibly_executed or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -215,12 +220,12 @@
             now <= possibly_executed[0].sent_at + record.request_class.dedup_window_ns,
             "rule 2: a repeat after the deduplication window",
         )
-        here = self._last_listings[endpoint]
+        repeated = self._last_listings[endpoint]
         first = self._last_listings[possibly_executed[0].endpoint]
         if record.request_class.dedup_scope is DedupScope.ZONE:
-            require(here.zone == first.zone, "rule 2: a repeat outside the deduplication zone")
+            require(repeated.zone == first.zone, "rule 2: a repeat outside the deduplication zone")
         elif record.request_class.dedup_scope is DedupScope.CELL:
-            require(here.cell == first.cell, "rule 2: a repeat outside the deduplication cell")
+            require(repeated.cell == first.cell, "rule 2: a repeat outside the deduplication cell")
 
     def _check_order(self, now: int, request: int, record: RequestRecord) -> None:
         if not record.key:
@@ -233,7 +238,7 @@
             )
 
     def _check_rejection(self, record: RequestRecord) -> None:
-        """Checks rule 2 for a rejection: it means that a retry is harmless."""
+        """Checks rule 2 for a rejection, after which clients may retry any request."""
         not_executed = all(attempt.not_executed for attempt in record.attempts)
         if not_executed or record.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -241,8 +246,8 @@
         deduplicated_everywhere = is_keyed and record.request_class.dedup_scope is DedupScope.ALL
         require(deduplicated_everywhere, "rule 2: a rejection of a request that may have been executed")
 
-    def _check_final(self, now: int, request: int) -> RequestRecord:
-        """Checks rule 1 for a final response."""
+    def _record_final(self, now: int, request: int) -> RequestRecord:
+        """Checks rule 1 for a final response, and marks the request as answered; returns its record."""
         record = self.requests.get(request)
         require(record is not None, "rule 1: a second final response")
         assert record
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -30,10 +30,12 @@
 
 
 class Clients:
-    """All clients of a run. Each attempt of a client to get its request served is a new request.
+    """All clients of a run.
+
+    A client may send its client request several times. To the sidecar, each time is a new request.
 
     Attributes:
-        open: Requests that have no final response yet.
+        open: Requests that have no final response yet, by sidecar and number.
     """
 
     def __init__(self, run: SimulatedRun) -> None:
@@ -45,13 +47,13 @@
         self.open: dict[RequestKey, OpenRequest] = {}
 
     def start(self, client_request: ClientRequest) -> None:
-        """Sends a client request for the first time, unless its application is stopped."""
+        """Sends a client request for the first time. A stopped application sends none."""
         if self._run.serving(client_request.sidecar).down:
             return
         self._metrics.record_client_request(client_request)
-        self._send_attempt(client_request)
+        self._send_request(client_request)
 
-    def _send_attempt(self, client_request: ClientRequest) -> None:
+    def _send_request(self, client_request: ClientRequest) -> None:
         now = self._clock.now
         sidecar = self._run.serving(client_request.sidecar)
         if sidecar.down:  # the application stopped with its sidecar before this retry
@@ -65,7 +67,7 @@
         self.open[key] = OpenRequest(client_request, now + remaining_ns, now)
         self._metrics.request_opened(now)
         self._log_request(client_request)
-        self._clock.at(now + remaining_ns + RESPONSE_SLACK_NS, self._check_answered, key)
+        self._clock.at(now + remaining_ns + RESPONSE_SLACK_NS, self._time_out, key)
         self._arrive(sidecar, _arrival(key.request, client_request, remaining_ns))
 
     def _log_request(self, client_request: ClientRequest) -> None:
@@ -88,8 +90,8 @@
         if sidecar.incarnation == incarnation and (sidecar.number, event.request) in self.open:
             self._run.handle(sidecar, event)
 
-    def _check_answered(self, key: RequestKey) -> None:
-        """Checks rule 1, unless the sidecar was frozen and could not respond."""
+    def _time_out(self, key: RequestKey) -> None:
+        """Ends an unanswered request after its deadline. Rule 1 allows one only if its sidecar was frozen."""
         request = self.open.get(key)
         if request is None:
             return
@@ -101,7 +103,7 @@
         self._disconnect(sidecar, key)
 
     def _disconnect(self, sidecar: Sidecar, key: RequestKey) -> None:
-        """Ends a request whose client gave up. The sidecar notices when it is no longer frozen."""
+        """Ends a request whose client gave up. The sidecar is notified after its freeze."""
         client_request = self.close(key)
         if key.request in sidecar.checker.requests:
             sidecar.disconnected.append(key.request)
@@ -114,7 +116,7 @@
         return request.client_request
 
     def close_all(self, sidecar: Sidecar) -> None:
-        """Fails all open requests of a sidecar whose process died."""
+        """Ends all open requests of a sidecar whose process died, as failed."""
         for key in [key for key in self.open if key.sidecar == sidecar.number]:
             self.fail(self.close(key))
 
@@ -131,7 +133,7 @@
             self.fail(client_request)
 
     def succeed(self, key: RequestKey) -> None:
-        """Delivers an endpoint's response to the client, if the request is still open."""
+        """Delivers an endpoint's successful response to the client, if the request is still open."""
         if key not in self.open:
             return
         client_request = self.close(key)
@@ -143,9 +145,9 @@
     def _reject(self, client_request: ClientRequest, retry_after: int) -> None:
         """Handles a rejection, after which a retry has to be harmless (rule 2)."""
         now = self._clock.now
-        unsafe = self._scenario.classes[client_request.class_index].effect == "once"
+        single_execution = self._scenario.classes[client_request.class_index].effect == "once"
         require(
-            not (unsafe and client_request.executions),
+            not (single_execution and client_request.executions),
             f"rule 2: wish {client_request.number} was refused, and had run",
         )
         client_request.rejections += 1
@@ -160,7 +162,7 @@
         self._retry_after(retry_after if honors else self._backoff_ns, client_request)
 
     def fail(self, client_request: ClientRequest) -> None:
-        """Handles a request that failed or whose process died. The client retries it if it is idempotent."""
+        """Handles a request that failed or lost its sidecar. The client retries it if it is idempotent."""
         self._metrics.record_client_attempt(client_request, False)
         idempotent = self._scenario.classes[client_request.class_index].effect == "repeatable"
         if idempotent and client_request.attempts_made < self._scenario.clients.max_attempts:
@@ -173,7 +175,7 @@
         return int(self._scenario.clients.backoff_ms * MS)
 
     def _retry_after(self, delay_ns: int, client_request: ClientRequest) -> None:
-        self._clock.after(max(delay_ns, MS), self._send_attempt, client_request)
+        self._clock.after(max(delay_ns, MS), self._send_request, client_request)
 
 
 def _arrival(request: int, client_request: ClientRequest, remaining_ns: int) -> api.RequestArrived:
--- a/anisespool/lab/model/clock.py
+++ b/anisespool/lab/model/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of events. Events at the same moment happen in the order of their scheduling."""
+"""The virtual clock and its scheduled events. Events of one moment are handled in the order of scheduling."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from itertools import count
 from typing import Any
 
-MAX_EVENTS = 20_000_000  # pending at one time: a scenario that exceeds this does not bound its own work
+MAX_EVENTS = 20_000_000  # limit of pending events: a run that exceeds it would not end
 
 
 class ClockError(RuntimeError):
-    """More events are pending than any run that ends can need."""
+    """More than MAX_EVENTS are pending."""
 
 
 class Clock:
@@ -31,7 +31,7 @@
         self._order = count()
 
     def at(self, when: int, callback: Callable[..., None], *arguments: Any) -> None:
-        """Schedules `callback(*arguments)` for `when`, ns, or for now if that has passed."""
+        """Schedules `callback(*arguments)` at `when`, ns, or now if `when` has passed."""
         heappush(self._heap, (when if when > self.now else self.now, next(self._order), callback, arguments))
 
     def after(self, delay: int, callback: Callable[..., None], *arguments: Any) -> None:
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -13,7 +13,7 @@
 from anisespool.lab.model.metrics import ClientRequest
 from anisespool.lab.scenario import MS, SECOND, Endpoints, Rules
 
-OVERLOAD_SLACK = 1.1  # tolerance of the platform's limit, which allows for random variation
+OVERLOAD_SLACK = 1.1  # tolerance for random variation, as a factor of the platform's limit
 
 
 @dataclass(slots=True)
@@ -22,12 +22,13 @@
 
     Attributes:
         attempt: Index of the attempt among those of its request, from 0.
-        incarnation: Incarnation of the endpoint's process to which it was sent.
+        incarnation: Incarnation of the endpoint's process to which the attempt was sent.
         ended: The decision module has been notified of the outcome.
         connected: The request has been sent on a connection.
-        fresh: A new connection was opened for it.
-        endpoint_done: The endpoint has executed or cancelled it.
-        delayed_until: Time until which a link delays it, ns.
+        fresh: The attempt opened a new connection.
+        running: The endpoint is executing the request.
+        endpoint_done: The endpoint has executed or cancelled the request.
+        delayed_until: Time until which a link delays the request, ns.
     """
 
     sidecar: int
@@ -48,17 +49,17 @@
 
 @dataclass
 class EndpointFaults:
-    """The faults of an endpoint now.
+    """The faults of an endpoint that are in effect.
 
     Attributes:
         slowdown: Factor of service times.
         failure_rate: Share of requests that fail.
         stolen_cpu: Share of the machine's CPU that a neighbour uses.
         paused_until: Time before which no response is sent, ns.
-        response_loss: Share of responses that are lost.
+        response_loss: Share of responses that the network loses.
         delay_factor: Factor of the network delay to and from the endpoint.
-        dead: The process does not run, and connections are refused.
-        vanished: The machine sends nothing, and nothing reaches it.
+        dead: The process does not run. The machine does, and refuses connections.
+        vanished: The machine is unreachable: all messages to and from it are lost.
     """
 
     slowdown: float = 1.0
@@ -92,9 +93,9 @@
         id: Number of the endpoint, from 1.
         group: Index of its group in the scenario.
         speed: Work that each core does per second.
-        started_at: When the process started, ns; 0: long ago.
-        list_state: State in the registry's endpoint list.
-        overloaded: It received too much work while it was warming up, and does not recover.
+        started_at: When the process started, ns; 0: before the run, and it has warmed up.
+        list_state: The endpoint's state in the registry's list.
+        overloaded: The endpoint received too much work while it warmed up. It stays down until a restart.
         busy_cores: Number of cores in use.
         faults: The faults in effect.
         busy_ns: Core time spent on requests so far.
@@ -132,11 +133,11 @@
         return self.speed * self.capacity_share(now) * (1 - self.faults.stolen_cpu) / self.faults.slowdown
 
     def record_arrived_work(self, now: int, work_ns: int, notified: bool) -> bool:
-        """Counts arrived work, and overloads the endpoint if it is warming up and gets too much (rule 4).
+        """Records arrived work, and sets `overloaded` if an endpoint that warms up gets too much (rule 4).
 
         The work that arrives within `fall_ms` has to stay below `fall_multiple` times what the endpoint can
-        do in that time. The request with the most work is not counted: its work is unknown before its
-        execution, and it alone may exceed the limit.
+        do in that window. The request with the most work is not counted: its work is unknown before its
+        execution, and may exceed the limit on its own.
 
         Args:
             now: The current time, ns.
@@ -177,7 +178,7 @@
         return None
 
     def load_report(self, now: int, columns: tuple[str, ...], valid_until: int) -> tuple[float, ...]:
-        """The load report that a response carries. It is renewed when the last one has expired."""
+        """The last load report; if it has expired, a new one that expires at `valid_until`, ns."""
         if now >= self._load_report_until:
             queued = len(self.waiting)
             loads = {"queue": float(queued), "inflight": float(queued + self.busy_cores)}
--- a/anisespool/lab/model/endpoint_list.py
+++ b/anisespool/lab/model/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list on its way from the registry to each simulated sidecar."""
+"""Delivery of the endpoint list from the registry to each simulated sidecar."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class EndpointListPublisher:
-    """The registry, and the watch of each sidecar on it."""
+    """The registry of endpoints, and each sidecar's watch, on which it receives changes."""
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
         self._scenario = run.scenario
         self._clock = run.clock
         self._watch_delay = run.watch_delay
-        self._last_arrival = [0] * run.scenario.sidecars  # last arrival on each watch, with links' delays
+        self._last_arrival = [0] * run.scenario.sidecars  # of each watch, ns, with the delay by links
 
     def _listing(self, endpoint: Endpoint) -> api.EndpointListing:
         nominal = self._scenario.membership.weights == "nominal"
@@ -45,7 +45,7 @@
         return api.EndpointListUpdate(revision, EndpointListKind.CACHED, self._listings())
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Changes an endpoint's state; each sidecar is notified after its own delay."""
+        """Changes an endpoint's state in the list. Each sidecar is notified after its own delay."""
         endpoint.list_state = state
         listing = self._listing(endpoint)
         for change in self._watch_delay.schedule_change(self._clock.now):
@@ -55,7 +55,7 @@
             self._clock.at(arrives_at, self._receive, sidecar, sidecar.incarnation, event)
 
     def _arrives_at(self, change: ListChange, sidecar: Sidecar) -> int:
-        """Adds the delay by links. On a watch no change overtakes an earlier one."""
+        """When the change arrives, ns, delayed by links. On a watch no change overtakes an earlier one."""
         links = self._run.links
         delay = links.stream_delay(change.at, DISCOVERY, sidecar.node, UPDATE_BYTES, "lists")
         cut_until = links.impairment_between(change.at, DISCOVERY, sidecar.node, "lists").cut_until
@@ -84,7 +84,7 @@
 
 
 def _drop_stale_connections(sidecar: Sidecar, event: api.EndpointListUpdate) -> None:
-    """Drops idle connections to endpoints that are not ready or have restarted: those processes are gone."""
+    """Drops idle connections to endpoints not ready or restarted, as their processes may have ended."""
     for listing in event.entries:
         if listing.state != EndpointState.READY or listing.started_ns:
             sidecar.idle_connections.pop(listing.endpoint, None)
--- a/anisespool/lab/model/faults.py
+++ b/anisespool/lab/model/faults.py
@@ -13,17 +13,17 @@
 from anisespool.lab.scenario import OF_A_ZONE, OF_ALL, OF_PROCESSES, SECOND, Fault, Kind, Scenario
 
 PROCESS_FAULT_KINDS = ("sidecar", "sidecars", "roll", *OF_PROCESSES)
-MAX_STOLEN_CPU = 0.99
+MAX_STOLEN_CPU = 0.99  # below 1, so that an endpoint always has some speed
 
 
 class ProcessFault(NamedTuple):
-    """A fault of one sidecar's process. Times are ns of the scenario time.
+    """A fault of one sidecar's process. Times are in ns since the start of the scenario time.
 
     Attributes:
         begins_at: Start of the fault.
         sidecar: Index of the sidecar.
-        ends_at: End of the fault; without meaning for a kind that happens at one moment.
-        fault: The scenario's fault from which this one derives.
+        ends_at: End of the fault; unused for kinds without a duration, such as a restart.
+        fault: The scenario's fault, which may affect several sidecars.
     """
 
     begins_at: int
@@ -34,7 +34,7 @@
 
 
 class FaultTarget(Protocol):
-    """What faults act on: a run, simulated or with real processes.
+    """A run, simulated or with real processes, to which faults are applied.
 
     Attributes:
         scenario_start: Start of the scenario time on the run's clock, ns.
@@ -50,7 +50,7 @@
         """The run's clock."""
 
     def log(self, *words: object) -> None:
-        """Adds a fault to the run's history."""
+        """Logs the start or the end of a fault."""
 
     def set_traffic_factor(self, factor: float) -> None:
         """Multiplies the traffic of all clients."""
@@ -74,7 +74,7 @@
         """Applies a fault to a sidecar's process, if this run controls the processes."""
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Resets an endpoint's connections. A dead endpoint accepts no new ones."""
+        """Resets an endpoint's connections. While its process is dead, new ones are refused."""
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
         """Changes an endpoint's state in the list. Each sidecar is notified after its own delay."""
@@ -111,14 +111,15 @@
 
 
 def _start_delays(fault: Fault, count: int) -> list[int]:
-    """Delay of each of `count` targets after the first one, ns: the fault spreads over `spread_s`."""
+    """Delays, ns, after which a fault affects `count` targets one after another during its `spread_s`."""
     return [int(fault.spread_s * SECOND * number / count) for number in range(count)]
 
 
 def process_faults(scenario: Scenario, random: RandomStream) -> list[ProcessFault]:
     """Faults of sidecars' processes in order of time.
 
-    They have a stream of their own, so that the simulation and runs with real processes draw the same ones.
+    The random stream is used for nothing else, so that the simulation and runs with real processes draw the
+    same faults.
     """
     faults = []
     for fault in scenario.faults:
@@ -133,7 +134,7 @@
 
 
 def _choose_sidecars(scenario: Scenario, fault: Fault, random: RandomStream) -> list[int]:
-    """The named sidecars, all of a zone, or a random share. A rolling restart affects all in random order."""
+    """The fault's sidecars: listed, all of a zone, or a random share; for a rolling restart all, shuffled."""
     if fault.kind == "sidecar":
         return [int(fault.part * (scenario.sidecars - 1))]
     if fault.sidecars:
@@ -161,7 +162,7 @@
     elif fault.kind == "tenant":
         target.set_tenant_traffic_factor(fault.tenant, factor)
     elif fault.kind == "quiet":
-        if begins:  # `hold_back` has an end of its own
+        if begins:  # `hold_back` takes the end of the fault, so nothing is left to do then
             target.watch_delay.hold_back(_ends_at(target, fault))
     elif fault.kind in OF_A_ZONE:
         _apply_to_zone(target, fault, begins)
@@ -180,7 +181,7 @@
 
 
 def _choose_endpoints(target: FaultTarget, fault: Fault, random: RandomStream) -> list[Endpoint]:
-    """All endpoints of a zone, the named ones, or a random share."""
+    """The fault's endpoints: all of a zone, listed, or a random share."""
     if fault.zone is not None:
         return [endpoint for endpoint in target.endpoints if endpoint.spec.zone == fault.zone]
     if fault.endpoints:
@@ -226,7 +227,7 @@
 
 
 def _replace(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """A replacement is listed. The old endpoint drains, and its process ends after `for_s`."""
+    """Lists a new endpoint and drains the old one, whose process ends after `for_s`."""
     if begins:
         target.publish(target.add_replacement(endpoint), EndpointState.READY)
         target.publish(endpoint, EndpointState.DRAINING)
@@ -235,7 +236,7 @@
 
 
 def _kill(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """The process dies, and a new one starts after `for_s`."""
+    """Ends the process. A new one starts after `for_s`."""
     if begins:
         _stop_process(target, endpoint)
     else:
@@ -243,7 +244,7 @@
 
 
 def _vanish(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """The machine is unreachable. When it is back after `for_s`, all open connections are reset."""
+    """Makes the machine unreachable for `for_s`. Then connections are reset, and a new process starts."""
     if begins:
         endpoint.faults.vanished = True
         target.make_unreachable(endpoint)
@@ -253,7 +254,7 @@
 
 
 def _restart(target: FaultTarget, fault: Fault, endpoint: Endpoint, begins: bool) -> None:
-    """A planned restart: the endpoint drains for `for_s`, then a new process replaces the old one."""
+    """Restarts the process as planned: it drains for `for_s`, and a new one replaces it."""
     if begins:
         target.publish(endpoint, EndpointState.DRAINING)
     else:
--- a/anisespool/lab/model/gossip.py
+++ b/anisespool/lab/model/gossip.py
@@ -7,19 +7,19 @@
 from anisespool.lab.model.sidecar import Sidecar
 from anisespool.lab.model.simulated_run import SimulatedRun
 
-HEADER_BYTES = 1  # size of a message without observations, as the codec encodes it
-OBSERVATION_BYTES = 12  # size of each observation
+HEADER_BYTES = 1  # encoded size of a message without observations
+OBSERVATION_BYTES = 12  # encoded size of each observation
 
 
 class Gossip:
-    """Carries the modules' messages. A datagram takes the network's one-way delay, without its spread."""
+    """Carries gossip messages between decision modules, with the network's mean one-way delay."""
 
     def __init__(self, run: SimulatedRun) -> None:
         self._run = run
         self._clock = run.clock
 
     def send(self, sender: Sidecar, action: api.SendGossip) -> None:
-        """Sends a message to one peer, or to all if `peer` is negative."""
+        """Sends a message to one peer, or to all peers if `action.peer` is negative."""
         slots = range(self._run.scenario.sidecars) if action.peer < 0 else (action.peer,)
         data = b"\0" * (HEADER_BYTES + OBSERVATION_BYTES * len(action.observations))
         message = api.GossipReceived(sender.slot, action.queueing_ratio, action.observations)
@@ -31,7 +31,7 @@
     def _transmit(self, sender: Sidecar, receiver: Sidecar, data: bytes, message: api.GossipReceived) -> None:
         hop = hop_ns(self._run.scenario, sender.zone == receiver.zone, 1.0, 1.0)
         for copy in self._run.links.send_datagram(self._clock.now, sender.node, receiver.node, data):
-            if copy.data == data:  # the checksum drops corrupted copies
+            if copy.data == data:  # a receiver drops corrupted copies by their checksum
                 self._clock.at(copy.at + hop, self._receive, receiver, receiver.incarnation, message)
 
     def _receive(self, sidecar: Sidecar, incarnation: int, message: api.GossipReceived) -> None:
--- a/anisespool/lab/model/link_fault.py
+++ b/anisespool/lab/model/link_fault.py
@@ -1,4 +1,4 @@
-"""The period of one faulty link, and the combined impairment from one node to another."""
+"""The period of a link fault, and the combined impairment by link faults from one node to another."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class LinkFault:
-    """A faulty link of the scenario, and when it is in effect.
+    """A link fault of the scenario, and when it is in effect.
 
     Attributes:
-        begin: Start of its period, ns.
-        end: End of its period, ns.
+        begin: Start of the fault, ns.
+        end: End of the fault, ns.
         selectors: Selectors of the sending and the receiving nodes.
     """
 
@@ -25,7 +25,7 @@
     selectors: tuple[NodeSelector, NodeSelector]
 
     def is_on(self, now: int) -> bool:
-        """Whether the fault is in effect; one that flaps is off in the second half of each period."""
+        """Whether the fault is in effect. A flapping fault is off in the second half of each flap period."""
         if not self.begin <= now < self.end:
             return False
         flap_s = self.link.flap_s
@@ -39,7 +39,7 @@
         return self.link.both and from_side(dst) and to_side(src)
 
     def next_off_at(self, now: int) -> int:
-        """The next moment at which the fault is off, ns."""
+        """When the fault, which is on at `now`, ends or flaps off, ns."""
         if not self.link.flap_s:
             return self.end
         period = int(self.link.flap_s * SECOND)
@@ -47,7 +47,7 @@
 
 
 class Impairment(NamedTuple):
-    """The combined effect of all links from one node to another at one moment.
+    """The combined effect of all link faults from one node to another at one moment.
 
     Attributes:
         cut: One of CUTS_BY_STRENGTH; empty: no cut.
@@ -59,7 +59,7 @@
         reorder: Share of datagrams that are reordered.
         corrupt: Share of datagrams that are corrupted.
         rate: Bytes per second; 0: unlimited.
-        cut_until: When the cut ends or flaps off next, ns.
+        cut_until: When the last cut ends or flaps off, ns.
     """
 
     cut: str = ""
--- a/anisespool/lab/model/link_selector.py
+++ b/anisespool/lab/model/link_selector.py
@@ -17,17 +17,17 @@
 NUMBERED = re.compile(r"(sidecar|endpoint|zone|half):([0-9]{1,6})")
 RANGE = re.compile(r"(sidecars|endpoints):([0-9]{1,6})-([0-9]{1,6})")
 MAX_CHARACTERS = 200
-WANTED = (
+SELECTOR_FORMS = (
     "all, sidecars, endpoints, discovery, sidecar:N, sidecars:N-M, endpoint:N, endpoints:N-M, zone:N, half:N"
 )
 
 
 class Node(NamedTuple):
-    """One end of a link.
+    """A sidecar, an endpoint or discovery, as one end of a link.
 
     Attributes:
-        number: Index among the nodes of its kind, from 0.
-        zone: The node's zone. Discovery has none (-1), as every sidecar has an agent of its own.
+        number: Index among the nodes of the same kind, from 0.
+        zone: The node's zone; -1 for discovery, which stands for an agent of each sidecar.
     """
 
     kind: Literal["sidecar", "endpoint", "discovery"]
@@ -43,7 +43,7 @@
     """Parses a selector.
 
     Raises:
-        ValueError: The text is no selector; the message names what was found and what was wanted.
+        ValueError: The text is not a selector. The message names what was found and what was wanted.
     """
     if len(text) > MAX_CHARACTERS:
         raise ValueError(f"found {len(text)} characters, wanted at most {MAX_CHARACTERS}")
@@ -64,7 +64,7 @@
         return _numbered(match[1], int(match[2]))
     if match := RANGE.fullmatch(term):
         return _numbered_range(match[1].removesuffix("s"), int(match[2]), int(match[3]))
-    raise ValueError(f"found {term!r}, wanted one of {WANTED}")
+    raise ValueError(f"found {term!r}, wanted one of {SELECTOR_FORMS}")
 
 
 def _numbered(kind: str, number: int) -> NodeSelector:
--- a/anisespool/lab/model/links.py
+++ b/anisespool/lab/model/links.py
@@ -1,8 +1,8 @@
-"""The effect of a scenario's links on messages between two processes, without I/O and without a clock.
+"""The effect of a scenario's link faults on messages between two nodes, without I/O and without a clock.
 
 Loss in bursts is Gilbert's two-state channel (E. N. Gilbert, "Capacity of a burst-noise channel", 1960). In
-the bad state every message is lost. The mean stay in that state is `burst` messages, and its share of all
-messages is `loss`. A lost TCP segment arrives after its retransmission time-out, which starts at Linux's
+the bad state every message is lost. That state lasts for `burst` messages on average, and applies to a share
+`loss` of all messages. A lost TCP segment arrives after its retransmission time-out, which starts at Linux's
 minimum of 200 ms and doubles each time (RFC 6298, 5.5). The simulation and runs with real processes share
 this code.
 """
@@ -22,13 +22,13 @@
 MAX_DOUBLINGS = 6
 MAX_STREAM_LOSS = 0.99  # below 1, so that a retransmission can arrive
 REORDER_NS = 30 * MS  # delay of a reordered datagram
-MAX_LINKS = 4000  # limit that includes links added during a run
-MAX_CHANNELS = 100_000  # ordered pairs of nodes whose state is stored; others start anew with each message
-CUTS_BY_STRENGTH = ("", "silent", "refused", "reset")  # kinds of cut, the strongest last
+MAX_LINKS = 4000  # in the scenario and added during a run
+MAX_CHANNELS = 100_000  # ordered pairs of nodes whose state is stored; others keep no state between messages
+CUTS_BY_STRENGTH = ("", "silent", "refused", "reset")  # kinds of cut, from none to the strongest
 
 
 class DatagramCopy(NamedTuple):
-    """A copy of a datagram that arrives, at `at` ns."""
+    """A copy of a datagram, and its time of arrival `at`, ns."""
 
     at: int
     data: bytes
@@ -36,14 +36,14 @@
 
 @dataclass
 class LinkCounts:
-    """Numbers of datagrams by their fate. The names are keys of `lab fleet --json`.
+    """Numbers of datagrams by what links did to them. The names are keys of `lab fleet --json`.
 
     Attributes:
         came: Datagrams sent.
         cut: Datagrams dropped by a cut.
         lost: Datagrams lost at random.
         doubled: Datagrams duplicated.
-        overflowed: Datagrams dropped because the queue of a limited rate was full.
+        overflowed: Datagrams dropped because the queue of a link with a limited rate was full.
     """
 
     came: int = 0
@@ -57,7 +57,7 @@
 
 @dataclass
 class Links:
-    """All faulty links of a run, and the state of the channels between nodes.
+    """All link faults of a run, and the state of the channels between nodes.
 
     Attributes:
         scenario_start: Start of the scenario time on the clock in use, ns.
@@ -68,7 +68,7 @@
     scenario_start: int = 0
     counts: LinkCounts = field(default_factory=LinkCounts)
     _faults: list[LinkFault] = field(default_factory=list)
-    _bad_channels: dict[tuple[Node, Node], bool] = field(default_factory=dict)  # True: in the bad state
+    _bad_channels: dict[tuple[Node, Node], bool] = field(default_factory=dict)  # whether in the bad state
     _free_at: dict[tuple[Node, Node], int] = field(default_factory=dict)  # when a limited rate is free, ns
     _matches: dict[tuple[Node, Node, str], tuple[LinkFault, ...]] = field(default_factory=dict)
 
@@ -90,7 +90,7 @@
         """Adds a link. Its `at_s` counts from the start of the scenario time.
 
         Raises:
-            ValueError: A side is no selector, or there are MAX_LINKS links already.
+            ValueError: A side is not a selector, or there are MAX_LINKS links already.
         """
         if len(self._faults) >= MAX_LINKS:
             raise ValueError(f"links: found over {MAX_LINKS}, wanted at most that")
@@ -102,15 +102,15 @@
         return fault
 
     def channel_state_size(self) -> int:
-        """Returns the number of entries in the largest table of channels, at most MAX_CHANNELS."""
+        """Number of entries in the largest table of the channels' state, at most MAX_CHANNELS."""
         return max(len(self._bad_channels), len(self._free_at), len(self._matches))
 
     def faults(self) -> Iterator[LinkFault]:
-        """All links in the order in which they were added."""
+        """All link faults in the order in which they were added."""
         yield from self._faults
 
     def faults_between(self, src: Node, dst: Node, carries: str) -> tuple[LinkFault, ...]:
-        """Links that affect such messages from one node to the other at any time."""
+        """Link faults that at any time affect messages of the kind `carries` from `src` to `dst`."""
         key = (src, dst, carries)
         found = self._matches.get(key)
         if found is None:
@@ -124,11 +124,11 @@
         return found
 
     def impairment_between(self, now: int, src: Node, dst: Node, carries: str) -> Impairment:
-        """The impairment from one node to the other now, in this direction only."""
+        """The impairment at `now` from `src` to `dst`, in this direction only."""
         return combine(self.faults_between(src, dst, carries), now) if self._faults else UNIMPAIRED
 
     def cut_between(self, now: int, first: Node, second: Node, carries: str) -> str:
-        """The strongest cut in either direction, or "". During a cut no connection can be opened."""
+        """The strongest cut at `now` in either direction, or "". It prevents the opening of connections."""
         if not self._faults:
             return ""
         there = self.impairment_between(now, first, second, carries).cut
@@ -136,7 +136,7 @@
         return max(there, back, key=CUTS_BY_STRENGTH.index)
 
     def is_lost(self, src: Node, dst: Node, impairment: Impairment) -> bool:
-        """Draws whether the next message is lost, which depends on the state of its channel."""
+        """Draws whether the next message is lost. With bursts, this depends on the channel's state."""
         if not impairment.loss:
             return False
         if impairment.loss >= 1:
@@ -180,7 +180,7 @@
         return self._deliver(passed_at, data, impairment)
 
     def _deliver(self, passed_at: int, data: bytes, impairment: Impairment) -> list[DatagramCopy]:
-        """Delays, reorders, corrupts and duplicates a datagram that arrives; the draws have this order."""
+        """Draws delay, reordering, corruption and duplication, in this order, for a datagram that arrives."""
         at = passed_at + impairment.delay + int(self.random.uniform() * impairment.spread)
         if impairment.reorder and self.random.uniform() < impairment.reorder:
             self.counts.reordered += 1
@@ -204,7 +204,7 @@
         return data[:index] + bytes([flipped]) + data[index + 1 :]
 
     def _pace(self, now: int, src: Node, dst: Node, size: int, impairment: Impairment) -> int | None:
-        """When a limited rate has transmitted a message, ns; None if its queue exceeds a second."""
+        """When a message has been sent at a limited rate, ns; None if the queue before it exceeds 1 s."""
         if not impairment.rate:
             return now
         key = (src, dst)
@@ -219,8 +219,8 @@
     def stream_delay(self, now: int, src: Node, dst: Node, size: int, carries: str) -> int | str:
         """Sends bytes on an open TCP connection.
 
-        A silent cut holds them back until it ends. They are retransmitted some time later, as the
-        retransmission time-out has grown during the cut.
+        A silent cut delays the bytes until it ends, and then until the next retransmission: the time-out has
+        grown during the cut.
 
         Returns:
             Delay of the bytes, ns, or "reset" if the connection is reset.
@@ -232,15 +232,15 @@
             return "reset"
         delay = 0
         if impairment.cut:
-            waited = impairment.cut_until - now
-            delay = waited + int(self.random.uniform() * min(waited, MIN_RTO_NS << MAX_DOUBLINGS))
+            until_end = impairment.cut_until - now
+            delay = until_end + int(self.random.uniform() * min(until_end, MIN_RTO_NS << MAX_DOUBLINGS))
         delay += self._retransmissions(src, dst, impairment)
         passed_at = self._pace(now, src, dst, size, impairment)
         delay += SECOND if passed_at is None else passed_at - now
         return delay + impairment.delay + int(self.random.uniform() * impairment.spread)
 
     def _retransmissions(self, src: Node, dst: Node, impairment: Impairment) -> int:
-        """Draws the delay by lost segments, ns. Corrupted segments are lost too, as a checksum drops them."""
+        """Draws the delay by lost segments, ns. Corrupted segments count as lost: a checksum drops them."""
         loss = min(MAX_STREAM_LOSS, impairment.loss + impairment.corrupt)
         segments = impairment._replace(loss=loss)
         delay = 0
@@ -254,9 +254,9 @@
 
 
 def combine(faults: Iterable[LinkFault], now: int) -> Impairment:
-    """Combines the links that are in effect at `now`.
+    """Combines the link faults that are in effect at `now`.
 
-    Delays add up, the highest loss and the lowest rate apply, and a cut lasts until the last one ends.
+    Delays add up. The highest shares, the lowest rate, the strongest cut and the latest end of a cut apply.
     """
     active = [fault for fault in faults if fault.is_on(now)]
     if not active:
@@ -280,7 +280,7 @@
 
 
 def for_each_switch(links: Links, call: Callable[[int, LinkFault, bool], None]) -> None:
-    """Calls `call(when, fault, begins)` for each moment at which a link starts, ends or flaps."""
+    """Calls `call(when, fault, begins)` for each time, ns, at which a link fault starts, ends or flaps."""
     for fault in links.faults():
         period = int(fault.link.flap_s * SECOND) if fault.link.flap_s else fault.end - fault.begin
         for at in range(fault.begin, fault.end, max(period, MS)):
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a run: outcomes by class, latencies, windows of one second, and checks of the counts."""
+"""Metrics of a run: outcomes by class, latencies, counts for each second, and checks of the counts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 OUTCOMES = ("in_time", "late", "refused", "failed", "gone")
 LONGEST_US = 3_600_000_000  # highest latency that a histogram can hold
 
-# Weights of the net figure, which are those by which the site's operators rate a day.
+# Weights of the parts of `net`, as the site's operators use them to rate a day.
 WEIGHT_SERVICE = 0.45
 WEIGHT_WORST_WINDOW = 0.15
 WEIGHT_WORST_CLASS = 0.3
@@ -26,17 +26,19 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request with all its attempts to get it served.
+    """A client's request, which it may send several times until it is served.
 
     Attributes:
         arrived_at: When the client sends it for the first time, ns.
-        patience: Share of the deadline after which the client gives up an attempt.
+        work_ns: Work of an execution, as its service time at a speed of 1.
+        sidecar: Index of the application, whose current sidecar gets the request.
+        patience: Share of the deadline for which the client waits each time.
         honors_retry_after: Whether the client waits for the time in a Retry-After.
         weight: Factor of the class's priority weight; lower if the tenant was over its quota.
-        attempts_made: Number of times that the client has sent it.
-        executions: Number of executions begun at any endpoint.
+        attempts_made: Number of times that the client has sent the request.
+        executions: Number of executions begun at all endpoints together.
         last_rejection: Time of the last rejection and its Retry-After, ns.
-        outcome: One of OUTCOMES; empty until it is known.
+        outcome: One of OUTCOMES; empty while the request has none.
     """
 
     number: int
@@ -70,17 +72,17 @@
         ended: Client requests with an outcome, by class and outcome.
         windows: Client requests by class and outcome, for each second of arrival.
         latency: Latency histogram of served client requests for each class, us.
-        attempts: Attempts that sidecars sent to endpoints.
-        crossings: Attempts from one zone to another.
-        handshakes: Connections opened.
-        list_entries: Entries of endpoint lists that sidecars received.
-        requests_sent: Requests that clients sent, including the warm-up.
-        requests_measured: Ended ones of client requests that arrived after the warm-up.
-        requests_rejected: Those of `requests_measured` that were rejected.
+        attempts: Attempts that sidecars sent to endpoints, including the warm-up.
+        crossings: Attempts from one zone to another, after the warm-up.
+        handshakes: Connections opened after the warm-up.
+        list_entries: Entries of endpoint lists that sidecars received after the warm-up.
+        requests_sent: Requests that sidecars got, including the warm-up. Each retry is another request.
+        requests_measured: Ended requests whose client request arrived after the warm-up.
+        requests_rejected: Requests in `requests_measured` that were rejected.
         retry_after_outcomes: Retries after a Retry-After, by whether they were served (or rejected again).
         weight_requested: Total weight of the client requests.
-        weight_in_time: Total weight of those served in time.
-        weight_late: Total weight of those not served in time that ended after their latency objective.
+        weight_in_time: Total weight of the client requests served in time.
+        weight_late: Total weight of the client requests that ended after their latency objective.
         by_tenant: Client requests within the quota for each tenant, by whether they were served in time.
     """
 
@@ -104,7 +106,7 @@
     by_tenant: dict[int, Counter[bool]] = field(default_factory=dict)
     _requests_closed: int = 0
     _open: int = 0
-    _open_over_time: int = 0  # integral over time of the number of open requests, ns
+    _open_over_time: int = 0  # number of open requests, integrated over time, ns
     _time_in_system: int = 0  # sum of the durations of ended requests, ns
     _integrated_until: int = 0
 
@@ -138,13 +140,13 @@
         return self.scenario.classes[client_request.class_index].priority_weight * client_request.weight
 
     def record_client_attempt(self, client_request: ClientRequest, rejected: bool) -> None:
-        """Records the end of one request of a client request, by a rejection or otherwise."""
+        """Records that a request of a client request, first or retry, ended: `rejected` or otherwise."""
         if client_request.arrived_at >= self.warmup_end:
             self.requests_measured += 1
             self.requests_rejected += rejected
 
     def end(self, client_request: ClientRequest, now: int, outcome: str) -> None:
-        """Records the outcome of a client request, once. "served" becomes "in_time" or "late"."""
+        """Records the first outcome of a client request. "served" becomes "in_time" or "late"."""
         if client_request.outcome:
             return
         latency = now - client_request.arrived_at
@@ -170,7 +172,7 @@
             self.by_tenant.setdefault(client_request.tenant, Counter())[outcome == "in_time"] += 1
 
     def check_balance(self, now: int) -> None:
-        """Checks that what was sent has ended, and Little's law by two independent sums.
+        """Checks that all requests have ended, and Little's law by two independent sums.
 
         Raises:
             VoidError: The counts do not balance.
@@ -192,7 +194,7 @@
         return self.weight_in_time / self.weight_requested if self.weight_requested else 1.0
 
     def prices(self) -> dict[str, float]:
-        """Costs that are subtracted from the service, by cause."""
+        """Costs that `net` subtracts, by cause."""
         prices = self.scenario.prices
         requested = max(1, sum(self.requested.values()))
         return {
@@ -218,7 +220,7 @@
         return sums
 
     def worst_window(self, seconds: int = 10) -> float:
-        """The lowest service in any `seconds` consecutive seconds, regardless of tenants' quotas."""
+        """The lowest service in any `seconds` consecutive seconds. Quotas do not change the weights here."""
         sums = self.by_second()
         spans = [sums[n : n + seconds] for n in range(max(1, len(sums) - seconds + 1))]
         services = (
@@ -228,12 +230,12 @@
         return min(services, default=1.0)
 
     def worst_class(self) -> float:
-        """The lowest share served in time among all classes."""
+        """The share served in time of the class with the lowest one."""
         shares = (self.ended[cls, "in_time"] / count for cls, count in self.requested.items() if count)
         return min(shares, default=1.0)
 
     def worst_tenant(self) -> float:
-        """The lowest share served in time among all tenants, for requests within quota."""
+        """The share served in time, within quota, of the tenant with the lowest one."""
         shares = (counts[True] / sum(counts.values()) for counts in self.by_tenant.values())
         return min(shares, default=1.0)
 
@@ -248,7 +250,7 @@
         return sum(weight * part for weight, part in weighted) - sum(self.prices().values())
 
     def share(self, outcome: str) -> float:
-        """Share of the client requests with that outcome."""
+        """Share of the client requests that ended with `outcome`."""
         requested = sum(self.requested.values())
         if not requested:
             return 0.0
--- a/anisespool/lab/model/policies.py
+++ b/anisespool/lab/model/policies.py
@@ -1,4 +1,4 @@
-"""Simple policies with the real module's interface and without admission control, for comparison with it."""
+"""Simple policies without admission control, for comparison with the real decision module."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from anisespool.lab.model.world import World, make_balancer
 
-EWMA_WEIGHT = 0.3  # weight of the latest latency
+EWMA_WEIGHT = 0.3  # weight of the latest latency in the smoothed one
 
 
 class OpenRequest(NamedTuple):
@@ -32,7 +32,7 @@
     """Sends each attempt to the endpoint that `choose` returns, and retries if that is harmless.
 
     Attributes:
-        ready: Ready endpoints of the list, sorted.
+        ready: Ids of the ready endpoints, sorted.
         in_flight: Number of open attempts, by endpoint.
         open: Requests without a final response, by id.
         latency_ewma: Smoothed latency of successful attempts, by endpoint, ns.
@@ -54,7 +54,7 @@
         raise NotImplementedError
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Returns the actions after an event, as the real module does."""
+        """Returns the actions that follow from an event, as the real module does."""
         self.now = now
         if isinstance(event, api.RequestArrived):
             self.open[event.request] = OpenRequest(event, 0, now + event.remaining_ns)
@@ -137,7 +137,7 @@
 
 
 class TwoChoicesByEwma(SimplePolicy):
-    """Chooses the better of two random endpoints by mean latency times open attempts."""
+    """Chooses, of two random endpoints, the one with the lower smoothed latency times open attempts."""
 
     def choose(self) -> int:
         """Returns one of the ready endpoints."""
@@ -149,9 +149,9 @@
 
 
 class TwoChoicesByQueue(SimplePolicy):
-    """Chooses the one of two random endpoints with fewer requests, by counts that no real sidecar has.
+    """Chooses, of two random endpoints, the one with fewer requests, by counts that no real sidecar has.
 
-    It serves the comparison with queueing theory.
+    Queueing theory has results for this policy, with which tests compare the simulation.
     """
 
     def choose(self) -> int:
@@ -165,7 +165,7 @@
 
 
 class EarliestFinish(SimplePolicy):
-    """Chooses the endpoint that would finish the request first, by state that no real sidecar has."""
+    """Chooses the endpoint expected to finish the request first, by state that no real sidecar has."""
 
     def choose(self) -> int:
         """Returns one of the ready endpoints."""
--- a/anisespool/lab/model/random_streams.py
+++ b/anisespool/lab/model/random_streams.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-BLOCK = 512  # numbers drawn at a time: drawing each through numpy alone costs twenty times as much
+BLOCK = 512  # numbers drawn at a time: single draws from numpy cost twenty times as much
 
 
 class RandomStream:
@@ -46,7 +46,7 @@
         return min(bound - 1, int(self.uniform() * bound))
 
     def pick(self, cumulative: list[float]) -> int:
-        """An index drawn by cumulative shares, which end at 1."""
+        """An index, drawn with the probabilities whose running sums are `cumulative`, up to 1."""
         draw = self.uniform()
         for index, upper_bound in enumerate(cumulative):
             if draw < upper_bound:
@@ -61,6 +61,6 @@
         self.seed = seed
 
     def named(self, name: str, number: int = 0) -> RandomStream:
-        """The stream of that name, from its beginning."""
+        """Creates the stream with that name and number, at its beginning."""
         sequence = np.random.SeedSequence(self.seed, spawn_key=(zlib.crc32(name.encode()), number))
         return RandomStream(np.random.Generator(np.random.PCG64(sequence)))
--- a/anisespool/lab/model/sidecar.py
+++ b/anisespool/lab/model/sidecar.py
@@ -1,4 +1,4 @@
-"""One simulated sidecar: the decision module under test and what the model tracks about its process."""
+"""One simulated sidecar: its decision module, and the state of its process in the model."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
         number: Index in `World.sidecars`.
         zone: Zone in which it runs.
         settings: Platform settings that its module starts with.
-        slot: Index of the application that it serves. A rolling restart gives the slot to a new process.
-        module: The decision module, real or substituted. It has a `handle` method like the real one's.
-        checker: Checks the module's actions against the four rules.
+        slot: Index of the application that it serves. After a rolling restart a new process serves it.
+        module: The decision module, or a policy with the same `handle` method.
+        checker: Checks the module's actions.
         idle_connections: Open connections without a request, by endpoint.
-        known_starts: Start time of each endpoint in this sidecar's last endpoint list, ns.
-        incarnation: Number of the module's restarts. Events for an earlier incarnation are dropped.
+        known_starts: Last start time of each endpoint of which the sidecar was notified, ns.
+        incarnation: Counts starts and stops of the process. Events for an earlier value are dropped.
         frozen_until: Time before which the process handles no event, ns.
         down: Whether the process and its application are stopped.
         disconnected: Requests whose clients disconnected while the process was frozen.
-        node: The sidecar's node, by which links select it.
+        node: The sidecar as a node, in the form that selectors of links match.
     """
 
     number: int
@@ -49,7 +49,7 @@
         self.node = Node("sidecar", self.slot, self.zone)
 
     def restart(self, module: Any) -> None:
-        """Replaces the module by a new one, and drops all connections."""
+        """Starts a new process with `module`, without connections."""
         self.checker = Checker(self.settings, drops_finished=True)
         self.module = module
         self.idle_connections = {}
--- a/anisespool/lab/model/sidecar_processes.py
+++ b/anisespool/lab/model/sidecar_processes.py
@@ -16,7 +16,7 @@
 
 
 class SidecarProcesses:
-    """All sidecar processes of a run, and the one that serves each slot.
+    """All sidecar processes of a run, and for each slot (application) the one that serves it.
 
     Attributes:
         sidecars: All processes by number, including those that a rolling restart has replaced.
@@ -57,11 +57,14 @@
         self._run.handle(sidecar, self._endpoint_list.initial(sidecar))
 
     def apply(self, process_fault: ProcessFault) -> None:
-        """Applies a fault. Faults of CPU, memory, descriptors and clock have no effect in the simulation."""
+        """Applies a fault, unless an earlier one is in effect.
+
+        Faults of CPU, memory, descriptors and clock have no effect in the simulation.
+        """
         slot = process_fault.sidecar
         sidecar = self._serving[slot]
         if sidecar.down or sidecar.frozen_until > self._clock.now:
-            return  # an earlier fault is still in effect
+            return
         until = self._run.scenario_start + process_fault.ends_at
         if process_fault.kind == "roll":
             self._roll(slot)
@@ -86,7 +89,7 @@
         self._clock.at(sidecar.frozen_until, self._thaw, sidecar, sidecar.incarnation)
 
     def _thaw(self, sidecar: Sidecar, incarnation: int) -> None:
-        """Reports disconnected clients after a freeze: before timers, in the order of an event loop."""
+        """Reports the clients that disconnected during a freeze, before timers as an event loop does."""
         disconnected = sidecar.disconnected
         sidecar.disconnected = []
         if sidecar.incarnation == incarnation:
@@ -104,6 +107,6 @@
         self._start(sidecar)
 
     def _kill(self, sidecar: Sidecar) -> None:
-        """Drops a process's attempts and requests: their clients have to retry."""
+        """Drops a process's attempts, and fails its open requests. Clients may retry them."""
         self._attempts.drop_all(sidecar)
         self._clients.close_all(sidecar)
--- a/anisespool/lab/model/simulated_run.py
+++ b/anisespool/lab/model/simulated_run.py
@@ -1,4 +1,4 @@
-"""The interface of a simulated run (world.py) for its own parts."""
+"""The interface of a simulated run that its parts use; `World` implements it."""
 
 from __future__ import annotations
 
@@ -44,4 +44,4 @@
         """Close a job's connection, which may cancel its request at the endpoint."""
 
     def log(self, *values: object) -> None:
-        """Add a line to the run's log."""
+        """Add a line to the run's log, if it is logged."""
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -1,4 +1,4 @@
-"""Samples of the endpoints' queues over a run, simulated or real, and tables of its results."""
+"""Samples of the endpoints' queues during a run, simulated or real, and rows of its result tables."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from anisespool.lab.scenario import SECOND, Scenario
 
 INTERVAL_NS = SECOND // 5
-MAX_SAMPLES = 5000  # longer runs are sampled less often
+MAX_SAMPLES = 5000  # limit for each run: long runs have a longer interval
 REPORTED_OUTCOMES = ("in_time", "late", "refused", "failed")
 PERCENTILES = (50, 90, 99, 99.9)
 
@@ -20,7 +20,7 @@
 
     Attributes:
         at_s: Scenario time, s.
-        running: Number of requests in execution.
+        running: Number of requests being executed.
         waiting: Number of requests in all queues.
         longest: Number of requests in the longest queue.
     """
@@ -33,11 +33,11 @@
 
 @dataclass
 class ScenarioRun:
-    """A run as a report shows it.
+    """A finished run, with what a report shows of it.
 
     Attributes:
         samples: Samples in order of time.
-        utilization: Utilization of each endpoint's cores.
+        utilization: Share of the cores' time spent on requests, for each endpoint.
         broken: Description of the first broken rule; empty: none.
     """
 
--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -1,4 +1,4 @@
-"""When each sidecar receives a change of the endpoint list: after a delay, but in order on each watch."""
+"""When each sidecar receives changes of the endpoint list: delayed, but in order on each watch."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class WatchDelay:
-    """Delays and revisions on the watches of one registry. Times are ns of the run's clock.
+    """Delays and list revisions of each sidecar's watch on the registry. Times are ns of the run's clock.
 
     Attributes:
-        delay_factor: Factor of the scenario's delays.
+        delay_factor: Factor by which a fault multiplies the scenario's delays.
     """
 
     def __init__(self, scenario: Scenario, random: RandomStream) -> None:
@@ -47,7 +47,7 @@
             self._blocked_until[sidecar] = max(self._blocked_until[sidecar], until)
 
     def schedule_change(self, now: int) -> Iterator[ListChange]:
-        """Creates the next revision, and yields when each sidecar receives it."""
+        """Creates the next revision, and yields for each sidecar when it receives the change."""
         self._revision += 1
         for sidecar, last_arrival in enumerate(self._last_arrivals):
             delay = int(self._random.uniform(*self._delay_range_s) * self.delay_factor * SECOND)
@@ -56,7 +56,7 @@
             yield ListChange(sidecar, arrival, self._revision)
 
     def record_complete_list(self) -> int:
-        """Creates the revision of a complete list, which all sidecars receive immediately."""
+        """Creates the next revision as a complete list, which all sidecars receive immediately."""
         self._revision += 1
         self._received_revisions = [self._revision] * len(self._received_revisions)
         return self._revision
@@ -68,7 +68,7 @@
         return self._revision
 
     def receive_change(self, sidecar: int, revision: int) -> bool:
-        """Whether an arriving change is new to the sidecar: a complete list contains all earlier changes."""
+        """Records an arriving change; returns False if the sidecar's list contains it already."""
         if revision <= self._received_revisions[sidecar]:
             return False
         self._received_revisions[sidecar] = revision
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -1,4 +1,4 @@
-"""The simulated fleet: the loop of a run in virtual time, with the real decision module in each sidecar.
+"""A simulated run: a fleet in virtual time, with the real decision module in each sidecar.
 
 docs/lab.md describes what is modelled, and how coarsely. The parts of a run:
 
@@ -37,8 +37,8 @@
 
 __all__ = ["VIRTUAL_START_NS", "ModuleFactory", "Sidecar", "World", "make_balancer"]
 
-VIRTUAL_START_NS = 100 * SECOND  # virtual time at the start: not 0, which means "never" to the module
-SETTLE_NS = 10 * SECOND  # time after the last client request's time-outs until the run ends
+VIRTUAL_START_NS = 100 * SECOND  # start of the run: not 0, which the decision module takes for "never"
+SETTLE_NS = 10 * SECOND  # time that the run continues after the last deadlines
 ModuleFactory = Callable[[Settings, int, "World"], Any]
 
 
@@ -50,12 +50,12 @@
 class World(Backend):
     """One run of a scenario.
 
-    It is also the `SimulatedRun` of its parts and the `FaultTarget` of the scenario's faults.
+    It implements `SimulatedRun` for its parts and `FaultTarget` for the scenario's faults.
 
     Attributes:
         scenario_start: Start of the scenario time, after the warm-up, ns.
         scenario_end: End of the scenario time, ns.
-        broken: One-line description of the first broken rule, which ends the run; empty: none.
+        broken: One-line description of the first broken rule, which ends the run; empty without one.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         )
 
     def run(self) -> RunMetrics:
-        """Runs the scenario until every request has its response or a rule is broken.
+        """Runs the scenario until all requests have ended, or until a rule is broken.
 
         Raises:
             VoidError: The model's own counts do not balance.
@@ -173,7 +173,7 @@
     def send_response(
         self, endpoint: Endpoint, job: Job, status: AttemptStatus, load: tuple[float, ...]
     ) -> None:
-        """Sends an endpoint's response back."""
+        """Sends an endpoint's response, with a load report, back to the sidecar."""
         self.attempts.send_response(endpoint, job, status, load)
 
     def publish(self, endpoint: Endpoint, state: EndpointState) -> None:
@@ -185,11 +185,11 @@
         self.endpoint_list.publish_all(with_entries)
 
     def reset_connections(self, endpoint: Endpoint) -> None:
-        """Resets an endpoint's connections."""
+        """Resets an endpoint's connections, in use and idle."""
         self.attempts.reset_connections(endpoint)
 
     def make_unreachable(self, endpoint: Endpoint) -> None:
-        """Does nothing: `faults.vanished` already drops the endpoint's messages."""
+        """Does nothing: with `faults.vanished` the simulation loses the endpoint's messages."""
 
     def set_traffic_factor(self, factor: float) -> None:
         """Multiplies the traffic of all clients."""
@@ -210,7 +210,7 @@
             self.watch_delay.hold_back(until, [s.slot for s in self.sidecars if s.zone == zone])
 
     def add_replacement(self, endpoint: Endpoint) -> Endpoint:
-        """Adds a new endpoint of the same group, which has to warm up and is not listed yet."""
+        """Adds a new endpoint of the same group. It has to warm up, and is not listed yet."""
         new = self.make_endpoint(
             len(self.endpoints) + 1, endpoint.group, endpoint.spec, self._endpoint_random
         )
