--- a/anisespool/lab/scenario/base.py
+++ b/anisespool/lab/scenario/base.py
@@ -1,4 +1,4 @@
-"""Definitions for all tables of a scenario: units, bounded numbers, strict parsing, and the error."""
+"""Shared by all tables of a scenario: units, types of bounded numbers, the base class and the error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario is wrong. The text, a line, names the file, the key, what was found and what was wanted."""
+    """A scenario is wrong. The text is one line: the file, the key, what was found and what was wanted."""
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/anisespool/lab/scenario/faults.py
+++ b/anisespool/lab/scenario/faults.py
@@ -1,4 +1,4 @@
-"""Tables of faults: of endpoints, of sidecars, of the whole run, and of links."""
+"""Tables of faults: `Fault` for endpoints, sidecars or the whole run, `Link` for the network."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
     "clock",
 ]
 
-# Kinds that affect the processes of single sidecars.
+# Kinds that act on single sidecar processes, most of them for a time.
 OF_PROCESSES = ("down", "freeze", "starve", "descriptors", "memory", "clock")
-# Kinds that do not affect single endpoints.
+# Kinds that choose no endpoints: they affect the whole run, a zone, a tenant or sidecars.
 OF_ALL = (
     "traffic",
     "stale",
@@ -67,15 +67,15 @@
         kind: What goes wrong.
         at_s: Start of the fault, in scenario time.
         for_s: Duration of the fault.
-        endpoints: Affected endpoints by index; if empty, a random share (`part`) is drawn from the seed.
-        sidecars: Affected sidecars, likewise, for faults of processes.
-        part: Share of the endpoints or sidecars that is affected.
+        endpoints: Indexes of the affected endpoints; if empty, a random share (`part`) is drawn.
+        sidecars: Likewise the indexes of the affected sidecars, for faults of processes.
+        part: Share of the endpoints or sidecars that is affected if none are listed.
         zone: Affected zone. All its endpoints or sidecars are affected, regardless of `part`.
-        size: Factor for slow and delay; share for fail, neighbour and lossy. Factor of the request rate for
-            traffic (of all clients), shift (of one zone, while the others get less) and tenant (of one
-            tenant). For descriptors and memory: how many, or how many MB, the process may use beyond what
-            it uses at that time.
-        jump_s: Step of the wall clock for the kind clock, forwards or backwards.
+        size: Factor for slow, delay and stale; share for fail, neighbour and lossy. Factor of the request
+            rate for traffic (all clients), shift (one zone, while the others get less) and tenant (one
+            tenant). For descriptors and memory: how many descriptors, or MB, the process may use beyond its
+            use at that time.
+        jump_s: Step of the wall clock for the kind clock; negative: backwards.
         tenant: Index of the affected tenant.
         spread_s: Time over which the targets are affected one after another; 0: all at once.
     """
@@ -94,13 +94,16 @@
 
 
 class Link(Spec, frozen=True, kw_only=True, rename={"from_": "from"}):
-    """A fault of the network from one side to the other, for a while (docs/fleetrig.md describes sides).
+    """A fault of the network from the nodes of one side to those of the other (docs/fleetrig.md: sides).
 
     Attributes:
+        from_: Selector of the sending nodes.
+        to: Selector of the receiving nodes.
         both: Whether the opposite direction is affected too.
+        carries: Affected traffic; talk: datagrams between sidecars.
         loss: Share of messages that are lost; on TCP they are delayed until their retransmission.
         burst: Mean number of messages lost in a row.
-        spread_ms: Upper bound of a further delay, drawn uniformly from 0.
+        spread_ms: Upper bound of an additional delay, drawn uniformly from 0.
         duplicate: Share of datagrams that are duplicated.
         reorder: Share of datagrams that are delayed, so that later ones overtake them.
         corrupt: Share of datagrams in which a bit is flipped.
--- a/anisespool/lab/scenario/fleet.py
+++ b/anisespool/lab/scenario/fleet.py
@@ -19,9 +19,9 @@
         cores: Number of requests executed at a time.
         speed: Work that each core does per second.
         speed_spread: Largest relative deviation of an endpoint's speed, which is drawn for each endpoint.
-        waiting: Capacity of the queue. Further requests are rejected without being executed.
-        connections: Limit of open connections. Further ones are refused.
-        cancel: Requests that are cancelled when their attempt is given up.
+        waiting: Capacity of the queue. Requests beyond it are rejected without being executed.
+        connections: Limit of open connections. Connections beyond it are refused.
+        cancel: Which requests the endpoint cancels when the sidecar closes their connection.
     """
 
     count: Count = 1
@@ -57,7 +57,7 @@
     """Load reports that responses carry.
 
     Attributes:
-        every_ms: Range from which the time until the next renewal of a report is drawn.
+        every_ms: Range from which the time is drawn for which an endpoint repeats a report.
     """
 
     columns: Columns = msgspec.field(default_factory=lambda: ["queue", "inflight"])
@@ -68,8 +68,8 @@
     """Discovery: how endpoint lists reach sidecars.
 
     Attributes:
-        delay_s: Range from which the delay of a change is drawn for each sidecar.
-        weights: Listed weights: cores times the group's speed (nominal), or all equal (none).
+        delay_s: Range from which the delay of each change is drawn for each sidecar.
+        weights: Weights in the list: cores times the group's speed (nominal), or all equal (none).
     """
 
     delay_s: Range = (0.1, 0.2)
@@ -81,11 +81,11 @@
 
     Attributes:
         cold_s: Duration of an endpoint's warm-up.
-        start_capacity: Share of its capacity that an endpoint has at its start.
-        fall_multiple: Multiple of its capacity beyond which an endpoint that warms up is overloaded.
-        fall_ms: Window over which the work for `fall_multiple` is counted.
-        attempts: Maximum number of attempts of a request.
-        longest_return_ms: Longest Retry-After; 0: none is sent.
+        start_capacity: Share of its full capacity that an endpoint has when it starts.
+        fall_multiple: Work that overloads a warming endpoint, in multiples of its current capacity.
+        fall_ms: Window over which that work is counted.
+        attempts: Maximum number of attempts of a request at endpoints.
+        longest_return_ms: Longest Retry-After; 0: rejections have none.
     """
 
     drain_grace_ms: Positive = 250.0
--- a/anisespool/lab/scenario/loading.py
+++ b/anisespool/lab/scenario/loading.py
@@ -1,8 +1,8 @@
-"""Reads scenario files with the files that they include, and encodes checked scenarios.
+"""Reads scenario files and the files that they include, and encodes scenarios.
 
-`include = ["a", "b"]` merges other files of the same folder; the including file takes precedence. Tables are
-merged key by key, lists of `endpoints` and `classes` are replaced, and `bursts`, `troubles`, `links` and
-`statements` are concatenated.
+`include = ["a", "b"]` merges files of the same folder. Later ones take precedence over earlier ones, and the
+including file over all. Tables are merged key by key, the lists `bursts`, `troubles`, `links` and
+`statements` are concatenated, and other lists are replaced.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def load(name: str | Path) -> Scenario:
-    """Loads a scenario from a file by its path, or from the library by its name.
+    """Loads a scenario from a file by its path, or from the library by a name without suffix.
 
     Raises:
         ScenarioError: The file does not exist, or the scenario is wrong.
@@ -35,7 +35,7 @@
 
 
 def library() -> list[str]:
-    """Names of the library's scenarios."""
+    """Names of the library's scenarios, without the files (`_*`) that only others include."""
     return sorted(path.stem for path in LIBRARY.glob("*.toml") if not path.stem.startswith("_"))
 
 
@@ -66,7 +66,7 @@
 
 
 def _read(path: Path, depth: int) -> dict[str, Any]:
-    """Parses a file and the files that it includes."""
+    """Parses a file, and merges the files that it includes."""
     if depth > MAX_INCLUDES:
         raise ScenarioError(f"{path}: include: found more than {MAX_INCLUDES} deep, wanted less")
     try:
--- a/anisespool/lab/scenario/platform_settings.py
+++ b/anisespool/lab/scenario/platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings for the sidecars of a scenario, in the form of the real platform."""
+"""The settings that the platform gives to the sidecars of a scenario."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def raw_settings(scenario: Scenario, index: int = 0, zone: int = 0) -> dict[str, Any]:
-    """The settings of `settings` in the platform's own format."""
+    """The same settings as `settings` returns, in the platform's own format."""
     return {
         "zone": zone,
         "fleet-size": scenario.sidecars,
--- a/anisespool/lab/scenario/schema.py
+++ b/anisespool/lab/scenario/schema.py
@@ -28,7 +28,7 @@
         zone: The zone in which share-* judges the share of arrivals from other zones.
         share: The bound of share-* and served.
         of: The views that views-agree compares. Talkers only have views of members.
-        limit: The bound of at-most on what is spent or executed at one moment.
+        limit: The bound of at-most: units reserved at one moment, or requests per second at an endpoint.
     """
 
     kind: StatementKind = msgspec.field(name="says")
@@ -46,10 +46,12 @@
     Attributes:
         question: The question that the scenario answers, in one sentence.
         warm_s: Duration of the warm-up, which the metrics exclude. The scenario time starts after it.
-        plays: The processes of the run: real sidecars, or "talkers", fake processes that only gossip.
+        plays: The processes of a live run: sidecars, or talkers, which only gossip.
+        quota_of_capacity: Sum of the tenants' quotas, as a share of the fleet's capacity.
+        over_share_worth: Factor of the weight of requests beyond their tenant's quota.
         budget: Units that all talkers may have reserved together.
         talk: Whether sidecars may send each other datagrams.
-        peers: Whether operators' files enable membership; None: the same as `talk`.
+        peers: Whether the operator's file of each sidecar enables membership; None: the same as `talk`.
     """
 
     question: str = msgspec.field(default="", name="asks")
@@ -86,13 +88,13 @@
         return sum(group.count for group in self.endpoints)
 
     def capacity_per_s(self) -> float:
-        """Requests per second, of the classes' mean work, that the endpoints can execute without faults."""
+        """Requests per second, at the classes' mean work, that all endpoints execute without faults."""
         total = sum(c.share for c in self.classes)
         work_s = sum(c.share * c.work_ms for c in self.classes) / total / 1000
         return sum(group.count * group.cores * group.speed for group in self.endpoints) / work_s
 
     def quotas_per_s(self) -> list[float]:
-        """Quota of each tenant, over all sidecars."""
+        """Quota of each tenant at all sidecars together, in requests per second."""
         total = self.quota_of_capacity * self.capacity_per_s()
         return [tenant.share * total for tenant in self.tenants]
 
--- a/anisespool/lab/scenario/traffic.py
+++ b/anisespool/lab/scenario/traffic.py
@@ -15,10 +15,10 @@
 
     Attributes:
         share: Share of the traffic, relative to the other classes.
-        effect: Whether a request may be executed more than once.
+        effect: Whether a request may be executed more than once: always, with its key, or never.
         target_ms: Latency objective.
-        priority_weight: Weight of a request in the service.
-        work_ms: Mean work of a request.
+        priority_weight: Weight of a request in the metric `service`.
+        work_ms: Mean work of a request, in ms at a speed of 1.
         work: Distribution of the work.
         cv: Coefficient of variation of lognormal work.
     """
@@ -35,14 +35,15 @@
 
 
 class Traffic(Spec, frozen=True, kw_only=True):
-    """Steady arrivals of client requests. They are open loop: earlier outcomes do not change them.
+    """Arrivals of client requests outside bursts. They are open loop: outcomes do not change them.
 
     Attributes:
         per_s: Requests per second at all sidecars together.
-        until_per_s: Requests per second at the end; the rate changes linearly from `per_s`.
+        arrivals: Whether gaps between arrivals are exponential (poisson) or equal (steady).
+        until_per_s: Requests per second at the end, to which the rate changes linearly; None: constant.
         uneven: 0: sidecars get equal shares; 1: shares fall linearly from the first sidecar to almost none.
-        zone_skew: 0: zones get equal shares; 1: a sidecar of the first zone gets twice the mean, one of the
-            last zone nothing.
+        zone_skew: 0: sidecars of all zones get equal shares; 1: shares fall linearly from twice the mean in
+            the first zone to nothing in the last.
     """
 
     per_s: NotNegative = 100.0
@@ -56,8 +57,8 @@
     """Requests that arrive together, in addition to the traffic.
 
     Attributes:
-        count: Number of requests at all sidecars together.
-        over_ms: Time over which they arrive.
+        count: Number of requests of each burst, at all sidecars together.
+        over_ms: Time over which the requests arrive at random.
         every_s: Interval at which the burst is repeated until the end; None: not repeated.
         cls: Index of the request class.
     """
@@ -73,10 +74,11 @@
     """How clients retry and give up.
 
     Attributes:
-        max_attempts: Maximum number of attempts at a request that is rejected, or fails and is idempotent.
+        max_attempts: Maximum number of times that a client sends a request: again after a rejection, and
+            after a failure if the request is idempotent.
         backoff_ms: Wait before a retry without a Retry-After.
-        honour: Share of clients that wait for the time in a Retry-After.
-        gives_up: Range from which the share of the deadline is drawn after which a client gives up.
+        honour: Share of client requests whose client waits for the time in a Retry-After.
+        gives_up: Range from which the time until a client gives up is drawn, as a share of the deadline.
     """
 
     max_attempts: Annotated[int, Meta(ge=1, le=10)] = msgspec.field(default=1, name="tries")
@@ -89,8 +91,8 @@
     """A tenant. The weight of its requests beyond its quota is multiplied by `over_share_worth`.
 
     Attributes:
-        share: Share of the sum of all quotas, which is `quota_of_capacity` of the fleet's capacity.
-        usage: Traffic of the tenant in multiples of its share.
+        share: Share of the sum of all quotas (`quota_of_capacity`).
+        usage: Factor of the tenant's traffic, relative to its share.
     """
 
     name: str
@@ -99,13 +101,13 @@
 
 
 class Prices(Spec, frozen=True, kw_only=True):
-    """Prices that are subtracted from the service, each multiplied by a ratio.
+    """Prices that are subtracted from the net figure, each multiplied by a ratio.
 
     Attributes:
-        cross_zone: Price of attempts that cross zones, over client requests.
-        handshake: Price of connections opened, over client requests.
-        late_fail: Price of weight that ended unserved after its latency objective, over weight requested.
-        list_line: Price of entries of endpoint lists, over 100 client requests.
+        cross_zone: Price of attempts that cross zones, per client request.
+        handshake: Price of connections opened, per client request.
+        late_fail: Price of the weight that ended after its latency objective, per weight requested.
+        list_line: Price of 100 entries of endpoint lists, per client request.
     """
 
     cross_zone: NotNegative = 0.0
--- a/anisespool/lab/scenario/validation.py
+++ b/anisespool/lab/scenario/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a scenario that involve several tables. The bounds of single tables are in their classes."""
+"""Checks of conditions that involve several tables. The class of a table defines its own bounds."""
 
 from __future__ import annotations
 
