--- a/anisespool/cli/demo.py
+++ b/anisespool/cli/demo.py
@@ -22,9 +22,9 @@
 from anisespool.cli.tables import Column, build_table
 from anisespool.fakes.rule_checker import Verdict
 
-LAST_RESPONSES_S = 2  # time for them in the total of the progress bar
-REFRESH_INTERVAL_S = 0.1
-REFRESHES_PER_S = 8
+LAST_RESPONSES_S = 2  # added to the total of the progress bar, for responses after the last request
+COUNT_INTERVAL_S = 0.1  # interval at which the shown counts are updated
+REDRAWS_PER_S = 8  # of the progress bar on the terminal
 CLIENT_OUTCOMES = ("served", "refused", "failed")  # values of ClientOutcome
 
 
@@ -69,13 +69,13 @@
         progress.update(task, description=title)
 
     started_s = time.monotonic()
-    with Live(Group(progress), console=output.console, refresh_per_second=REFRESHES_PER_S):
+    with Live(Group(progress), console=output.console, refresh_per_second=REDRAWS_PER_S):
         running = asyncio.ensure_future(fleet.run(seconds, report_stage))
         while not running.done():
             served = sum(request.status == HTTPStatus.OK for request in fleet.load.requests)
             counts = f"{len(fleet.load.requests)} requests, {served} served"
             progress.update(task, completed=time.monotonic() - started_s, counts=counts)
-            await asyncio.sleep(REFRESH_INTERVAL_S)
+            await asyncio.sleep(COUNT_INTERVAL_S)
     return await running
 
 
@@ -97,7 +97,7 @@
 
 
 def _rule_table(verdicts: list[Verdict]) -> Table:
-    return build_table("Rules, by the clients' and the endpoints' own counts", RULE_COLUMNS, verdicts)
+    return build_table("Rules, as counted by the clients and the endpoints", RULE_COLUMNS, verdicts)
 
 
 def _outcome_column(outcome: str) -> Column[ClassCounts]:
--- a/anisespool/lab/live/budget_server.py
+++ b/anisespool/lab/live/budget_server.py
@@ -1,6 +1,6 @@
-"""A server at which members reserve units of a budget that all of them share.
+"""A server at which members report the units of a shared budget that they reserve. It enforces no limit.
 
-It measures by its own clock and ignores what members report about themselves.
+It measures by its own clock how many units are reserved at a time, whatever else members report.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class BudgetServer(asyncio.DatagramProtocol):
-    """Accepts datagrams `{"member", "units", "hold_s"}`; a member's newer one replaces its older one."""
+    """Accepts datagrams `{"member", "units", "hold_s"}`. A new reservation replaces the member's last one."""
 
     def __init__(self, clock: Clock) -> None:
         self.peaks: list[BudgetPeak] = []
@@ -62,10 +62,10 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Record a reservation; ignore datagrams of another form."""
         try:
-            order = json.loads(data)
-            member = int(order["member"])
-            units = float(order["units"])
-            hold_ns = int(float(order["hold_s"]) * SECOND)
+            request = json.loads(data)
+            member = int(request["member"])
+            units = float(request["units"])
+            hold_ns = int(float(request["hold_s"]) * SECOND)
         except (ValueError, KeyError, TypeError):
             return
         now = self._clock.now
--- a/benchmarks/records/escaping.py
+++ b/benchmarks/records/escaping.py
@@ -1,6 +1,6 @@
-"""Checks that names drawn by hypothesis survive escaping in a record and the strict receiver's parser.
+"""Checks that random member names (tenants) are unchanged after escaping in a record and strict parsing.
 
-The objective: 100,000 names are decoded unchanged.
+The objective: 100,000 names, drawn by hypothesis, are decoded unchanged.
 """
 
 from __future__ import annotations
--- a/benchmarks/records/trace.py
+++ b/benchmarks/records/trace.py
@@ -21,7 +21,7 @@
 RECORDS = 1_000_000
 RECORDS_PER_OTHER_LINE = 10
 OTHER_LINE = b"Jul 28 20:00:00 lima kernel: something else\n"
-TENANTS = 50
+MEMBERS = 50  # records call a tenant a member
 ENDPOINTS = 40
 """Number of endpoints from which `record_soak` draws."""
 FIRST_RECORD_NS = 1_785_286_800_000_000_000
@@ -46,7 +46,7 @@
 
 QUERIES = (
     Query(("--id", "t777777"), 1),
-    Query(("--by", "member"), TENANTS),
+    Query(("--by", "member"), MEMBERS),
     Query(("--by", "endpoint"), ENDPOINTS),
     Query(("--worst", "10"), 10),
     Query(("--dropped",), 0),
@@ -59,7 +59,7 @@
     random = Random(SEED)
     with path.open("wb") as file:
         for number in range(RECORDS):
-            record = record_soak.random_request(random, number, b"member-%d" % (number % TENANTS))
+            record = record_soak.random_request(random, number, b"member-%d" % (number % MEMBERS))
             at_ns = FIRST_RECORD_NS + number * RECORD_INTERVAL_NS
             file.write(encoder.encode_request(number + 1, record, at_ns) + b"\n")
             if number % RECORDS_PER_OTHER_LINE == 0:
--- a/tests/harness/connection_internals.py
+++ b/tests/harness/connection_internals.py
@@ -12,8 +12,8 @@
     """Return the transport of a client's connection, or of a connection to an endpoint.
 
     It is private because only the connection itself may write to its transport or pause it. Tests pause its
-    reading, so that input stays in the kernel at an instant that no peer could time, and read its socket
-    options.
+    reading, so that input stays in the kernel from a moment on that a peer could not hit exactly. They also
+    read its socket options.
     """
     assert isinstance(connection, ClientConnection | Connection)
     transport = connection._transport
--- a/tests/lab/test_admission_scenarios.py
+++ b/tests/lab/test_admission_scenarios.py
@@ -10,14 +10,14 @@
 from anisespool.lab.model.world import World
 from anisespool.lab.scenario import from_raw
 
-QUIET = 0  # index of the class of the traffic
+QUIET = 0  # index of the class of the steady traffic
 BURST = 1  # index of the class of bursts
 HOUR_S = 3600
 NON_IDEMPOTENT_ONLY = [{"name": "send-one"}]
 
 
 class AdmissionRun:
-    """A run with ten endpoints of three cores and requests of 20 ms: 600 fit in 400 ms. It breaks no rule."""
+    """A run that breaks no rule. Ten endpoints of three cores execute 600 requests of 20 ms in 400 ms."""
 
     def __init__(self, seed: int = 1, sidecars: int = 1, per_s: float = 10.0, **changes: Any) -> None:
         print(f"seed {seed}")  # shown when a test fails
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("sidecars", [1, 5])
 def test_a_burst_overloads_no_endpoint_while_a_third_of_the_fleet_warms_up(sidecars: int) -> None:
-    """Three times its current capacity for 1.5 s would overload an endpoint, which then stays down."""
+    """Work of three times its current capacity in 1.5 s would overload an endpoint, which then stays down."""
     faults = [fault("restart", 0, endpoints=[0, 1, 2]), fault("traffic", 4, for_s=5, size=90)]
     found = AdmissionRun(sidecars=sidecars, seconds=10, bursts=[burst(96, 1.5)], troubles=faults).outcomes()
     assert found["late"] + found["failed"] <= 0.05 * 96
@@ -122,11 +122,11 @@
     assert overloaded["in_time"] >= 0.85 * 1500 * 5
     assert overloaded["late"] + overloaded["failed"] <= 0.02 * overloaded["all"]
     recovered = run.outcomes(QUIET, 8)
-    assert recovered["in_time"] >= 0.99 * recovered["all"] > 1000  # this span starts 2 s after the overload
+    assert recovered["in_time"] >= 0.99 * recovered["all"] > 1000  # from 2 s after the overload
 
 
 def test_admission_follows_a_fleet_that_slows_to_a_third() -> None:
-    slow = fault("slow", 1, for_s=9, size=3, part=1)  # capacity of 500 per second from here
+    slow = fault("slow", 1, for_s=9, size=3, part=1)  # leaves a capacity of 500 per second
     high = fault("traffic", 0, for_s=4, size=120)
     later = AdmissionRun(seconds=6, classes=NON_IDEMPOTENT_ONLY, troubles=[high, slow]).outcomes(QUIET, 2, 4)
     assert later["late"] + later["failed"] < 0.08 * later["all"]
--- a/tests/lab/test_links.py
+++ b/tests/lab/test_links.py
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def flapping() -> Links:
-    """A link that flaps from 11 s to 16 s: it is on for a second and off for a second."""
+    """A link fault that flaps from 11 s to 16 s: on for a second, then off for a second."""
     links = make_links({"cut": "refused", "flap_s": 2.0, "at_s": 1, "for_s": 5})
     links.set_scenario_start(10 * SECOND)
     return links
@@ -133,7 +133,7 @@
 
 @pytest.fixture(scope="module")
 def impaired() -> tuple[Links, list[list[DatagramCopy]]]:
-    """Links with all impairments but loss, and the copies of many datagrams."""
+    """Links that delay, duplicate, reorder and corrupt, and the copies of many datagrams sent on them."""
     raw = {"delay_ms": 10, "spread_ms": 20, "duplicate": 0.1, "reorder": 0.05, "corrupt": 0.02}
     links = make_links(raw, seed=3)
     return links, [links.send_datagram(number * INTERVAL_NS, A, B, DATA) for number in range(DATAGRAMS)]
@@ -194,7 +194,11 @@
         ({"delay_ms": 5}, 5 * MS, 5 * MS),
         ({"loss": 1.0}, 200 * MS * 63, 200 * MS * 63),  # six time-outs: 200 ms, doubled each time
         ({"corrupt": 0.99}, 200 * MS, 200 * MS * 63),
-        ({"cut": "silent", "for_s": 3}, 2 * SECOND, 4 * SECOND),  # held back, and retransmitted after the cut
+        (
+            {"cut": "silent", "for_s": 3},
+            2 * SECOND,
+            4 * SECOND,
+        ),  # until the retransmission after the cut
         ({"rate_kb_s": 1}, 600 * MS, 600 * MS),
     ],
 )
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -54,7 +54,7 @@
 def queueing_system(
     load: float, cores: int = 1, count: int = 1, work: str = "exponential", seconds: float = 400
 ) -> Scenario:
-    """A scenario without network delays and limits, whose deadlines no request reaches."""
+    """A scenario without network delays and queue limits, and with deadlines that no request reaches."""
     request_class = {"name": "x", "work_ms": 20, "work": work, "target_ms": 9e5, "deadline_ms": 9e5}
     return from_raw(
         {
@@ -122,7 +122,7 @@
 
 
 def with_all_faults(**changes: Any) -> Scenario:
-    """A small fleet with a fault of each kind. One begins every half second, so that they overlap."""
+    """A small fleet with a fault of each of FAULT_KINDS. They overlap, as one begins every half second."""
     faults = [
         {"kind": kind, "at_s": 0.5 * number, "for_s": 1, "part": 0.2, "size": FAULT_SIZES.get(kind, 3)}
         for number, kind in enumerate(FAULT_KINDS)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("policy", ["ours", "random"])
-def test_all_kinds_of_fault_at_once_break_no_rule_and_counts_balance(policy: str) -> None:
+def test_overlapping_faults_break_no_rule_and_counts_balance(policy: str) -> None:
     world = World(with_all_faults(), 3, POLICIES[policy])
     metrics = world.run()
     assert world.broken == "" or policy == "random"  # random choice overloads endpoints that warm up
@@ -208,7 +208,7 @@
 
 
 def test_changes_of_the_endpoint_list_arrive_in_order(watch_delay: WatchDelay) -> None:
-    """If a start overtook the drain before it, the sidecar would never use the endpoint again."""
+    """If a start overtook the drain before it, the drain would apply last and keep the endpoint unused."""
     watch_delay.delay_factor = 40.0
     (slow,) = watch_delay.schedule_change(0)
     watch_delay.delay_factor = 1.0
@@ -232,7 +232,7 @@
 
 @pytest.fixture
 def results(tmp_path: Path, cases: list[Case]) -> Iterator[ResultStore]:
-    """ResultStore of a sweep that was killed after it had stored three runs."""
+    """Reopened store of a sweep that ended after it had stored three runs."""
     interrupted = ResultStore(tmp_path / "r.db")
     run_cases(cases[:3], interrupted, 1)
     interrupted.close()
@@ -241,7 +241,7 @@
     resumed.close()
 
 
-def test_a_sweep_resumes_where_it_was_killed(cases: list[Case], results: ResultStore) -> None:
+def test_a_sweep_resumes_after_its_stored_runs(cases: list[Case], results: ResultStore) -> None:
     reported: list[Result] = []
     resumed = run_cases(cases, results, 2, reported.append)
     assert len(resumed) == len(reported) == 8
@@ -250,22 +250,22 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "shown"),
+    ("first", "second", "significant"),
     [
         ([1.0, 5.0, 9.0], [1.1, 5.1, 9.1], True),
         ([1.0, 5.0, 9.0], [1.1, 4.8, 9.1], False),
         ([1.0], [2.0], False),
     ],
 )
-def test_paired_runs_show_a_difference_that_means_hide(
-    first: list[float], second: list[float], shown: bool
+def test_a_paired_difference_is_significant_if_it_is_consistent(
+    first: list[float], second: list[float], significant: bool
 ) -> None:
-    assert paired_difference("x", first, second).is_significant is shown
+    assert paired_difference("x", first, second).is_significant is significant
 
 
 @pytest.mark.parametrize("name", sorted(MUTATIONS))
 def test_the_search_finds_and_shrinks_each_mutation(name: str) -> None:
-    """The limit is a number of runs, several times as many as a search makes in a minute, and no time."""
+    """The limit is in runs, several times as many as a search makes in a minute, and not in time."""
     for runs, found in enumerate(search(name, 1, 1e9, clock=lambda: 0.0)):
         if found:
             break
--- a/tests/lab/test_standing_scenarios.py
+++ b/tests/lab/test_standing_scenarios.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("policy", ["random", "ours"])
 def test_no_request_passes_between_an_isolated_zone_and_the_others(policy: str) -> None:
     world = run([{"kind": "cut", "zone": 2, "at_s": 3, "for_s": 3}], policy=policy)
-    during = world.arrived_between(3.01, 6)  # messages under way have arrived by then
+    during = world.arrived_between(3.01, 6)  # 10 ms later, messages under way have arrived
     assert during
     assert all((arrival.sidecar_zone == 2) == (arrival.endpoint_zone == 2) for arrival in during)
     after = world.arrived_between(6, float("inf"))
@@ -123,7 +123,7 @@
     raw = {"seconds": 8, "warm_s": 1, "sidecars": 3, "troubles": faults}
     world = RecordingWorld(from_raw(raw, "quiet"), 1)
     world.run()
-    updated_at = [at for at in world.updates if at >= 0]  # without the lists with which sidecars start
+    updated_at = [at for at in world.updates if at >= 0]  # without the lists that sidecars get at their start
     assert len(updated_at) == 6
     assert min(updated_at) == 5 * SECOND
 
@@ -168,7 +168,7 @@
     metrics = run([flood], tenants=tenants, traffic={"per_s": 900}).metrics
     requested = sum(metrics.requested.values())
     assert requested > 9000 + 5 * 900 * 1.5
-    assert metrics.weight_requested < 0.8 * requested  # each weighs 1 within its quota
+    assert metrics.weight_requested < 0.8 * requested  # a request within its quota weighs 1
     assert metrics.by_tenant[0][True] > 0.6 * sum(metrics.by_tenant[0].values())
 
 
@@ -212,8 +212,8 @@
 
 
 def test_most_attempts_stay_in_their_zone_and_reuse_connections() -> None:
-    """200 sidecars that choose each time among all endpoints crossed zones for half of their requests, and
-    opened a connection for two in five of them (the operators' calm day)."""
+    """On the operators' calm day, 200 sidecars that chose each time among all endpoints crossed zones for
+    half of their requests, and opened a connection for two in five."""
     metrics = World(tenth_of("calm", seconds=12.0, faults=[]), 1).run()
     requested = sum(metrics.requested.values())
     assert metrics.crossings / requested < 0.25
