--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -1,4 +1,4 @@
-"""When each sidecar receives a change of the endpoint list: after a delay, but in order on each watch."""
+"""When each sidecar receives changes of the endpoint list: delayed, but in order on each watch."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class WatchDelay:
-    """Delays and revisions on the watches of one registry. Times are ns of the run's clock.
+    """Delays and list revisions of each sidecar's watch on the registry. Times are ns of the run's clock.
 
     Attributes:
-        delay_factor: Factor of the scenario's delays.
+        delay_factor: Factor by which a fault multiplies the scenario's delays.
     """
 
     def __init__(self, scenario: Scenario, random: RandomStream) -> None:
@@ -46,8 +46,8 @@
         for sidecar in range(len(self._blocked_until)) if sidecars is None else sidecars:
             self._blocked_until[sidecar] = max(self._blocked_until[sidecar], until)
 
-    def next_change(self, now: int) -> Iterator[ListChange]:
-        """Creates the next revision, and yields when each sidecar receives it."""
+    def schedule_change(self, now: int) -> Iterator[ListChange]:
+        """Creates the next revision, and yields for each sidecar when it receives the change."""
         self._revision += 1
         for sidecar, last_arrival in enumerate(self._last_arrivals):
             delay = int(self._random.uniform(*self._delay_range_s) * self.delay_factor * SECOND)
@@ -55,8 +55,8 @@
             self._last_arrivals[sidecar] = arrival
             yield ListChange(sidecar, arrival, self._revision)
 
-    def complete_list(self) -> int:
-        """Creates the revision of a complete list, which all sidecars receive immediately."""
+    def record_complete_list(self) -> int:
+        """Creates the next revision as a complete list, which all sidecars receive immediately."""
         self._revision += 1
         self._received_revisions = [self._revision] * len(self._received_revisions)
         return self._revision
@@ -67,8 +67,8 @@
         self._received_revisions[sidecar] = self._revision
         return self._revision
 
-    def accepts(self, sidecar: int, revision: int) -> bool:
-        """Whether an arriving change is new to the sidecar: a complete list contains all earlier changes."""
+    def receive_change(self, sidecar: int, revision: int) -> bool:
+        """Records an arriving change; returns False if the sidecar's list contains it already."""
         if revision <= self._received_revisions[sidecar]:
             return False
         self._received_revisions[sidecar] = revision
