--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -169,18 +169,18 @@
         """Checks an action that neither sends a request to an endpoint nor ends it."""
         match action:
             case api.Cancel():
-                require(self.settings.may_cancel, "a cancellation that the settings do not allow")
+                require(self.settings.may_cancel, "cancel where it is not allowed")
                 record = self.requests.get(action.request)
                 require(
                     record is None or action.attempt < len(record.attempts),
-                    "a cancellation of an unknown attempt",
+                    "unknown attempt",
                 )
             case api.SendHealthCheck():
-                require(self.settings.may_health_check, "a health check that the settings do not allow")
+                require(self.settings.may_health_check, "a probe where it is not allowed")
             case api.SendGossip():
-                require(self.settings.may_gossip, "a gossip message that the settings do not allow")
+                require(self.settings.may_gossip, "a message where it is not allowed")
             case api.SetTimer():
-                require(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer with a delay out of bounds")
+                require(0 <= action.delay_ns <= MAX_TIMER_NS, "a timer out of bounds")
             case _:
                 pass
 
@@ -189,19 +189,19 @@
         require(record is not None, "rule 1: a send for a request that has ended")
         assert record
         require(not record.answered, "rule 1: a send for a request that has ended")
-        require(send.endpoint in self._last_listings, "a send to an endpoint that was never listed")
+        require(send.endpoint in self._last_listings, "an endpoint no list has named")
         assert send.timeout_ns >= 0
         unavailable_since = self._unavailable_since.get(send.endpoint)
         grace = self.settings.drain_grace_ns
         require(
             unavailable_since is None or now <= unavailable_since + grace,
-            "rule 3: a send after the drain grace",
+            "rule 3: a send past the drain grace",
         )
         require(len(record.attempts) < self.settings.max_attempts, "more attempts than allowed")
         if not self.settings.may_hedge:
             require(
                 not any(attempt.open for attempt in record.attempts),
-                "two open attempts of a request without hedging",
+                "two attempts outstanding",
             )
         self._check_repeat(now, record, send.endpoint)
         self._check_order(now, send.request, record)
@@ -214,28 +214,26 @@
             return
         require(
             record.request_class.idempotency is Idempotency.WITH_KEY,
-            "rule 2: a request that is not idempotent was sent again",
+            "rule 2: an unsafe request sent again",
         )
         require(
             now <= possibly_executed[0].sent_at + record.request_class.dedup_window_ns,
-            "rule 2: a repeat after the deduplication window",
+            "rule 2: past the dedup window",
         )
         repeated = self._last_listings[endpoint]
         first = self._last_listings[possibly_executed[0].endpoint]
         if record.request_class.dedup_scope is DedupScope.ZONE:
-            require(repeated.zone == first.zone, "rule 2: a repeat outside the deduplication zone")
+            require(repeated.zone == first.zone, "rule 2: outside the zone that drops repeats")
         elif record.request_class.dedup_scope is DedupScope.CELL:
-            require(repeated.cell == first.cell, "rule 2: a repeat outside the deduplication cell")
+            require(repeated.cell == first.cell, "rule 2: outside the cell that drops repeats")
 
     def _check_order(self, now: int, request: int, record: RequestRecord) -> None:
         if not record.key:
             return
         ordered = self._requests_by_key[record.key]
         for earlier in ordered[: ordered.index(request)]:
-            require(self.requests[earlier].is_over(), "order: an earlier request of the key is open")
-            require(
-                now >= self.requests[earlier].key_settles_at, "order: sent before the key's settle time ended"
-            )
+            require(self.requests[earlier].is_over(), "order: an earlier request of the key is not over")
+            require(now >= self.requests[earlier].key_settles_at, "order: the key's rest was cut short")
 
     def _check_rejection(self, record: RequestRecord) -> None:
         """Checks rule 2 for a rejection, after which clients may retry any request."""
@@ -244,17 +242,17 @@
             return
         is_keyed = record.request_class.idempotency is Idempotency.WITH_KEY
         deduplicated_everywhere = is_keyed and record.request_class.dedup_scope is DedupScope.ALL
-        require(deduplicated_everywhere, "rule 2: a rejection of a request that may have been executed")
+        require(deduplicated_everywhere, "rule 2: a refusal of what may have run")
 
     def _record_final(self, now: int, request: int) -> RequestRecord:
         """Checks rule 1 for a final response, and marks the request as answered; returns its record."""
         record = self.requests.get(request)
-        require(record is not None, "rule 1: a second final response")
+        require(record is not None, "rule 1: a second final answer")
         assert record
-        require(not record.answered, "rule 1: a second final response")
+        require(not record.answered, "rule 1: a second final answer")
         require(
             now <= record.deadline + self.settings.answer_slack_ns,
-            "rule 1: a final response after the deadline",
+            "rule 1: a late final answer",
         )
         record.answered = True
         return record
@@ -263,4 +261,4 @@
         """Raises RuleError if a request past its deadline has no final response (rule 1)."""
         for request, record in self.requests.items():
             late = now > record.deadline + self.settings.answer_slack_ns
-            require(record.answered or not late, f"rule 1: request {request} got no final response")
+            require(record.answered or not late, f"rule 1: request {request} was never answered")
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -123,7 +123,7 @@
     def respond(self, sidecar: Sidecar, action: api.Reject | api.Fail) -> None:
         """Delivers the module's final response, a rejection or a failure, to the client."""
         key = RequestKey(sidecar.number, action.request)
-        require(key in self.open, "rule 1: a final response to a request that has ended")
+        require(key in self.open, "rule 1: a final answer to what is over")
         client_request = self.close(key)
         if isinstance(action, api.Reject):
             self._run.log("refuse", client_request.number)
