--- a/anisespool/discovery/timeouts.py
+++ b/anisespool/discovery/timeouts.py
@@ -15,7 +15,7 @@
 SILENCE_TIMEOUT_S = 2.5
 INITIAL_BACKOFF_S = 0.05
 # Longest backoff while updates can't be applied, as the next update may fail in the same way.
-INVALID_UPDATE_BACKOFF_S = 2.0
+MAX_FAULT_BACKOFF_S = 2.0
 PUSH_RESPONSE_TIMEOUT_S = 1.0
 # Share of the drain grace period for connecting, and also for the pause before it.
 DRAIN_GRACE_SHARE = 0.4
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -78,7 +78,7 @@
                 self._attempt.cancel()
             # Without this pause, an attempt whose error handling fails would be repeated at once.
             if not self._attempt.cancelled() and self._attempt.exception():
-                await asyncio.sleep(timeouts.INVALID_UPDATE_BACKOFF_S)
+                await asyncio.sleep(timeouts.MAX_FAULT_BACKOFF_S)
 
     async def _attempt_and_back_off(self) -> None:
         self._progress.begin_attempt()
@@ -97,7 +97,7 @@
             traceback.print_exc()
         self.first_attempt_done.set()
         self._progress.end_attempt()
-        max_delay_s = timeouts.INVALID_UPDATE_BACKOFF_S if self._progress.fault else None
+        max_delay_s = timeouts.MAX_FAULT_BACKOFF_S if self._progress.fault else None
         delay_s = self._backoff.next_delay_s(max_delay_s)
         if failure:
             self._log_failure(failure, delay_s)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -53,7 +53,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """A valid update with a later revision follows each invalid one at once, on the same connection."""
-    monkeypatch.setattr(timeouts, "INVALID_UPDATE_BACKOFF_S", 0.02)
+    monkeypatch.setattr(timeouts, "MAX_FAULT_BACKOFF_S", 0.02)
     bad = [*INVALID_JSON, *(json.dumps(raw).encode() for raw in INVALID_UPDATES)]
     async with Endpoint().serve() as old, running_sidecar(tmp_path, old) as sidecar:
         discovery = sidecar.discovery
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -74,7 +74,6 @@
     max_by_attempt_s = [2.0 if is_invalid else max_backoff_s for is_invalid in invalid]
     backoff = Backoff(timeouts.INITIAL_BACKOFF_S, max_backoff_s, Random(seed))
     delays_s = [
-        backoff.next_delay_s(timeouts.INVALID_UPDATE_BACKOFF_S if is_invalid else None)
-        for is_invalid in invalid
+        backoff.next_delay_s(timeouts.MAX_FAULT_BACKOFF_S if is_invalid else None) for is_invalid in invalid
     ]
     assert delays_s == list(watch_delays_s(Random(seed), max_by_attempt_s))
