--- a/anisespool/discovery/drains.py
+++ b/anisespool/discovery/drains.py
@@ -1,4 +1,4 @@
-"""Decides which endpoints are draining: by the endpoint list, the operator, or a list of a higher revision.
+"""Decides which endpoints are draining: by the endpoint list, the operator, or an earlier list.
 
 The endpoint list and the operator are independent: ending a drain by one does not end a drain by the other.
 Pure: no I/O and no clock.
@@ -21,7 +21,7 @@
 
 
 def effective_state(listed_state: int, drained_by_operator: bool) -> int:
-    """Return the state to report to the balancer for an endpoint that the list has in `listed_state`."""
+    """Return the state to report to the balancer for an endpoint that is listed as `listed_state`."""
     if drained_by_operator and listed_state == EndpointState.READY:
         return EndpointState.DRAINING
     return listed_state
@@ -48,7 +48,7 @@
 
 
 class DrainTracker:
-    """Keeps endpoints withdrawn when an older endpoint list has them as ready again.
+    """Keeps endpoints withdrawn when an older endpoint list has them as ready.
 
     A new configuration may name a discovery service that is behind the previous one. An endpoint that the
     previous one listed as draining or gone stays withdrawn until a list of the same or a higher revision has
--- a/anisespool/discovery/repeat_limit.py
+++ b/anisespool/discovery/repeat_limit.py
@@ -10,18 +10,18 @@
     """Suppresses a log line that repeats the previous one, for LOG_INTERVAL_S."""
 
     def __init__(self) -> None:
-        self._last_line = ""
+        self._last_key = ""
         self._repeat_at_s = 0.0
 
-    def is_due(self, line: str, now_s: float) -> bool:
-        """Return whether to write the line; if so, it counts as written.
+    def allow(self, key: str, now_s: float) -> bool:
+        """Return whether to write a line; if so, it counts as written at `now_s`.
 
         Args:
-            line: Text that identifies the line.
+            key: Text that identifies the line; lines with equal keys count as repetitions.
             now_s: Monotonic time.
         """
-        if line == self._last_line and now_s < self._repeat_at_s:
+        if key == self._last_key and now_s < self._repeat_at_s:
             return False
-        self._last_line = line
+        self._last_key = key
         self._repeat_at_s = now_s + LOG_INTERVAL_S
         return True
--- a/anisespool/discovery/timeouts.py
+++ b/anisespool/discovery/timeouts.py
@@ -14,7 +14,8 @@
 # Discovery sends an empty line every 2 s; TCP alone does not detect a peer that is cut off.
 SILENCE_TIMEOUT_S = 2.5
 INITIAL_BACKOFF_S = 0.05
-# Longest backoff while updates can't be applied, as the next update may fail in the same way.
+# Longest backoff after an attempt with a fault, and pause after an error in the handling of an attempt. The
+# next attempt may fail in the same way.
 MAX_FAULT_BACKOFF_S = 2.0
 PUSH_RESPONSE_TIMEOUT_S = 1.0
 # Share of the drain grace period for connecting, and also for the pause before it.
@@ -36,8 +37,8 @@
     max_backoff_s: float
 
 
-# A discovery service shared by the fleet handles its calls in turn and ends each after 2 s itself. A call
-# that is abandoned sooner has waited in vain and is made again.
+# A discovery service shared by the fleet handles its calls in turn and ends each after 2 s itself. With a
+# shorter response timeout, calls would be abandoned while they wait, and repeated.
 POLL_TIMING = WatchTiming(connect_timeout_s=0.5, response_timeout_s=2.2, max_backoff_s=2.0)
 
 
@@ -45,7 +46,7 @@
     """Return the timing for the platform's discovery mode.
 
     With `push` an agent on this machine responds at once and at no cost. Its list counts as delivered whether
-    or not a watch is open, so the watch reconnects within the drain grace period to an agent that was away.
+    or not a watch is open, so after an outage the watch reconnects within the drain grace period.
     """
     if settings.discovery_mode is DiscoveryMode.POLL:
         return POLL_TIMING
--- a/anisespool/discovery/update_progress.py
+++ b/anisespool/discovery/update_progress.py
@@ -16,7 +16,8 @@
 
     Attributes:
         revision: Revision of the last update that was applied or skipped.
-        fault: Why an update could not be applied in this attempt; NO_FAULT if all were applied or skipped.
+        fault: Why an update could not be applied, or the stream not be parsed, in this attempt; NO_FAULT
+            otherwise. A skipped update leaves it unchanged.
     """
 
     def __init__(self, revision: int) -> None:
@@ -34,7 +35,7 @@
         self._previous_fault = self.fault
 
     def record_update(self, revision: int | None, fault: str) -> None:
-        """Record whether an update was applied.
+        """Record whether an update was applied, and advance the revision unless the attempt has a fault.
 
         Args:
             revision: Revision of the update; None if it could not be read.
--- a/anisespool/discovery/update_stream.py
+++ b/anisespool/discovery/update_stream.py
@@ -51,7 +51,7 @@
 
         Raises:
             OSError: The connection failed.
-            TimeoutError: Discovery did not respond, or was silent for SILENCE_TIMEOUT_S.
+            TimeoutError: Connecting or the response took too long, or silence lasted SILENCE_TIMEOUT_S.
             JsonStreamError: The response is not JSON.
         """
         loop = asyncio.get_running_loop()
@@ -73,18 +73,18 @@
     async def _read_updates(self, reader: asyncio.StreamReader, deadline: asyncio.Timeout) -> None:
         loop = asyncio.get_running_loop()
         parser = http1.ResponseParser(self._body.extend)
-        is_accepted = False
+        has_started = False
         try:
             while data := await reader.read(READ_BYTES):
                 parser.feed(data)
                 received = self._documents.feed(bytes(self._body))
                 self._body.clear()
                 may_continue = not received.documents or self._apply_updates(received.documents)
-                # Only complete documents and empty lines keep the watch open: bytes that never complete a
-                # document don't.
-                is_head = parser.status == HTTPStatus.OK and not is_accepted
-                if received.documents or received.line_ends or is_head:
-                    is_accepted = True
+                # The start of the response, complete documents and empty lines extend the deadline. Bytes
+                # that never complete a document don't.
+                starts_now = parser.status == HTTPStatus.OK and not has_started
+                if received.documents or received.line_ends or starts_now:
+                    has_started = True
                     deadline.reschedule(loop.time() + timeouts.SILENCE_TIMEOUT_S)
                 if not may_continue or _has_ended(parser):
                     return
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list: reconnects to discovery, and applies each update once, in order."""
+"""Watches the endpoint list: reconnects to discovery, and applies the updates in order."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class EndpointWatch:
-    """Keeps the endpoint list up to date: each update is passed on once, in order.
+    """Keeps the endpoint list up to date: passes updates on in order, and requests a failed one once more.
 
     Attributes:
-        first_attempt_done: Set once an update was handled, or the first attempt failed.
+        first_attempt_done: Set once an update was handled or the first attempt has ended.
     """
 
     def __init__(
@@ -38,9 +38,9 @@
 
         Args:
             address: Address of the discovery service.
-            names: Converts an update's JSON to a checked list.
+            names: Indexes of the names in the settings, used to parse updates.
             revision: Revision of the last update that has already been applied.
-            on_update: Applies an update. If it raises, the update counts as not applied.
+            on_update: Applies an update. If it raises an error, the update counts as not applied.
             timing: Timeouts and backoff.
         """
         self.first_attempt_done = asyncio.Event()
@@ -131,15 +131,15 @@
         self.first_attempt_done.set()
 
     def _log_failure(self, error: str, delay_s: float) -> None:
-        if self._is_due(f"failed: {error}"):
+        if self._allow_log(f"failed: {error}"):
             log_event("endpoint_list_watch_failed", error=error, retry_s=f"{delay_s:.3f}")
 
     def _log_not_applied(self, error: str) -> None:
-        if self._is_due(f"not applied: {error}"):
+        if self._allow_log(f"not applied: {error}"):
             log_event("endpoint_list_update_not_applied", error=error)
 
-    def _is_due(self, line: str) -> bool:
-        return self._repeat_limit.is_due(line, asyncio.get_running_loop().time())
+    def _allow_log(self, key: str) -> bool:
+        return self._repeat_limit.allow(key, asyncio.get_running_loop().time())
 
 
 def _describe(error: Exception) -> str:
--- a/tests/discovery/test_drains.py
+++ b/tests/discovery/test_drains.py
@@ -12,7 +12,7 @@
 GONE = EndpointState.GONE
 
 
-def test_an_operator_drain_affects_only_endpoints_that_are_ready_in_the_list() -> None:
+def test_an_operator_drain_affects_only_listed_ready_endpoints_and_may_leave_none() -> None:
     assert [effective_state(state, True) for state in (READY, DRAINING, GONE)] == [DRAINING, DRAINING, GONE]
     assert [effective_state(state, False) for state in (READY, DRAINING, GONE)] == [READY, DRAINING, GONE]
     assert leaves_no_ready_endpoint({"a"}, {"a", "b"})
@@ -32,10 +32,10 @@
         (6, 49, 0, False),
     ],
 )
-def test_an_older_list_does_not_end_a_drain(
+def test_a_listed_drain_outlasts_older_lists_until_a_restart_or_the_catch_up_time(
     listed: int, started_ns: int, revision: int, after_ns: int, stays_draining: bool
 ) -> None:
-    """The drain is listed at revision 50 for the start at 5; two lists, `after_ns` apart, contradict it."""
+    """Revision 50 drains the endpoint started at 5; two lists, `after_ns` apart, have it as ready."""
     tracker = DrainTracker()
     assert tracker.resolve(1, "s-0", 5, listed, 50) == listed
     # An older list that agrees does not lower the revision of the withdrawal.
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -62,7 +62,7 @@
             discovery.send(text)
             discovery.send(member_list(9, [], complete=False))
         await wait_until_watched(discovery, len(bad) + 1)
-        # No request is for updates after the one that was not applied.
+        # No request skips the update that was not applied.
         assert set(discovery.targets) == {b"/v1/servers?stream=1&index=1"}
         discovery.send(
             json.dumps(member_list(7, [member("s-0", old.address, "draining")], False), indent=1).encode()
@@ -143,7 +143,7 @@
 async def test_connecting_has_a_shorter_timeout_than_waiting_for_a_response(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """An agent that is back answers new connections, but none that were opened before."""
+    """A restarted agent answers new connections, but none that were opened before."""
     connect = asyncio.open_connection
     attempts = 0
 
@@ -202,7 +202,8 @@
 
 
 UPDATE = json.dumps(member_list(2, [])).encode() + b"\n"
-# Reserve of the time in which an update counts as delivered, as a process may be scheduled late.
+# Reserve for late scheduling, as a share of the time after which an update counts as delivered. The timeouts
+# may use up to half of it.
 SPARE_FRACTION = 0.2
 
 
@@ -211,7 +212,7 @@
 async def test_an_update_arrives_in_time_although_the_second_watch_is_silent_too(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, mode: str, timing: timeouts.WatchTiming
 ) -> None:
-    """The time is calculated from the watch's timeouts, then the watch runs with a twentieth of each."""
+    """The time is calculated; the watch then runs with a twentieth of the silence and response timeouts."""
     delivered_s = 6.0
     # The second watch receives either only the head of a response or nothing.
     second_s = max(timeouts.SILENCE_TIMEOUT_S, timing.connect_timeout_s + timing.response_timeout_s)
