--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -18,7 +18,7 @@
 INITIAL_DIGEST_DATAGRAMS = 4
 # Comparisons are this many times as frequent while views change.
 UNSETTLED_RATE_FACTOR = 5
-# The precedence assumed for a member without any update.
+# The precedence assumed for a member that a received BUCKET_STATE leaves out.
 LOWEST_PRECEDENCE = Precedence(boot=-1, incarnation=0, state=MemberState.ALIVE)
 
 
@@ -36,7 +36,7 @@
         self._initial_buckets = list(range(self._bucket_count))
 
     def compare(self, now_ns: int) -> list[Outgoing]:
-        """Return bucket digests, each addressed to a random member; called by the timer.
+        """Return bucket digests, each addressed to a random member; called by the timer and after a pause.
 
         The next comparison is sooner while initial buckets are left or if the view changed recently.
 
@@ -52,7 +52,7 @@
             for recipient in state.choose_members(1):
                 message = state.compose(now_ns, MessageKind.BUCKET_DIGEST, target=bucket)
                 outgoing.append(Outgoing(recipient, message._replace(digest=self.digest(bucket))))
-        if initial or now_ns - state.views.changed_at_ns < state.config.unsettled_period_ns:
+        if initial or now_ns - state.view_cache.changed_at_ns < state.config.unsettled_period_ns:
             interval_ns = state.config.anti_entropy_interval_ns // UNSETTLED_RATE_FACTOR
             state.schedule.set(Timer.ANTI_ENTROPY, now_ns + interval_ns)
         return outgoing
@@ -76,7 +76,7 @@
         ]
 
     def receive_states(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return the local states that supersede the sender's; none if the message is itself an answer.
+        """Return the local states that supersede those in the message; none if it is itself an answer.
 
         Args:
             now_ns: Monotonic time.
--- a/anisespool/membership/config.py
+++ b/anisespool/membership/config.py
@@ -24,16 +24,16 @@
         indirect_probes: Number of helpers that receive a ping-req; SWIM's k.
         suspicion_min_ns: Time from the start of the failed probe to DEAD with all `confirmations`.
         suspicion_max_ns: Time from the start of the failed probe to DEAD without confirmation.
-        confirmations: Number of independent reporters besides the first that reduces the time to the minimum.
+        confirmations: Number of reporters, besides the first, at which the time to DEAD is the minimum.
         max_reported_suspicion_age_ns: Cap on the age of a suspicion that another member reports.
         gossip_interval_ns: Time between two gossip rounds.
         urgent_gossip_interval_ns: Time between two gossip rounds while a suspicion or refutation is new.
         fanout: Number of members that receive each gossip round.
-        retransmit_multiplier: Transmissions of an update, as a multiple of log10 of the fleet's size.
+        retransmit_multiplier: Transmissions of an update, as a multiple of ceil(log10(fleet size + 1)).
         anti_entropy_interval_ns: Time between two bucket comparisons while views are settled.
         unsettled_period_ns: Time after a change of the view in which comparisons are more frequent.
         reconnect_interval_ns: Time between two rounds of pings to dead or unknown members.
-        pause_threshold_ns: Delay of a tick beyond which this process counts as paused.
+        pause_threshold_ns: Delay of a tick, after its due time, beyond which this process counts as paused.
         pause_grace_ns: Time after a pause in which this member raises no suspicion.
         max_broadcasts: Maximum number of queued updates.
         max_probes: Maximum number of this member's own probes in flight.
--- a/anisespool/membership/dissemination.py
+++ b/anisespool/membership/dissemination.py
@@ -22,7 +22,8 @@
 
 # A suspicion or refutation is urgent until this many datagrams have carried it.
 URGENT_UPDATE_DATAGRAMS = 3
-# Transmission limit of a further report of a suspicion, as most updates are such after many deaths.
+# Transmission limit of each report of a suspicion after the first; after many deaths most updates are such
+# reports.
 CONFIRMATION_DATAGRAMS = 4
 
 
@@ -49,10 +50,10 @@
 
 
 class BroadcastQueue:
-    """Holds one update per member, but one per reporter for a suspicion, as each report confirms it.
+    """Holds one update per member, or one per reporter of its suspicion, as reports confirm each other.
 
     Attributes:
-        dropped: Updates removed from the full queue before their last transmission.
+        dropped: Number of updates removed from the full queue before their last transmission.
     """
 
     def __init__(self, config: MembershipConfig, local_member: int) -> None:
@@ -71,7 +72,10 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a suspicion or refutation has been sent fewer than URGENT_UPDATE_DATAGRAMS times."""
+        """Whether a suspicion or refutation has been sent fewer than URGENT_UPDATE_DATAGRAMS times.
+
+        Every update with an incarnation above 0 counts as a refutation, since only refutations raise it.
+        """
         return any(
             broadcast.transmissions < URGENT_UPDATE_DATAGRAMS
             and (broadcast.update.state is MemberState.SUSPECT or broadcast.update.incarnation)
@@ -79,7 +83,7 @@
         )
 
     def add(self, update: MemberUpdate, suspected_at_ns: int = 0) -> None:
-        """Queue an update in place of those that it supersedes.
+        """Queue an update. A SUSPECT update replaces those it supersedes, another all about the member.
 
         Args:
             update: An update in any state; its reporter matters only if the state is SUSPECT.
@@ -121,7 +125,7 @@
         return key.reporter == NO_REPORTER or key.reporter == next(iter(self._reporters[key.member]))
 
     def _priority(self, key: BroadcastKey) -> tuple[bool, int, int, BroadcastKey]:
-        """Return the sort key: updates about this member, then least transmitted, then highest state.
+        """Return the sort key: updates about this member, then least transmitted, then DEAD, SUSPECT, others.
 
         The key is a plain tuple because hundreds are built for each datagram after many deaths.
         """
--- a/anisespool/membership/events.py
+++ b/anisespool/membership/events.py
@@ -52,14 +52,14 @@
 
 
 class SuspicionRefuted(MembershipEvent, frozen=True):
-    """This member refuted an update about itself with a higher incarnation."""
+    """This member refuted an update about itself; `incarnation` is its new one."""
 
     what: ClassVar[str] = "refuted"
     incarnation: int
 
 
 class ProtocolPaused(MembershipEvent, frozen=True):
-    """A tick was later than the pause threshold, so this process was paused."""
+    """A tick was late by more than the pause threshold, so this process was paused."""
 
     # `ms` is the length of the pause.
 
@@ -75,7 +75,7 @@
 
 
 class ViewChanged(MembershipEvent, frozen=True):
-    """The view of the members by state has changed."""
+    """The membership view has changed."""
 
     what: ClassVar[str] = "view"
     view: str
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -18,13 +18,14 @@
     """Return the messages of one round; called by the timer, at the start and after a pause.
 
     Args:
-        state: Its queue is consumed, and its gossip timer is set earlier if another round is urgent.
+        state: Updates are taken from its queue; its gossip timer is set earlier if another round is urgent.
         now_ns: Monotonic time.
     """
     queue = state.broadcasts
     if not queue:
         return []
-    # After many deaths the updates fill several rounds. At the ordinary interval, suspicions expire first.
+    # After many deaths the updates fill several rounds. At the ordinary interval, suspicions would expire
+    # before all updates are sent.
     is_long = len(queue) > MAX_UPDATES
     if queue.is_urgent or is_long:
         interval_ns = state.config.urgent_gossip_interval_ns * (LONG_QUEUE_INTERVAL_FACTOR if is_long else 1)
--- a/anisespool/membership/local_health.py
+++ b/anisespool/membership/local_health.py
@@ -1,7 +1,7 @@
 """Local health: a member lengthens its timeouts when its probes fail without evidence of a remote fault.
 
 This is Lifeguard's local health multiplier (Dadgar, Phillips, Currey, "Lifeguard", 2018; memberlist's
-awareness). It keeps a slow member from suspecting others because it received their answers too late. The
+awareness). It keeps a slow member from suspecting others whose answers it received too late. The
 share of failed probes also shows whether this member itself may be isolated.
 """
 
@@ -38,7 +38,7 @@
         self._answered: deque[bool] = deque(maxlen=WINDOW_PROBES)
 
     def record_success(self) -> None:
-        """Record an acknowledged probe, which improves the score by one level."""
+        """Record an acknowledged probe, which lowers the score by one level."""
         self._answered.append(True)
         self.score = max(0, self.score - 1)
 
@@ -54,7 +54,7 @@
             self.degrade()
 
     def degrade(self, levels: int = 1) -> None:
-        """Raise the score by some levels after an event which suggests that this member is slow."""
+        """Raise the score, up to MAX_SCORE_LEVEL, after an event which suggests that this member is slow."""
         self.score = min(MAX_SCORE_LEVEL, self.score + levels)
 
     @property
--- a/anisespool/membership/member_state.py
+++ b/anisespool/membership/member_state.py
@@ -54,10 +54,10 @@
 
     Attributes:
         member: Number in the fleet.
-        boot: Number of the member's start; a later start has a higher number.
+        boot: Start time of the member's process in ms, or a higher number taken by a refutation.
         incarnation: Number within the boot, which the member increments to refute a suspicion.
         state: The reported state.
-        reporter: The member that suspects it or declared it dead; NO_REPORTER otherwise.
+        reporter: The member that suspects `member` or declared it dead; NO_REPORTER otherwise.
         suspicion_age_units: Age of the suspicion, in units of SUSPICION_AGE_UNIT_NS.
     """
 
@@ -99,7 +99,7 @@
 
 
 def refutation(local: MemberUpdate, received: MemberUpdate) -> MemberUpdate | None:
-    """Return the update with which a live member refutes one about itself, or None if it need not refute.
+    """Return the update with which a live member refutes one about itself, or None if it need not or can't.
 
     The received update has a higher boot than the member if the member's clock was set back before a restart
     or a faulty member sent the update. The refutation exceeds that boot too; otherwise the update would
--- a/anisespool/membership/messages.py
+++ b/anisespool/membership/messages.py
@@ -24,7 +24,8 @@
     NACK = 4
     # The message carries updates only.
     GOSSIP = 5
-    # The message carries the digest of bucket `target`; a receiver with another one answers with its states.
+    # The message carries the digest of bucket `target`; a receiver whose digest differs answers with its
+    # states.
     BUCKET_DIGEST = 6
     # The message carries the sender's states in bucket `target`; `sequence` is a BucketStateSequence.
     BUCKET_STATE = 7
@@ -44,7 +45,7 @@
         kind: Purpose of the message.
         boot: The sender's boot.
         incarnation: The sender's incarnation.
-        sequence: Number that matches an ACK or a NACK with its probe.
+        sequence: Matches an ACK or a NACK with its probe; a BucketStateSequence in a BUCKET_STATE.
         target: A member's number or a bucket's index.
         digest: CRC-32 of the bucket's states in a BUCKET_DIGEST.
         updates: Updates about any members.
--- a/anisespool/membership/probe_order.py
+++ b/anisespool/membership/probe_order.py
@@ -42,7 +42,7 @@
 
     def next(self) -> int | None:
         """Return the next member to probe, or None if there is no candidate."""
-        for _ in range(2):
+        for _ in range(2):  # The rest of the current round, then a new round.
             while self._round:
                 member = self._round.pop()
                 if self._is_candidate(member) and not self._is_skipped(member):
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -1,6 +1,6 @@
 """Failure detection: direct pings, indirect pings through helpers, and pings on behalf of others.
 
-This is SWIM, section 3.1, with two additions from Lifeguard. A helper without an ACK sends a NACK, which
+This is SWIM, section 3.1, with two additions from Lifeguard. A helper answers a ping-req with a NACK, which
 shows that the fault is not in the probing member. A ping to a suspect carries the suspicion, so that the
 suspect can refute it at once (the buddy system).
 """
@@ -24,7 +24,7 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.updates import UpdateProcessor
 
-# Maximum number of dead or unknown members that are pinged in one round.
+# Maximum number of pings to dead or unknown members in one round.
 MAX_RECONNECT_PROBES = 4
 
 
@@ -72,14 +72,14 @@
             yield probe.fails_at_ns if probe.is_indirect else probe.indirect_at_ns
 
     def abandon(self) -> None:
-        """Drop all probes in flight without a suspicion, because ACKs were missed during a pause."""
+        """Drop all probes and relays after a pause, during which ACKs were missed; no target is suspected."""
         self._probes.clear()
         self.relays.clear()
 
     def tick(self, now_ns: int) -> list[Outgoing]:
         """Advance the probes in flight, and start a new one if the timer is due.
 
-        If a probe fails, its target is suspected and pinged once more with the suspicion.
+        If a probe fails, its target is pinged once more, with the suspicion if there is one.
 
         Args:
             now_ns: Monotonic time.
@@ -104,7 +104,8 @@
     def reconnect(self, now_ns: int) -> list[Outgoing]:
         """Return pings to random members that are dead or unknown; called by the timer.
 
-        After a partition nothing else makes its sides contact each other. Serf's reconnect does the same.
+        After a partition nothing else makes its sides contact each other. Serf's reconnect does the same. A
+        round has one ping, plus one for every BUCKET_MEMBERS absent members up to MAX_RECONNECT_PROBES.
 
         Args:
             now_ns: Monotonic time.
@@ -142,7 +143,9 @@
         return [Outgoing(sender, ack)]
 
     def receive_ping_req(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return a ping for the target and a NACK for the sender, or nothing at the maximum of relays.
+        """Return a ping for the target and a NACK for the sender, or nothing if the request is rejected.
+
+        It is rejected if its target is invalid or the maximum number of relays is in flight.
 
         The NACK is sent with the ping, not after a timeout as in Lifeguard: it shows at once that the path
         between sender and helper works.
@@ -156,7 +159,7 @@
         target = message.target
         if target == state.local.member or not 0 <= target < state.fleet_size:
             return []
-        if not self.relays.has_capacity(now_ns):
+        if not self.relays.ensure_capacity(now_ns):
             return []
         sequence = state.next_sequence()
         relay = Relay(
@@ -251,7 +254,7 @@
         # With many suspects, the network is cut or they are dead, and longer timeouts would not help.
         state.health.record_failure(is_fault_remote=probe.nack_received or state.suspicions.is_widespread)
         current = state.members.get(probe.target)
-        if current and current.state < MemberState.DEAD and now_ns >= state.suspicions.allowed_at_ns:
+        if current and current.state < MemberState.DEAD and now_ns >= state.suspicions.grace_ends_at_ns:
             state.stats.accusations += 1
             suspect = current._replace(
                 state=MemberState.SUSPECT,
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -142,8 +142,8 @@
         state = self._state
         self._restart_timers(now_ns)
         self._anti_entropy.start()
-        state.suspicions.allowed_at_ns = now_ns + state.config.probe_interval_ns
-        state.views.changed_at_ns = now_ns
+        state.suspicions.grace_ends_at_ns = now_ns + state.config.probe_interval_ns
+        state.view_cache.changed_at_ns = now_ns
         state.started_at_ns = now_ns
         state.broadcasts.add(state.local)
         return gossip(state, now_ns)
@@ -156,7 +156,7 @@
     def tick(self, now_ns: int) -> list[Outgoing]:
         """Run what is due: probes, expired suspicions, gossip, anti-entropy, reconnects.
 
-        A tick later than the pause threshold is treated as a pause of this process.
+        A tick that is late by more than the pause threshold is treated as a pause of this process.
 
         Args:
             now_ns: Monotonic time.
@@ -193,7 +193,7 @@
         current = state.members.get(sender)
         if current and message.boot < current.boot:
             # Either this is a late datagram of an earlier boot, or the sender restarted with its clock set
-            # back. In the second case the reply makes it take a higher boot; in the first it is superseded.
+            # back. In the second case the reply makes the sender take a higher boot; the first needs none.
             state.stats.ignored += 1
             return [state.reply_with_update(now_ns, sender, current)]
         local = state.local
@@ -249,7 +249,7 @@
         state.record_event(ProtocolPaused(pause_ns // NS_PER_MS))
         self._prober.abandon()
         state.health.degrade(PAUSE_PENALTY_LEVEL)
-        state.suspicions.allowed_at_ns = now_ns + state.config.pause_grace_ns
+        state.suspicions.grace_ends_at_ns = now_ns + state.config.pause_grace_ns
         state.suspicions.postpone(now_ns, pause_ns)
         self._restart_timers(now_ns)
         state.broadcasts.add(state.local)
@@ -260,7 +260,10 @@
         state.schedule.restart(now_ns, state.config.gossip_interval_ns, state.random_below)
 
     def _max_plausible_boot(self, now_ns: int) -> int:
-        """Return the highest accepted boot: one far in the future would exclude its member permanently."""
+        """Return the highest accepted boot: present time, from this member's boot and uptime, plus the skew.
+
+        A boot far in the future would exclude its member permanently.
+        """
         return (
             self._state.local.boot
             + max(0, now_ns - self._state.started_at_ns) // NS_PER_MS
@@ -273,7 +276,7 @@
         return not self.is_leaving and message.boot <= max_boot
 
     def _apply_sender(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Mark the sender as alive, or return its DEAD state for it to refute, if that has precedence."""
+        """Mark the sender as alive; if its DEAD state has precedence, return that state for it to refute."""
         alive = MemberUpdate(sender, message.boot, message.incarnation, MemberState.ALIVE)
         self._updates.apply(now_ns, alive)
         current = self._state.members.get(sender)
--- a/anisespool/membership/relays.py
+++ b/anisespool/membership/relays.py
@@ -13,9 +13,9 @@
 
     Attributes:
         requester: Member that sent the ping-req.
-        requester_sequence: The requester's sequence number, which the relayed ACK has.
+        requester_sequence: Sequence number of the ping-req, which the relayed ACK repeats.
         target: The pinged member.
-        expires_at_ns: Monotonic time from which the next ping-req removes the relay.
+        expires_at_ns: Monotonic time of expiry; expired relays are removed when a ping-req arrives.
     """
 
     requester: int
@@ -34,7 +34,7 @@
     def __len__(self) -> int:
         return len(self._relays)
 
-    def has_capacity(self, now_ns: int) -> bool:
+    def ensure_capacity(self, now_ns: int) -> bool:
         """Remove expired relays, and return whether one more relay is allowed.
 
         Args:
@@ -50,10 +50,10 @@
         self._relays[sequence] = relay
 
     def complete(self, sequence: int, sender: int) -> Relay | None:
-        """Remove the relay of an ACK and return it, or None if the sender of the ACK is not its target."""
+        """Remove the relay that an ACK completes; return it if the ACK is from its target, otherwise None."""
         relay = self._relays.pop(sequence, None)
         return relay if relay is not None and relay.target == sender else None
 
     def clear(self) -> None:
-        """Drop all relays, because their requesters no longer wait after a pause."""
+        """Drop all relays after a pause of this process, because their requesters have stopped waiting."""
         self._relays.clear()
--- a/anisespool/membership/service.py
+++ b/anisespool/membership/service.py
@@ -23,6 +23,7 @@
 # Boots are milliseconds since this time; 40 bits last for 34 years.
 BOOT_EPOCH_S = 1_700_000_000
 MIN_TICK_INTERVAL_S = 0.002
+# Delay before binding is retried, and before the next tick after an error.
 RETRY_S = 0.5
 # Delay after the last message, in which the socket's buffer empties.
 LINGER_S = 0.02
@@ -145,8 +146,8 @@
         view = self.protocol.view()
         if view.version != self._published_version:
             self._published_version = view.version
-            alive = view.alive | view.suspect
-            self._on_event(ViewChanged(format_ranges(alive), len(alive)))
+            active = view.alive | view.suspect
+            self._on_event(ViewChanged(format_ranges(active), len(active)))
             if self.on_view:
                 self.on_view(view)
 
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -32,7 +32,7 @@
     Attributes:
         accusations: Failed probes after which this member suspected the target.
         refutations: Updates about this member that it refuted.
-        pauses: Ticks that were later than the pause threshold.
+        pauses: Ticks that were late by more than the pause threshold.
         ignored: Messages and updates dropped because of an earlier or implausible boot or an unknown number.
     """
 
@@ -56,12 +56,12 @@
         suspicions: Members under suspicion.
         members: Current updates about the other members, by number; unknown members have none.
         schedule: When periodic jobs are due.
-        views: The view that the sidecar reads.
+        view_cache: Cache of the view that the sidecar reads.
         events: Events recorded since they were last taken.
         stats: Counts for the control socket.
-        reached_indirectly: Members whose last probe was acknowledged only through helpers: a path is cut.
+        reached_indirectly: Members whose last probe was acknowledged only through helpers, so a path is cut.
         started_at_ns: When this member started.
-        last_sequence: Sequence number of the last ping.
+        last_sequence: Sequence number of the last ping, for a probe or a relay.
     """
 
     config: MembershipConfig
@@ -73,7 +73,7 @@
     suspicions: SuspicionTable
     members: dict[int, MemberUpdate] = field(default_factory=dict)
     schedule: Schedule = field(default_factory=Schedule)
-    views: ViewCache = field(default_factory=ViewCache)
+    view_cache: ViewCache = field(default_factory=ViewCache)
     events: list[MembershipEvent] = field(default_factory=list)
     stats: ProtocolStats = field(default_factory=ProtocolStats)
     reached_indirectly: set[int] = field(default_factory=set)
@@ -148,4 +148,4 @@
 
     def view(self) -> MembershipView:
         """Return the current view; the same object until something changes."""
-        return self.views.current(self.local.member, self.members, self.fleet_size, self.health)
+        return self.view_cache.current(self.local.member, self.members, self.fleet_size, self.health)
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -24,7 +24,7 @@
 
     Attributes:
         incarnation_key: The suspected incarnation; a higher one ends the suspicion.
-        suspected_at_ns: When the first failed probe was sent, within the limit on reported ages.
+        suspected_at_ns: When the first failed probe was sent, as far as the limit on reported ages allows.
         reporters: Members that reported the suspicion; all but the first are confirmations.
     """
 
@@ -36,7 +36,7 @@
         """Return when the suspicion expires; the time falls from maximum to minimum with log(confirmations).
 
         Args:
-            config: The minimum, the maximum, and the number of confirmations that lead to the minimum.
+            config: Holds the minimum, the maximum, and the number of confirmations that leads to the minimum.
             multiplier: Local health multiplier, 1.0 or more; it applies to the part above the minimum.
         """
         confirmations = min(max(0, len(self.reporters) - 1), config.confirmations)
@@ -49,11 +49,11 @@
     """Suspicions by member. Times are monotonic ns.
 
     Attributes:
-        allowed_at_ns: Time before which this member raises no suspicion and none expires.
+        grace_ends_at_ns: Time before which this member raises no suspicion and none expires.
     """
 
     def __init__(self, config: MembershipConfig, health: LocalHealth, local_member: int) -> None:
-        self.allowed_at_ns = 0
+        self.grace_ends_at_ns = 0
         self._config = config
         self._health = health
         self._local_member = local_member
@@ -91,16 +91,16 @@
 
     @property
     def next_expiry_at_ns(self) -> int | None:
-        """When the first suspicion expires, or None without one."""
+        """When the earliest suspicion expires; None if there is none."""
         return min(map(self._expires_at_ns, self._suspicions.values()), default=None)
 
     def expired(self, now_ns: int) -> dict[int, Suspicion]:
-        """Return the suspicions that have expired, by member; none before `allowed_at_ns`.
+        """Return the suspicions that have expired, by member; none before `grace_ends_at_ns`.
 
         Args:
             now_ns: Monotonic time.
         """
-        if now_ns < self.allowed_at_ns:
+        if now_ns < self.grace_ends_at_ns:
             return {}
         return {
             member: suspicion
@@ -122,6 +122,7 @@
             suspicion.suspected_at_ns = max(suspicion.suspected_at_ns + pause_ns, earliest_at_ns)
 
     def _expires_at_ns(self, suspicion: Suspicion) -> int:
+        """Return when a suspicion expires; only those that this member reported depend on its health."""
         is_local = self._local_member in suspicion.reporters
         multiplier = self._health.timeout_multiplier if is_local else 1.0
-        return max(suspicion.expires_at_ns(self._config, multiplier), self.allowed_at_ns)
+        return max(suspicion.expires_at_ns(self._config, multiplier), self.grace_ends_at_ns)
--- a/anisespool/membership/transport.py
+++ b/anisespool/membership/transport.py
@@ -61,7 +61,7 @@
         """
         self.counts: Counter[TransportCounter | InvalidReason] = Counter()
         self._peers = list(peers)
-        self._numbers = {address: number for number, address in enumerate(peers)}
+        self._member_by_address = {address: number for number, address in enumerate(peers)}
         self._on_message = on_message
         self._limiter = RateLimiter(max_datagrams_per_s, time.monotonic())
         self._socket = _bound_socket(listen)
@@ -101,7 +101,7 @@
 
     def _receive(self, data: bytes, source: Address) -> None:
         """Handle one datagram; `source` is the socket module's tuple, which compares equal to an Address."""
-        sender = self._numbers.get(source)
+        sender = self._member_by_address.get(source)
         if sender is None:
             self.counts[TransportCounter.UNKNOWN_SENDER] += 1
             return
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -29,8 +29,8 @@
 from anisespool.membership.state import ProtocolState
 from anisespool.membership.suspicion import Suspicion
 
-# Expected number of early probes of a suspect for each confirmation that is required.
-PROBES_PER_CONFIRMATION_FACTOR = 3
+# Expected number of early probes of a suspect by the whole fleet, per required confirmation.
+EARLY_PROBES_PER_CONFIRMATION = 3
 
 
 class UpdateProcessor:
@@ -45,7 +45,7 @@
 
         Args:
             now_ns: Monotonic time.
-            update: An update about any member, including this one, with a checked number and boot.
+            update: An update about any member, including this one; its member and boot have been checked.
         """
         if update.member == self._state.local.member:
             self._refute(now_ns, update)
@@ -90,19 +90,20 @@
         state.broadcasts.add(answer)
 
     def _apply_suspicion(self, now_ns: int, report: MemberUpdate) -> None:
-        """Start a suspicion, or count the reporter as a further confirmation."""
+        """Handle a report that a member is SUSPECT or DEAD: start a suspicion, or add the reporter to it."""
         state = self._state
         current = state.members.get(report.member)
         if current is None:
             current = report._replace(state=MemberState.ALIVE, reporter=NO_REPORTER)
             state.members[report.member] = current
         reported = report.incarnation_key
-        is_same = reported == current.incarnation_key
-        if reported < current.incarnation_key or is_same and current.state >= MemberState.DEAD:
+        is_same_incarnation = reported == current.incarnation_key
+        if reported < current.incarnation_key or is_same_incarnation and current.state >= MemberState.DEAD:
             return
         suspicion = state.suspicions.get(report.member)
         if suspicion is None or suspicion.incarnation_key < reported:
             suspicion = self._begin_suspicion(now_ns, report)
+        # The first reporter, the required confirmations and one more; later reports are not disseminated.
         max_reporters = state.config.confirmations + 2
         if report.reporter not in suspicion.reporters and len(suspicion.reporters) < max_reporters:
             suspicion.reporters.add(report.reporter)
@@ -110,7 +111,7 @@
             state.expedite_gossip(now_ns)
 
     def _begin_suspicion(self, now_ns: int, report: MemberUpdate) -> Suspicion:
-        """Start a suspicion, backdated by the reported age; this is bounded as the reporter may be faulty."""
+        """Start a suspicion, backdated by the reported age up to a limit, as the reporter may be faulty."""
         state = self._state
         reported_age_ns = report.suspicion_age_units * SUSPICION_AGE_UNIT_NS
         age_ns = min(reported_age_ns, state.config.max_reported_suspicion_age_ns)
@@ -121,16 +122,16 @@
         return suspicion
 
     def _maybe_probe_next(self, now_ns: int, report: MemberUpdate) -> None:
-        """Probe the suspect next at random, so that a few members probe it although its turn is far away."""
+        """Probe the suspect next, with a low probability, so that only a few of the fleet probe it early."""
         state = self._state
         if state.suspicions.is_widespread or report.reporter == state.local.member:
             return
-        if state.random_below(state.fleet_size) < PROBES_PER_CONFIRMATION_FACTOR * state.config.confirmations:
+        if state.random_below(state.fleet_size) < EARLY_PROBES_PER_CONFIRMATION * state.config.confirmations:
             self._probe_order.put_first(report.member)
             state.schedule.bring_forward(Timer.PROBE, now_ns)
 
     def _set_state(self, now_ns: int, update: MemberUpdate) -> None:
-        """Replace the member's current update; queue it, and record a change of the view."""
+        """Replace a member's update; unless the member stays alive, queue it and mark the view changed."""
         state = self._state
         previous = state.members.get(update.member)
         state.members[update.member] = update
@@ -144,7 +145,7 @@
             state.broadcasts.add(update)
             if previous and previous.state is not MemberState.ALIVE:
                 state.expedite_gossip(now_ns)
-        state.views.mark_changed(now_ns)
+        state.view_cache.mark_changed(now_ns)
         self._record_event(previous, update)
 
     def _record_event(self, previous: MemberUpdate | None, update: MemberUpdate) -> None:
@@ -161,6 +162,6 @@
 
 
 def _is_still_alive(previous: MemberUpdate, update: MemberUpdate) -> bool:
-    """Return whether only the incarnation of a live member differs, which does not change the view."""
+    """Return whether both updates have the member alive in the same boot, so that the view is unchanged."""
     both_alive = previous.state is MemberState.ALIVE and update.state is MemberState.ALIVE
     return both_alive and previous.boot == update.boot
--- a/anisespool/membership/view.py
+++ b/anisespool/membership/view.py
@@ -68,7 +68,7 @@
     """Caches the last view until a member's state changes.
 
     Attributes:
-        version: Version of the next view.
+        version: Number of changes so far, which is the version of the current view.
         changed_at_ns: Monotonic time of the last change of a member's state.
     """
 
--- a/tests/membership/simulated_fleet.py
+++ b/tests/membership/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of membership protocols in virtual time; its network delays and loses messages and cuts paths."""
+"""A fleet of membership protocols in virtual time, on a network that can delay, lose and block messages."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class NetworkPath(NamedTuple):
-    """A direction in which messages travel."""
+    """The network path from one member to another, in this direction only."""
 
     sender: int
     recipient: int
 
 
-class Death(NamedTuple):
-    """A declaration of one member that another is dead."""
+class DeathDeclaration(NamedTuple):
+    """One member's declaration, true or false, that another is dead."""
 
     at_ns: int
     observer: int
@@ -34,7 +34,7 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A call due at an instant; `order` decides between calls due at the same instant."""
+    """A call due at `at_ns`; among calls due at the same time, the one with the lower `order` runs first."""
 
     at_ns: int
     order: int
@@ -47,11 +47,11 @@
 
     Attributes:
         members: Running members by number.
-        paused_until_ns: End of a member's pause, during which its messages wait, by member.
-        loss: Share of messages that are lost.
+        paused_until_ns: End of each member's last pause. Messages to a paused member wait for its end.
+        loss: Probability that a message is lost.
         is_cut: Whether messages from the first member to the second are lost.
         sent: Number of sent messages by member.
-        deaths: Declarations that a member is dead.
+        declared_deaths: All declarations that a member is dead.
     """
 
     def __init__(self, size: int, seed: int = 1, config: MembershipConfig | None = None) -> None:
@@ -65,11 +65,11 @@
         self.loss = 0.0
         self.is_cut: Callable[[int, int], bool] = lambda sender, recipient: False
         self.sent: Counter[int] = Counter()
-        self.deaths: list[Death] = []
+        self.declared_deaths: list[DeathDeclaration] = []
         self._order = count()
         self._queue: list[ScheduledCall] = []
         for member in range(size):
-            self.start(member, 10)
+            self.start(member, 10)  # The first boot; restarted members can have lower and higher ones.
 
     def start(self, member: int, boot: int) -> None:
         """Start a member, replacing a running one with that number."""
@@ -94,28 +94,30 @@
         """Record a member's declarations that others are dead, and deliver its messages."""
         for event in self.members[member].take_events():
             if isinstance(event, MemberDied):
-                self.deaths.append(Death(self.now_ns, member, event.member))
+                self.declared_deaths.append(DeathDeclaration(self.now_ns, member, event.member))
         for recipient, message in outgoing:
             self.sent[member] += 1
-            assert len(message.updates) <= 17
+            assert len(message.updates) <= 17  # As many as fit into one datagram.
             if not self.is_cut(member, recipient) and self.random.random() >= self.loss:
                 delay_ns = int(self.random.uniform(*DELAY_BOUNDS_MS) * NS_PER_MS)
                 self._call_at(self.now_ns + delay_ns, self._deliver, member, recipient, message)
 
-    def alive(self, member: int) -> frozenset[int]:
-        """Return the members that are alive or suspect in a member's view."""
-        view = self.members[member].view()
+    def active_members(self, observer: int) -> frozenset[int]:
+        """Return the members that are alive or suspect in the observer's view."""
+        view = self.members[observer].view()
         return view.alive | view.suspect
 
-    def has_converged(self, members: set[int], alive: set[int]) -> bool:
-        """Return whether exactly `alive` are alive or suspect in the views of all `members`."""
-        return all(self.alive(member) == alive for member in members)
+    def has_converged(self, observers: set[int], active: set[int]) -> bool:
+        """Return whether exactly `active` are alive or suspect in the views of all `observers`."""
+        return all(self.active_members(observer) == active for observer in observers)
 
-    def run_until_converged(self, members: set[int], alive: set[int], limit_s: float) -> float:
-        """Run until the views have converged, and return the seconds that took; fails at the limit."""
+    def run_until_converged(self, observers: set[int], active: set[int], limit_s: float) -> float:
+        """Run until the views have converged, and return the time taken, in s; fail after `limit_s`."""
         start_ns = self.now_ns
-        while not self.has_converged(members, alive):
-            assert self.now_ns < start_ns + limit_s * NS_PER_S, {n: sorted(self.alive(n)) for n in members}
+        while not self.has_converged(observers, active):
+            assert self.now_ns < start_ns + limit_s * NS_PER_S, {
+                n: sorted(self.active_members(n)) for n in observers
+            }
             self.run(0.1)
         return (self.now_ns - start_ns) / NS_PER_S
 
@@ -148,7 +150,7 @@
 
 
 def converged_fleet(size: int = 20, seed: int = 1) -> SimulatedFleet:
-    """Return a fleet in which all members are alive in all views."""
+    """Return a fleet in which all members are alive or suspect in all views."""
     fleet = SimulatedFleet(size, seed)
     fleet.run_until_converged(set(range(size)), set(range(size)), 5)
     return fleet
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -57,7 +57,7 @@
 
 def test_a_full_datagram_drops_the_payload_and_rejects_more_updates() -> None:
     assert codec.max_updates(0) == MAX_UPDATES == len(FULL.updates)
-    assert len(codec.encode(FULL)) > 256 - 13
+    assert len(codec.encode(FULL)) > 256 - 13  # An update takes 13 bytes.
     # Updates have priority over the payload.
     assert codec.decode(codec.encode(FULL._replace(payload=bytes(40)))).payload == b""
     with pytest.raises(ValueError, match="exceed a datagram of 256 bytes"):
@@ -66,9 +66,9 @@
 
 @settings(max_examples=300)
 @given(MESSAGES, st.integers(0, 255), st.integers(1, 255))
-def test_a_corrupted_byte_is_always_detected(message: Message, place: int, change: int) -> None:
+def test_a_corrupted_byte_is_always_detected(message: Message, offset: int, change: int) -> None:
     data = bytearray(codec.encode(message))
-    data[place % len(data)] ^= change
+    data[offset % len(data)] ^= change
     with pytest.raises(InvalidDatagramError) as error:
         codec.decode(bytes(data))
     assert error.value.reason.value in REASONS
@@ -96,9 +96,10 @@
 def test_an_invalid_header_with_a_valid_checksum_is_rejected_with_its_reason(
     changes: dict[int, int], reason: InvalidReason
 ) -> None:
+    """`changes` has the new value of a byte by its offset in the header."""
     data = bytearray(codec.encode(FULL)[:-4])
-    for place, value in changes.items():
-        data[place] = value
+    for offset, value in changes.items():
+        data[offset] = value
     datagram = bytes(data) + codec.CHECKSUM.pack(crc32(bytes(data)))
     with pytest.raises(InvalidDatagramError, match=reason.value) as error:
         codec.decode(datagram)
@@ -111,7 +112,7 @@
 @settings(max_examples=80, deadline=None)
 @given(st.lists(st.tuples(st.integers(-1, 12), MESSAGES, st.integers(0, 3)), max_size=60), st.integers(0, 9))
 def test_random_messages_violate_no_bound(conversation: list[tuple[int, Message, int]], seed: int) -> None:
-    """No error is raised, incarnations never decrease, and entries and replies are bounded."""
+    """No error is raised, incarnations never decrease, and the numbers of members and replies are bounded."""
     protocol = MembershipProtocol(3, 10, 10, Random(seed).randrange)
     now_ns = NS_PER_S
     protocol.start(now_ns)
--- a/tests/membership/test_member_state.py
+++ b/tests/membership/test_member_state.py
@@ -67,7 +67,7 @@
         (IncarnationKey(5, 2), Precedence(MAX_BOOT, 0, MemberState.DEAD), None),
     ],
 )
-def test_a_live_member_refutes_updates_about_itself(
+def test_a_live_member_refutes_only_superseding_updates_about_itself(
     local: IncarnationKey, received: Precedence, expected: IncarnationKey | None
 ) -> None:
     found = refutation(MemberUpdate(1, *local, MemberState.ALIVE), MemberUpdate(1, *received, reporter=3))
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -29,11 +29,11 @@
         fleet.kill(member)
     detected_s = fleet.run_until_converged(ALL - {3, 4}, ALL - {3, 4}, 5)
     assert detected_s > 1.0
-    assert {death.member for death in fleet.deaths} == {3, 4}
+    assert {death.member for death in fleet.declared_deaths} == {3, 4}
     fleet.start(3, 11)
     assert fleet.run_until_converged(ALL - {4}, ALL - {4}, 4) < 4
     assert fleet.members[0].members[3].boot == 11
-    # Late updates about the old boot do not declare the new one dead.
+    # Late updates about the old boot, from any member but 3 itself, do not declare the new one dead.
     for member in ALL - {3, 4}:
         sender = (member + 1) % 20 if member != 2 else 5
         fleet.members[member].receive(
@@ -53,6 +53,7 @@
 
 def test_a_boot_far_in_the_future_from_a_faulty_member_excludes_no_member(fleet: SimulatedFleet) -> None:
     observer = fleet.members[0]
+    # 25 h in ms exceed the accepted clock difference of 24 h.
     for boot in (MAX_BOOT, 10 + 25 * 3600 * 1000):
         observer.receive(fleet.now_ns, 19, gossip(MemberUpdate(4, boot, 0, MemberState.ALIVE)))
         observer.receive(fleet.now_ns, 19, gossip(boot=boot))
@@ -85,7 +86,7 @@
 ) -> None:
     fleet.is_cut = lambda sender, recipient: NetworkPath(sender, recipient) == path
     fleet.run(60)
-    assert not fleet.deaths
+    assert not fleet.declared_deaths
     assert fleet.has_converged(ALL, ALL)
 
 
@@ -95,9 +96,9 @@
 ) -> None:
     fleet.paused_until_ns[5] = fleet.now_ns + int(pause_s * NS_PER_S)
     fleet.run(pause_s + 0.001)
-    fleet.deaths.clear()
+    fleet.declared_deaths.clear()
     fleet.run(8)
-    assert not [death for death in fleet.deaths if death.observer == 5]
+    assert not [death for death in fleet.declared_deaths if death.observer == 5]
     assert fleet.has_converged(ALL, ALL)
     assert fleet.members[5].stats.pauses >= 1
 
@@ -107,9 +108,12 @@
     for second in range(0, 120, 2):
         fleet.paused_until_ns[second % 20] = fleet.now_ns + int(fleet.random.uniform(0.3, 2.0) * NS_PER_S)
         fleet.run(2)
+    # A declaration counts as true up to 1 s after the end of the declared member's last pause.
     paused_until_ns = fleet.paused_until_ns
     assert not [
-        death for death in fleet.deaths if paused_until_ns.get(death.member, 0) + NS_PER_S < death.at_ns
+        death
+        for death in fleet.declared_deaths
+        if paused_until_ns.get(death.member, 0) + NS_PER_S < death.at_ns
     ]
 
 
@@ -117,7 +121,7 @@
     fleet.emit(8, fleet.members[8].leave(fleet.now_ns))
     fleet.members.pop(8)
     assert fleet.run_until_converged(ALL - {8}, ALL - {8}, 2) < 1.5
-    assert not fleet.deaths
+    assert not fleet.declared_deaths
     assert 8 in fleet.members[0].view().left
 
 
@@ -128,14 +132,14 @@
     start_ns = fleet.now_ns
     observer = fleet.members[0]
     while (
-        not [death for death in fleet.deaths if death.observer == 0]
+        not [death for death in fleet.declared_deaths if death.observer == 0]
         and fleet.now_ns < start_ns + 5 * NS_PER_S
     ):
         key = observer.members[4].incarnation_key
         reports = (MemberUpdate(4, *key, MemberState.DEAD, reporter, 255) for reporter in range(5, 19))
         observer.receive(fleet.now_ns, 19, gossip(*reports))
         fleet.run(0.05)
-    first_death, *_ = [death for death in fleet.deaths if death.observer == 0]
+    first_death, *_ = [death for death in fleet.declared_deaths if death.observer == 0]
     config = MembershipConfig()
     assert first_death.at_ns - start_ns >= config.suspicion_min_ns - config.max_reported_suspicion_age_ns
 
--- a/tests/membership/test_relays.py
+++ b/tests/membership/test_relays.py
@@ -21,9 +21,9 @@
 def test_relays_are_bounded_and_expired_ones_are_removed() -> None:
     relays = RelayTable(MembershipConfig(max_relays=2))
     for sequence in (1, 2):
-        assert relays.has_capacity(999)
+        assert relays.ensure_capacity(999)
         relays.add(sequence, RELAY)
-    assert not relays.has_capacity(999)
+    assert not relays.ensure_capacity(999)
     assert len(relays) == 2
-    assert relays.has_capacity(1000)
+    assert relays.ensure_capacity(1000)
     assert not len(relays)
