--- a/anisespool/discovery/timeouts.py
+++ b/anisespool/discovery/timeouts.py
@@ -18,7 +18,8 @@
 # next attempt may fail in the same way.
 MAX_FAULT_BACKOFF_S = 2.0
 PUSH_RESPONSE_TIMEOUT_S = 1.0
-# Share of the drain grace period for connecting, and also for the pause before it.
+# Share of the drain grace period for connecting. The pause before it takes up to the same share, and both
+# together fit into the period.
 DRAIN_GRACE_SHARE = 0.4
 MIN_TIMEOUT_S = 0.05
 
@@ -28,7 +29,7 @@
 
     Attributes:
         connect_timeout_s: Time limit for establishing the connection.
-        response_timeout_s: Time limit from then to the head of the response or the first update.
+        response_timeout_s: Time limit from the established connection to the head of the response.
         max_backoff_s: Longest pause between two attempts.
     """
 
--- a/anisespool/membership/events.py
+++ b/anisespool/membership/events.py
@@ -68,7 +68,7 @@
 
 
 class NumberConflict(MembershipEvent, frozen=True):
-    """An update has a higher boot for this member: another process uses its number, or a clock went back."""
+    """An update has a higher boot for this member: another process has its number, or its clock went back."""
 
     what: ClassVar[str] = "double"
     boot: int
--- a/anisespool/membership/messages.py
+++ b/anisespool/membership/messages.py
@@ -7,7 +7,7 @@
 
 from anisespool.membership.member_state import MemberUpdate
 
-# Number of updates that fit into one datagram.
+# Number of updates that fit into one datagram without a payload, as `codec.max_updates(0)` computes it.
 MAX_UPDATES = 17
 
 
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -117,8 +117,8 @@
     now_ns = NS_PER_S
     protocol.start(now_ns)
     previous: dict[int, IncarnationKey] = {}
-    for sender, message, pause_fifths in conversation:
-        now_ns += pause_fifths * NS_PER_S // 5
+    for sender, message, pause_fifths_of_s in conversation:
+        now_ns += pause_fifths_of_s * NS_PER_S // 5
         replies = protocol.receive(now_ns, sender, message)
         assert len(replies) <= 4
         assert all(0 <= reply.recipient < 10 and reply.recipient != 3 for reply in replies)
