--- a/anisespool/discovery/timeouts.py
+++ b/anisespool/discovery/timeouts.py
@@ -14,10 +14,12 @@
 # Discovery sends an empty line every 2 s; TCP alone does not detect a peer that is cut off.
 SILENCE_TIMEOUT_S = 2.5
 INITIAL_BACKOFF_S = 0.05
-# Longest backoff while updates can't be applied, as the next update may fail in the same way.
-INVALID_UPDATE_BACKOFF_S = 2.0
+# Longest backoff after an attempt with a fault, and pause after an error in the handling of an attempt. The
+# next attempt may fail in the same way.
+MAX_FAULT_BACKOFF_S = 2.0
 PUSH_RESPONSE_TIMEOUT_S = 1.0
-# Share of the drain grace period for connecting, and also for the pause before it.
+# Share of the drain grace period for connecting. The pause before it takes up to the same share, and both
+# together fit into the period.
 DRAIN_GRACE_SHARE = 0.4
 MIN_TIMEOUT_S = 0.05
 
@@ -27,7 +29,7 @@
 
     Attributes:
         connect_timeout_s: Time limit for establishing the connection.
-        response_timeout_s: Time limit from then to the head of the response or the first update.
+        response_timeout_s: Time limit from the established connection to the head of the response.
         max_backoff_s: Longest pause between two attempts.
     """
 
@@ -36,8 +38,8 @@
     max_backoff_s: float
 
 
-# A discovery service shared by the fleet handles its calls in turn and ends each after 2 s itself. A call
-# that is abandoned sooner has waited in vain and is made again.
+# A discovery service shared by the fleet handles its calls in turn and ends each after 2 s itself. With a
+# shorter response timeout, calls would be abandoned while they wait, and repeated.
 POLL_TIMING = WatchTiming(connect_timeout_s=0.5, response_timeout_s=2.2, max_backoff_s=2.0)
 
 
@@ -45,7 +47,7 @@
     """Return the timing for the platform's discovery mode.
 
     With `push` an agent on this machine responds at once and at no cost. Its list counts as delivered whether
-    or not a watch is open, so the watch reconnects within the drain grace period to an agent that was away.
+    or not a watch is open, so after an outage the watch reconnects within the drain grace period.
     """
     if settings.discovery_mode is DiscoveryMode.POLL:
         return POLL_TIMING
