--- a/anisespool/balancer/__init__.py
+++ b/anisespool/balancer/__init__.py
@@ -1,4 +1,7 @@
-"""The decision module of a sidecar load balancer: admission, endpoint selection, retries."""
+"""The decision module of a sidecar load balancer: admission, endpoint selection, retries.
+
+Throughout the package, `now` is the current time in monotonic ns.
+"""
 
 from anisespool.balancer.balancer import Balancer
 from anisespool.balancer.interface import Settings, SettingsError
--- a/anisespool/balancer/admission/burst_capacity.py
+++ b/anisespool/balancer/admission/burst_capacity.py
@@ -29,10 +29,7 @@
 def total_capacity(offered_capacity: float, service_capacity: float, headroom: float) -> float:
     """Return how many requests may be open.
 
-    Args:
-        offered_capacity: Capacity shown by the rate of answers in time (offered_capacity.py).
-        service_capacity: Requests that the fleet could serve before the objective.
-        headroom: Share of the difference between the two that may be used; 0 or less: none.
+    `headroom` is the share of the difference between the two capacities that may be used; 0 or less: none.
     """
     if headroom > 0 and service_capacity > offered_capacity:
         return offered_capacity + (service_capacity - offered_capacity) * headroom
@@ -60,12 +57,11 @@
     def service_capacity(
         self, rate: float, time_left_ns: int, fleet: FleetCapacity, quota_factor: float
     ) -> float:
-        """Return how many requests may be open so that the last is answered within the time left.
+        """Return how many requests may be open so that the last is answered in the time left.
 
         Args:
             rate: Requests per ns that the fleet can serve.
             time_left_ns: Time until the latency objective.
-            fleet: Capacity of the fleet, with the requests of other sidecars that queue there.
             quota_factor: Share of the capacity that the request's tenant may use.
         """
         served = rate * time_left_ns * LIMITS.usable_objective_share
@@ -75,8 +71,6 @@
         """Return the share of the additional capacity that may be used: at most 1; 0 or less: none.
 
         Args:
-            now: Monotonic ns.
-            open_requests: Open requests of this sidecar, with their mean age.
             open_in_time: Open requests that have not missed their objectives, the new one included.
             rate: Requests per ns that the fleet can serve.
         """
--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -59,15 +59,9 @@
     def record_answer(
         self, now: int, class_index: int, latency_ns: int, in_time: bool, open_now: int, open_before: int
     ) -> None:
-        """Update the estimates with an answer.
+        """Update the estimates with an answer, which is `in_time` if it met its latency objective.
 
-        Args:
-            now: Monotonic ns.
-            class_index: Index of the request's class.
-            latency_ns: Latency of the attempt.
-            in_time: Whether the latency objective was met.
-            open_now: Requests that are open now.
-            open_before: Other requests that were open when this one arrived.
+        `open_before` other requests were open when this one arrived, and `open_now` are open now.
         """
         if in_time:
             self.offered.answer_rate.add(now)
@@ -94,12 +88,10 @@
         """Decide whether a request is shed: beyond the capacity, queues grow until every answer is late.
 
         Args:
-            now: Monotonic ns.
             observed_ns: Time since this sidecar received its first endpoint list.
             time_left_ns: Time until the request's latency objective.
-            exceeds_quota: Whether the request is beyond its tenant's share.
             open_requests: Open requests of this sidecar, this one included.
-            source: Called for a snapshot of the fleet and the open requests if the cached one is too old.
+            source: Called for a new snapshot if the cached one is too old.
         """
         quota_factor = OVER_QUOTA_CAPACITY_SHARE if exceeds_quota else 1.0
         ratio = self.queueing.ratio.read(now)
--- a/anisespool/balancer/admission/fleet_capacity.py
+++ b/anisespool/balancer/admission/fleet_capacity.py
@@ -21,15 +21,10 @@
 def fleet_capacity(
     ready: list[Endpoint], slowdowns: SlowdownEstimates, now: int, half_life_ns: int
 ) -> FleetCapacity:
-    """Return the endpoints' concurrency, and the requests of other sidecars that queue there.
+    """Return the capacity and queues of the ready endpoints.
 
     A burst slows down all endpoints, so only a slowdown above the lower quartile lowers the concurrency.
-
-    Args:
-        ready: The endpoints that attempts may be sent to.
-        slowdowns: Slowdown estimates of these endpoints.
-        now: Monotonic ns.
-        half_life_ns: Half-life of reported queues.
+    Reported queues decay with `half_life_ns`.
     """
     ready_slowdowns = [slowdowns.slowdown(endpoint, now) for endpoint in ready]
     lower_quartile = max(1.0, sorted(ready_slowdowns)[len(ready_slowdowns) // 4]) if ready_slowdowns else 1.0
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -14,7 +14,7 @@
 LIMIT_MARGIN_SHARE = 0.25  # share of the time left by uncontended answers that queueing may take
 LATENCY_SMOOTHING_FACTOR = 0.02  # typical latencies average over about 50 answers
 UNCONTENDED_GROWTH_FACTOR = 1e-4  # growth of the uncontended ratio with each answer: doubles in about 7,000
-INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32  # typical latency before the first answer
+INITIAL_TYPICAL_LATENCY_OBJECTIVES = 1 / 32
 FULL_SHEDDING_SHARE = 0.6  # part of the way from the limit to 1 at which all would be shed
 MAX_SHED_SHARE = 0.95  # some requests are always admitted, as latencies are observed on those alone
 
@@ -56,10 +56,8 @@
     def should_shed(self, queueing_ratio: float, quota_factor: float, random: Random) -> bool:
         """Return whether a request is shed; the probability grows with the ratio's excess over the limit.
 
-        Args:
-            queueing_ratio: Current queueing ratio, above the limit.
-            quota_factor: Below 1 for a tenant beyond its quota, whose requests are shed more often.
-            random: This sidecar's random generator.
+        The ratio has to be above the limit. `quota_factor` is below 1 for a tenant beyond its quota, whose
+        requests are shed more often.
         """
         excess = (queueing_ratio - self.limit) / (1 - self.limit)
         shed_share = min(excess / FULL_SHEDDING_SHARE, MAX_SHED_SHARE)
--- a/anisespool/balancer/admission/offered_capacity.py
+++ b/anisespool/balancer/admission/offered_capacity.py
@@ -28,9 +28,7 @@
     def capacity(self, rate: float, limit: float) -> float:
         """Return how many requests may be open: Little's law, a standard deviation, and a burst allowance.
 
-        Args:
-            rate: Answers that met their objectives, per ns.
-            limit: Share of the latency objective that answers may take.
+        Answers may take the share `limit` of the latency objective.
         """
         requests = rate * self._objective_ns * limit
         return requests + sqrt(requests) + BURST_ALLOWANCE_REQUESTS
--- a/anisespool/balancer/admission/peak_rate.py
+++ b/anisespool/balancer/admission/peak_rate.py
@@ -32,11 +32,7 @@
     def record_answer(self, now: int, open_requests: int, queueing_ratio: float, limit: float) -> None:
         """Count an answer that met its latency objective.
 
-        Args:
-            now: Monotonic ns.
-            open_requests: Requests that are open now.
-            queueing_ratio: Queueing ratio as last updated.
-            limit: Queueing ratio above which requests are shed.
+        Requests are shed if the queueing ratio is above `limit`.
         """
         self.recent_rate.add(now)
         recent_rate = self.recent_rate.value
--- a/anisespool/balancer/admission/retry_after.py
+++ b/anisespool/balancer/admission/retry_after.py
@@ -43,11 +43,9 @@
     def next_delay_ns(self, now: int, excess_ns: float, rate: float, backlog_ns: float = 0.0) -> int:
         """Return a client's Retry-After; 0: none.
 
-        Clients return one after another once the excess is worked off; where most recent requests were
-        rejected, once all open requests are worked off.
+        Where most recent requests were rejected, clients return once all open requests are worked off.
 
         Args:
-            now: Monotonic ns.
             excess_ns: Time in which the requests beyond the capacity are worked off.
             rate: Requests served per ns.
             backlog_ns: Time in which all open requests are worked off.
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -63,8 +63,6 @@
         """Update the estimates with the latency of an attempt.
 
         Args:
-            now: Monotonic ns.
-            sample: Latency of the attempt.
             queueing_ratio: Queueing ratio, this sample included.
             concurrency: Requests that the fleet serves at a time, by the last snapshot; 0: not known.
         """
--- a/anisespool/balancer/admission/tenant_quota.py
+++ b/anisespool/balancer/admission/tenant_quota.py
@@ -28,11 +28,6 @@
 
         The probability is the part of the tenant's rate above QUOTA_TOLERANCE_FACTOR times the rate of its
         share, given the rates of the other tenants.
-
-        Args:
-            tenant: Index of the tenant.
-            tenants: All tenants, with their shares from 0 to 1.
-            now: Monotonic ns.
         """
         if tenant >= len(self._rates):
             return False
--- a/anisespool/balancer/attempt.py
+++ b/anisespool/balancer/attempt.py
@@ -10,7 +10,7 @@
 
     Attributes:
         expected_latency_ns: Expected latency of the request when the attempt was sent.
-        in_flight_when_sent: Attempts of this sidecar then in flight at the endpoint, this one included.
+        in_flight_when_sent: This sidecar's attempts then in flight there, this one included.
         may_have_executed: False once an outcome proves that the endpoint did not execute the attempt.
     """
 
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -46,7 +46,7 @@
     The caller passes each event to handle() and carries out the returned actions in order.
 
     Attributes:
-        settings: The settings; only the tenants' shares may be replaced later.
+        settings: Only the tenants' shares may be replaced later.
         now: Time of the event being handled, monotonic ns.
         pending: Requests that are open or still have an attempt in flight, by id.
         open_requests: Number of requests that are neither answered nor given up by their clients.
@@ -95,7 +95,7 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Handle an event at `now` (monotonic ns), and return the actions to carry out, in order."""
+        """Handle an event, and return the actions to carry out, in order."""
         self.now = now
         self._actions = []
         self._handlers[type(event)](event)
@@ -175,7 +175,6 @@
             self._schedule_recheck(request)
 
     def _turn(self, request: PendingRequest) -> Turn:
-        """Return how long an ordered request may still wait, and how long it has to."""
         expected_ns = self.estimates.class_latencies.expected_latency_ns(request.event)
         queued_before = self.ordering.position(request)
         pause_ns = self.ordering.pause_ns(request, self.now)
@@ -184,7 +183,6 @@
         return Turn(useful_ns, useful_ns if queued_before else pause_ns)
 
     def _schedule_recheck(self, request: PendingRequest) -> None:
-        """Log that no endpoint could be selected, and set a timer to try again."""
         self._actions += self._log.no_eligible_endpoint(self.now, len(self.endpoints.ready))
         time_left_ns = request.deadlines.deadline_at - self.now
         self._wait(request, recheck_delay_ns(request.request_class.target_ns, time_left_ns))
--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -33,11 +33,7 @@
     ) -> None:
         """Set the instants of a request that arrives at `now`.
 
-        Args:
-            event: Arrival of the request, with the time until its client gives up and its work hint.
-            request_class: Class of the request, which sets the objective and the value of a late answer.
-            waited_ns: Time that the client spent on earlier attempts (retry/client_retries.py).
-            now: Monotonic ns.
+        Its client spent `waited_ns` on earlier attempts (retry/client_retries.py).
         """
         stretch_ns = int(request_class.objective_stretch * (event.work_hint_ns or 0))
         target_ns = request_class.target_ns + stretch_ns
@@ -53,7 +49,6 @@
         """Return how long an ordered request may still wait for its turn; 0 or less: it gives up now.
 
         Args:
-            now: Monotonic ns.
             queued_before: Earlier requests with the same ordering key. A stuck one would make all behind it
                 late, so each gives up while it can still be answered elsewhere.
             expected_latency_ns: Expected latency, assumed for each of the earlier requests.
@@ -67,10 +62,5 @@
 
 
 def recheck_delay_ns(target_ns: int, time_left_ns: int) -> int:
-    """Return the delay until the next check for an eligible endpoint, where there was none.
-
-    Args:
-        target_ns: The latency objective of the request's class.
-        time_left_ns: Time until the request's deadline.
-    """
+    """Return the delay until the next check for an eligible endpoint, at most until the deadline."""
     return min(target_ns * RECHECK_INTERVAL_OBJECTIVE_PERCENT // 100, time_left_ns)
--- a/anisespool/balancer/estimates/class_latency.py
+++ b/anisespool/balancer/estimates/class_latency.py
@@ -15,7 +15,7 @@
     """Exponentially weighted moving averages of the latencies and work hints of answered requests, by class.
 
     Attributes:
-        typical_latency_ns: Typical latency of each class, by class index.
+        typical_latency_ns: Typical latency by class index.
     """
 
     def __init__(self, classes: tuple[api.RequestClass, ...]) -> None:
--- a/anisespool/balancer/estimates/decaying_value.py
+++ b/anisespool/balancer/estimates/decaying_value.py
@@ -19,7 +19,7 @@
         self.updated_at = 0  # monotonic ns
 
     def read(self, now: int) -> float:
-        """Return the value as of `now` (monotonic ns)."""
+        """Return the value as of `now`."""
         if now != self.updated_at:
             self.value *= exp2((self.updated_at - now) / self.half_life_ns)
             self.updated_at = now
--- a/anisespool/balancer/estimates/load.py
+++ b/anisespool/balancer/estimates/load.py
@@ -15,7 +15,7 @@
 
 
 class LoadEstimates:
-    """The effective load of each endpoint, from load reports and gossip."""
+    """Effective loads, from load reports and gossip."""
 
     def __init__(self, settings: api.Settings, half_life_ns: int, concurrency: ConcurrencyEstimator) -> None:
         columns = settings.load_report_columns
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -19,8 +19,8 @@
     weight: float  # share of the next requests of the first class, 0 to 1
     slowdown: float  # ratio of response times to expected latencies
     queue: float  # queue length in the last load report
-    in_flight: int  # attempts of this sidecar in flight at the endpoint
-    warmup_remaining_ns: int  # time until the endpoint is warm; 0: it is warm
+    in_flight: int  # this sidecar's attempts in flight there
+    warmup_remaining_ns: int  # 0: the endpoint is warm
 
 
 class BalancerView(NamedTuple):
@@ -32,10 +32,7 @@
 
 
 def inspect(balancer: Balancer, now: int, limit: int) -> BalancerView:
-    """Return the module's state as of `now` (monotonic ns), with at most `limit` endpoints.
-
-    The module's time advances to `now`.
-    """
+    """Return the module's state with at most `limit` endpoints; the module's time advances to `now`."""
     balancer.now = max(balancer.now, now)
     shares = _selection_shares(balancer)
     views = []
@@ -72,10 +69,7 @@
 
 
 def set_tenant_shares(balancer: Balancer, shares: dict[int, float]) -> Settings:
-    """Replace the shares of tenants, by tenant index, and return the new settings.
-
-    The new shares apply from the next event on.
-    """
+    """Replace tenants' shares, by index, from the next event on; return the new settings."""
     tenants = [
         Tenant(shares.get(n, tenant.share), tenant.quota_per_s)
         for n, tenant in enumerate(balancer.settings.tenants)
--- a/anisespool/balancer/outcomes.py
+++ b/anisespool/balancer/outcomes.py
@@ -58,14 +58,7 @@
     ) -> bool:
         """Record an attempt's latency, and return whether it was a sample of its endpoint's slowdown.
 
-        A cancelled attempt is a sample only if it had already exceeded the endpoint's slowdown.
-
-        Args:
-            request: The request of the attempt.
-            attempt: The attempt.
-            event: Outcome of the attempt.
-            slowdown: Slowdown of the endpoint before this outcome.
-            now: Monotonic ns.
+        A cancelled attempt is a sample only if it had already exceeded the endpoint's previous `slowdown`.
         """
         latency_ns = float(event.latency_ns)
         if is_failure(event.status):  # a fast failure is not a fast answer
--- a/anisespool/balancer/resubscribe.py
+++ b/anisespool/balancer/resubscribe.py
@@ -14,9 +14,7 @@
     Without a subscription, this sidecar misses changes. It may then send requests to removed endpoints, which
     breaks a rule.
 
-    Args:
-        allowed_ns: The setting `resubscribe_within_ns`.
-        random: This sidecar's random number generator.
+    `allowed_ns` is the setting `resubscribe_within_ns`.
     """
     share = random.uniform(MIN_RESUBSCRIBE_DELAY_SHARE, MAX_RESUBSCRIBE_DELAY_SHARE)
     return int(allowed_ns * share)
--- a/anisespool/balancer/retry/idempotency.py
+++ b/anisespool/balancer/retry/idempotency.py
@@ -10,12 +10,7 @@
 
 
 def may_retry(request_class: RequestClass, may_have_executed: bool) -> bool:
-    """Return whether this sidecar may send the request again, within its deduplication scope and window.
-
-    Args:
-        request_class: The class of the request.
-        may_have_executed: Whether an earlier attempt may have been executed.
-    """
+    """Return whether this sidecar may send the request again, within its deduplication scope and window."""
     return not may_have_executed or request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
 
 
@@ -24,10 +19,6 @@
 
     An idempotency key suffices only if all endpoints deduplicate it, as the client's next attempt may reach
     any of them.
-
-    Args:
-        request_class: The class of the request.
-        may_have_executed: Whether an earlier attempt may have been executed.
     """
     if not may_have_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/anisespool/balancer/selection/eligibility.py
+++ b/anisespool/balancer/selection/eligibility.py
@@ -21,13 +21,7 @@
         self.max_transit_ns = settings.connect_timeout_ns + clock_ns + settings.answer_slack_ns
 
     def eligible(self, request: PendingRequest, subset: list[Endpoint], now: int) -> list[Endpoint]:
-        """Return the endpoints of the subset that may get the request's next attempt; there may be none.
-
-        Args:
-            request: The request, with its earlier attempts.
-            subset: The ready endpoints that this sidecar uses.
-            now: Monotonic ns.
-        """
+        """Return the endpoints of the subset that may get the request's next attempt; there may be none."""
         may_have_executed = request.possibly_executed()
         if may_have_executed and request.request_class.idempotency is Idempotency.WITH_KEY:
             # Outside the deduplication scope and window, a retry may execute the request a second time.
--- a/anisespool/balancer/selection/key_affinity.py
+++ b/anisespool/balancer/selection/key_affinity.py
@@ -12,10 +12,7 @@
 def affine_endpoint(settings: Settings, key: int, candidates: list[Endpoint]) -> Endpoint | None:
     """Return the endpoint that all sidecars of a zone prefer for a key, by rendezvous hashing, or None.
 
-    Args:
-        settings: The settings that enable key affinity and name the sidecar's zone.
-        key: The request's key; 0: none.
-        candidates: Eligible endpoints. Only those in the local zone are considered, if there are any.
+    Only candidates in the local zone are considered, if there are any. The key 0 stands for none.
     """
     if not key or not settings.key_affinity:
         return None
--- a/anisespool/balancer/selection/subsetting.py
+++ b/anisespool/balancer/selection/subsetting.py
@@ -27,9 +27,7 @@
 
     A subset within the local zone would leave the sidecar without a working endpoint if that zone fails.
 
-    Args:
-        endpoints: Endpoints in any order.
-        local_zone: The sidecar's zone if requests to other zones have a cost, else None.
+    `local_zone` is the sidecar's zone if requests to other zones have a cost, else None.
     """
     ranked = sorted(endpoints, key=lambda e: e.rank)
     if local_zone is None:
--- a/anisespool/balancer/selection/warmup_limiter.py
+++ b/anisespool/balancer/selection/warmup_limiter.py
@@ -31,7 +31,7 @@
         self._initial_rate = INITIAL_WARMUP_REQUESTS * RATE_NORMALIZATION_FACTOR / self.sent.half_life_ns
 
     def allows(self, now: int, expected_latency_ns: float) -> bool:
-        """Return whether a request with this expected latency may be sent at `now` (monotonic ns)."""
+        """Return whether a request with this expected latency may be sent now."""
         initial = self._initial_rate * expected_latency_ns
         allowed = self.allowance * self.completed.read(now)
         # The quotient is the rate that this request would add.
--- a/anisespool/balancer/selection/weights.py
+++ b/anisespool/balancer/selection/weights.py
@@ -54,11 +54,7 @@
     ) -> Endpoint | None:
         """Return a random candidate by weight, or None if the choice is to send to none now.
 
-        Args:
-            request: The request to send.
-            candidates: Eligible endpoints, at least one.
-            expected_latency_ns: Expected latency of the request.
-            now: Monotonic ns.
+        There has to be at least one candidate.
         """
         weights = self.weights(request, candidates, expected_latency_ns, now)
         return self._random.choices([*candidates, None], [*weights.by_candidate, weights.no_send])[0]
--- a/anisespool/balancer/settings.py
+++ b/anisespool/balancer/settings.py
@@ -25,7 +25,6 @@
         overload_multiple: A warming endpoint that is sent more than this multiple of its capacity fails.
         overload_window_ns: Window in which that limit applies.
         fleet_size: Number of sidecars.
-        self_index: Index of this sidecar.
         answer_slack_ns: Tolerance on a request's deadline for its final answer.
         ordering_settle_ns: Pause of an ordering key after an attempt that may still be executing.
         resubscribe_within_ns: Longest time allowed without a subscription to discovery.
--- a/anisespool/balancer/settings_names.py
+++ b/anisespool/balancer/settings_names.py
@@ -161,11 +161,7 @@
 
 
 def read_settings(raw: dict[str, Any]) -> dict[str, Any]:
-    """Return the fields of `Settings` from the platform's JSON.
-
-    Raises:
-        SettingsError: A key is missing or has a wrong value.
-    """
+    """Return the fields of `Settings` from the platform's JSON, or raise SettingsError."""
     root = ObjectReader(raw, "")
     readers = {section: root.child(section.key, section.is_required) for section in SECTIONS}
     return _read(SETTING_NAMES, {ROOT: root, **readers})
--- a/tests/support.py
+++ b/tests/support.py
@@ -96,15 +96,12 @@
     def update_endpoints(
         self, listings: list[api.EndpointListing], kind: api.EndpointListKind = api.EndpointListKind.DELTA
     ) -> list[api.Action]:
-        """Pass an endpoint list or a delta to the balancer."""
         return self.handle(api.EndpointListUpdate(1, kind, tuple(listings)))
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Pass an event to the balancer at the current time."""
         return self.balancer.handle(self.now, event)
 
     def endpoint(self, number: int) -> Endpoint:
-        """Return the balancer's state of an endpoint."""
         return self.balancer.endpoints.by_id[number]
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
@@ -145,7 +142,6 @@
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
-    """Return the attempts among the actions."""
     return [a for a in actions if isinstance(a, api.Send)]
 
 
@@ -168,5 +164,4 @@
 
 
 def share(chosen: list[int], endpoint: int) -> float:
-    """Return the fraction of the choices that went to `endpoint`."""
     return chosen.count(endpoint) / len(chosen)
