--- a/anisespool/discovery/drains.py
+++ b/anisespool/discovery/drains.py
@@ -72,7 +72,6 @@
 
         Args:
             now_ns: Monotonic time.
-            endpoint_id: The endpoint's id in the list.
             started_ns: Start time of the endpoint's process in the list.
             listed_state: The endpoint's state in the list.
             revision: The list's revision.
--- a/anisespool/discovery/update_stream.py
+++ b/anisespool/discovery/update_stream.py
@@ -34,7 +34,6 @@
         Args:
             address: Address of the discovery service.
             revision: Revision after which updates are requested; 0 requests the complete list.
-            timing: Timeouts of the attempt.
             apply_updates: Takes the JSON documents that arrived together, in order. Returns whether to
                 continue.
         """
--- a/anisespool/discovery/watch.py
+++ b/anisespool/discovery/watch.py
@@ -41,7 +41,6 @@
             names: Indexes of the names in the settings, used to parse updates.
             revision: Revision of the last update that has already been applied.
             on_update: Applies an update. If it raises an error, the update counts as not applied.
-            timing: Timeouts and backoff.
         """
         self.first_attempt_done = asyncio.Event()
         self._address = address
--- a/anisespool/membership/anti_entropy.py
+++ b/anisespool/membership/anti_entropy.py
@@ -23,7 +23,7 @@
 
 
 class AntiEntropy:
-    """Compares each bucket once after the start, then random buckets."""
+    """Compares each bucket once after the start, then random buckets. Times are monotonic ns."""
 
     def __init__(self, state: ProtocolState) -> None:
         self._state = state
@@ -39,9 +39,6 @@
         """Return bucket digests, each addressed to a random member; called by the timer and after a pause.
 
         The next comparison is sooner while initial buckets are left or if the view changed recently.
-
-        Args:
-            now_ns: Monotonic time.
         """
         state = self._state
         initial = self._initial_buckets
@@ -58,13 +55,7 @@
         return outgoing
 
     def receive_digest(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return the bucket's states for the sender if the digests differ, in as many messages as needed.
-
-        Args:
-            now_ns: Monotonic time.
-            sender: Number of the member that sent the digest.
-            message: A BUCKET_DIGEST message.
-        """
+        """Return the bucket's states for the sender if the digests differ, in as many messages as needed."""
         bucket = message.target
         if not self._is_bucket(bucket) or message.digest == self.digest(bucket):
             return []
@@ -79,8 +70,6 @@
         """Return the local states that supersede those in the message; none if it is itself an answer.
 
         Args:
-            now_ns: Monotonic time.
-            sender: Number of the member that sent the states.
             message: A BUCKET_STATE message whose updates have already been applied.
         """
         bucket = message.target
@@ -98,11 +87,7 @@
         return [Outgoing(sender, reply._replace(updates=tuple(newer[:MAX_UPDATES])))]
 
     def digest(self, bucket: int) -> int:
-        """Return the CRC-32 of a bucket's states, including this member's but without reporters.
-
-        Args:
-            bucket: Index of the bucket.
-        """
+        """Return the CRC-32 of a bucket's states, including this member's but without reporters."""
         text = ";".join(
             f"{update.member},{update.boot},{update.incarnation},{update.state:d}"
             for update in self._updates(bucket)
--- a/anisespool/membership/probing.py
+++ b/anisespool/membership/probing.py
@@ -2,7 +2,7 @@
 
 This is SWIM, section 3.1, with two additions from Lifeguard. A helper answers a ping-req with a NACK, which
 shows that the fault is not in the probing member. A ping to a suspect carries the suspicion, so that the
-suspect can refute it at once (the buddy system).
+suspect can refute it at once (the buddy system). Times are monotonic ns.
 """
 
 from __future__ import annotations
@@ -30,16 +30,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in flight; times are monotonic ns.
+    """A probe in flight.
 
     Attributes:
-        target: The probed member.
         sequence: Sequence number of its pings.
         sent_at_ns: When the first ping was sent.
         indirect_at_ns: When ping-reqs are sent to helpers.
         fails_at_ns: When the target is suspected, unless an ACK has arrived.
         is_indirect: Whether ping-reqs have been sent.
-        nack_received: Whether a helper has sent a NACK.
     """
 
     target: int
@@ -80,12 +78,6 @@
         """Advance the probes in flight, and start a new one if the timer is due.
 
         If a probe fails, its target is pinged once more, with the suspicion if there is one.
-
-        Args:
-            now_ns: Monotonic time.
-
-        Returns:
-            Pings and ping-reqs to send.
         """
         outgoing: list[Outgoing] = []
         for probe in list(self._probes.values()):
@@ -106,9 +98,6 @@
 
         After a partition nothing else makes its sides contact each other. Serf's reconnect does the same. A
         round has one ping, plus one for every BUCKET_MEMBERS absent members up to MAX_RECONNECT_PROBES.
-
-        Args:
-            now_ns: Monotonic time.
         """
         state = self._state
         absent = [
@@ -130,13 +119,7 @@
         return outgoing
 
     def receive_ping(self, now_ns: int, sender: int, message: Message) -> list[Outgoing]:
-        """Return the ACK for a ping, or nothing if another member is its target.
-
-        Args:
-            now_ns: Monotonic time.
-            sender: Number of the member that pinged.
-            message: A PING message.
-        """
+        """Return the ACK for a ping, or nothing if another member is its target."""
         if message.target != self._state.local.member:
             return []
         ack = self._state.compose(now_ns, MessageKind.ACK, message.sequence, message.target)
@@ -149,11 +132,6 @@
 
         The NACK is sent with the ping, not after a timeout as in Lifeguard: it shows at once that the path
         between sender and helper works.
-
-        Args:
-            now_ns: Monotonic time.
-            sender: Number of the member that requests the ping.
-            message: A PING_REQ message.
         """
         state = self._state
         target = message.target
@@ -177,9 +155,7 @@
         """Complete a probe of this member, or return the ACK to relay for another member's probe.
 
         Args:
-            now_ns: Monotonic time.
             sender: Number of the member that sent the ACK: the target or a helper.
-            message: An ACK message.
         """
         self._succeed(sender, message)
         relay = self.relays.complete(message.sequence, sender)
--- a/anisespool/membership/protocol.py
+++ b/anisespool/membership/protocol.py
@@ -58,7 +58,6 @@
         """Create a member that sends nothing before `start`.
 
         Args:
-            member: The member's number.
             boot: Start time of the process in ms, so that a later start has a higher boot.
             fleet_size: Number of configured members.
             random_below: Takes n and returns a random integer from 0 to n - 1.
@@ -134,11 +133,7 @@
         return self._state.view()
 
     def start(self, now_ns: int) -> list[Outgoing]:
-        """Start the timers, and return messages that announce this member to a few others.
-
-        Args:
-            now_ns: Monotonic time.
-        """
+        """Start the timers, and return messages that announce this member to a few others."""
         state = self._state
         self._restart_timers(now_ns)
         self._anti_entropy.start()
@@ -157,12 +152,6 @@
         """Run what is due: probes, expired suspicions, gossip, anti-entropy, reconnects.
 
         A tick that is late by more than the pause threshold is treated as a pause of this process.
-
-        Args:
-            now_ns: Monotonic time.
-
-        Returns:
-            Messages to send.
         """
         if self.is_leaving:
             return []
@@ -178,12 +167,8 @@
         """Apply a message's updates and return the replies; an implausible message is counted and dropped.
 
         Args:
-            now_ns: Monotonic time.
             sender: Number of the member that has the datagram's source address.
             message: A decoded message whose numbers and boots are unchecked.
-
-        Returns:
-            Messages to send.
         """
         state = self._state
         max_boot = self._max_plausible_boot(now_ns)
@@ -209,9 +194,6 @@
         """Return messages that announce this member's shutdown to a few others, which disseminate it.
 
         Afterwards `tick` and `receive` return nothing.
-
-        Args:
-            now_ns: Monotonic time.
         """
         state = self._state
         state.local = state.local._replace(state=MemberState.LEFT)
--- a/anisespool/membership/relays.py
+++ b/anisespool/membership/relays.py
@@ -35,11 +35,7 @@
         return len(self._relays)
 
     def ensure_capacity(self, now_ns: int) -> bool:
-        """Remove expired relays, and return whether one more relay is allowed.
-
-        Args:
-            now_ns: Monotonic time.
-        """
+        """Remove expired relays, and return whether one more relay is allowed."""
         expired = [sequence for sequence, relay in self._relays.items() if relay.expires_at_ns <= now_ns]
         for sequence in expired:
             del self._relays[sequence]
--- a/anisespool/membership/report.py
+++ b/anisespool/membership/report.py
@@ -33,24 +33,20 @@
 ):
     """Fields of the response; `rename` maps these names to the keys on the socket.
 
+    Members are given by number.
+
     Attributes:
         number: This member's number in the fleet.
-        boot: This member's boot.
-        incarnation: This member's incarnation.
         view_version: Number that is incremented with each change of the view.
         age_ms: Time since the last change of the view.
-        alive: Numbers of the members that are alive.
-        suspect: Numbers of the members under suspicion.
-        dead: Numbers of the members declared dead.
-        reached_indirectly: Numbers of live or suspect members last acknowledged only through helpers.
-        left: Numbers of the members that announced their shutdown.
-        unknown: Numbers of the members without any update so far.
+        reached_indirectly: Live or suspect members last acknowledged only through helpers.
+        left: Members that announced their shutdown.
+        unknown: Members without any update so far.
         alive_min: Lower bound on the number of live members.
         alive_max: Upper bound on the number of live members.
         is_isolated: Whether this member may itself be cut off from the others.
         failed_probes: Failures among this member's last probes.
         health_score: This member's health score; 0 is healthy.
-        stats: Protocol counters.
         datagrams: Datagram counters by name (`TransportCounter`, `InvalidReason`).
     """
 
@@ -78,7 +74,6 @@
     """Return the present state of a protocol and the transport's counters.
 
     Args:
-        protocol: This member's protocol.
         datagrams: Counters by their names on the control socket.
         now_ns: Monotonic time.
     """
--- a/anisespool/membership/schedule.py
+++ b/anisespool/membership/schedule.py
@@ -25,7 +25,6 @@
         """Set each timer to a random time, so that members that start together do not send together.
 
         Args:
-            now_ns: Monotonic time.
             spread_ns: Length of the period after `now_ns` in which the times lie.
             random_below: Takes n and returns a random integer from 0 to n - 1; called in the order of timers.
         """
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -47,20 +47,14 @@
     """One member's state; times are monotonic ns.
 
     Attributes:
-        config: The protocol's parameters.
         fleet_size: Number of configured members, which are numbered from 0.
         random_below: The only source of randomness.
         local: This member's own state, as it announces it.
         health: The health score, which lengthens this member's timeouts.
         broadcasts: Updates that are being disseminated.
-        suspicions: Members under suspicion.
         members: Current updates about the other members, by number; unknown members have none.
-        schedule: When periodic jobs are due.
-        view_cache: Cache of the view that the sidecar reads.
         events: Events recorded since they were last taken.
-        stats: Counts for the control socket.
         reached_indirectly: Members whose last probe was acknowledged only through helpers, so a path is cut.
-        started_at_ns: When this member started.
         last_sequence: Sequence number of the last ping, for a probe or a relay.
     """
 
@@ -120,7 +114,6 @@
 
         Args:
             now_ns: Monotonic time, from which the ages of suspicions are computed.
-            kind: Purpose of the message.
             sequence: Sequence number, with the meaning that the kind defines.
             target: A member's number or a bucket's index, depending on the kind.
         """
--- a/anisespool/membership/suspicion.py
+++ b/anisespool/membership/suspicion.py
@@ -95,11 +95,7 @@
         return min(map(self._expires_at_ns, self._suspicions.values()), default=None)
 
     def expired(self, now_ns: int) -> dict[int, Suspicion]:
-        """Return the suspicions that have expired, by member; none before `grace_ends_at_ns`.
-
-        Args:
-            now_ns: Monotonic time.
-        """
+        """Return the suspicions that have expired, by member; none before `grace_ends_at_ns`."""
         if now_ns < self.grace_ends_at_ns:
             return {}
         return {
--- a/anisespool/membership/updates.py
+++ b/anisespool/membership/updates.py
@@ -34,7 +34,10 @@
 
 
 class UpdateProcessor:
-    """Applies the rules for member states; no other module changes the state of another member."""
+    """Applies the rules for member states; no other module changes the state of another member.
+
+    Times are monotonic ns.
+    """
 
     def __init__(self, state: ProtocolState, probe_order: ProbeOrder) -> None:
         self._state = state
@@ -44,7 +47,6 @@
         """Apply an update received from any member; a superseded update changes nothing.
 
         Args:
-            now_ns: Monotonic time.
             update: An update about any member, including this one; its member and boot have been checked.
         """
         if update.member == self._state.local.member:
@@ -57,11 +59,7 @@
                 self._set_state(now_ns, update)
 
     def expire_suspicions(self, now_ns: int) -> None:
-        """Declare dead the members whose suspicion has expired.
-
-        Args:
-            now_ns: Monotonic time.
-        """
+        """Declare dead the members whose suspicion has expired."""
         state = self._state
         for member, suspicion in state.suspicions.expired(now_ns).items():
             dead = MemberUpdate(
--- a/anisespool/membership/view.py
+++ b/anisespool/membership/view.py
@@ -33,7 +33,6 @@
         version: Number that is incremented with each change of the sets.
         changed_at_ns: Monotonic time of the last change of the sets.
         alive: Live members, including this one.
-        suspect: Members under suspicion.
         dead: Members declared dead because their suspicion expired.
         left: Members that announced their shutdown.
         unknown: Members without any update so far.
@@ -78,11 +77,7 @@
         self._view: MembershipView | None = None
 
     def mark_changed(self, now_ns: int) -> None:
-        """Discard the cached view after a change of a member's state.
-
-        Args:
-            now_ns: Monotonic time.
-        """
+        """Discard the cached view after a change of a member's state."""
         self.version += 1
         self.changed_at_ns = now_ns
         self._view = None
@@ -93,10 +88,7 @@
         """Return the current view, which is rebuilt only after a change.
 
         Args:
-            local_member: This member's number.
             members: Current updates about the other members.
-            fleet_size: Number of configured members.
-            health: This member's health.
         """
         view = self._view or self._build(local_member, members, fleet_size, health)
         failed_probes = health.failed_probes
