--- a/anisespool/agent/call_errors.py
+++ b/anisespool/agent/call_errors.py
@@ -140,7 +140,6 @@
     """The instance rejected a request that the call depends on.
 
     Attributes:
-        instance: Name of the instance.
         reason: Text of the instance's error.
     """
 
@@ -186,12 +185,7 @@
 
 @dataclass(eq=False)
 class InstanceUnavailableError(UnavailableError):
-    """The instance gave no usable response.
-
-    Attributes:
-        instance: Name of the instance.
-        reason: Why there is no usable response.
-    """
+    """The instance gave no usable response."""
 
     instance: str
     reason: str
--- a/anisespool/agent/control_client.py
+++ b/anisespool/agent/control_client.py
@@ -41,7 +41,6 @@
 
     Attributes:
         reachability: Reachability of the instance after this failure.
-        text: Human-readable reason.
     """
 
     reachability: Reachability
@@ -55,7 +54,6 @@
     """Client of one instance. It is kept from the scan that finds the socket until the socket is removed.
 
     Attributes:
-        path: Path of the control socket.
         name: Name of the instance, taken from the file name of the socket.
         reachability: Reachability according to the last poll or change.
         detail: Why the instance is not reachable; empty if it is.
--- a/anisespool/agent/control_protocol.py
+++ b/anisespool/agent/control_protocol.py
@@ -29,7 +29,6 @@
 
     Attributes:
         code: Machine-readable code: one of docs/fleet.md, or the HTTP status.
-        text: Human-readable text.
     """
 
     code: str
--- a/anisespool/agent/desired_state.py
+++ b/anisespool/agent/desired_state.py
@@ -19,14 +19,11 @@
     Attributes:
         generation: Higher than that of every earlier change.
         base: Generation of the previous change; 0 for the first change.
-        digest: Digest of the document.
         content: Canonical JSON of the document.
-        state: State of the rollout.
-        reason: Reason for that state; may be empty.
+        reason: Reason for `state`; may be empty.
         author: Operator who made the change.
         note: Comment of the operator; may be empty.
         created_ms: Time of creation in Unix ms.
-        policy: Limits of the rollout.
         settle_ms: Pause between two waves.
     """
 
@@ -68,9 +65,7 @@
     """The delivery of a change to an instance, and its outcome.
 
     Attributes:
-        instance: Name of the instance.
         boot: Boot id of the instance when the change was sent.
-        state: Progress of the delivery.
         detail: Reason for a rejection; otherwise empty.
     """
 
--- a/anisespool/agent/desired_state_repository.py
+++ b/anisespool/agent/desired_state_repository.py
@@ -60,7 +60,6 @@
         """Make `draft` the newest change, without deliveries. The caller then calls `load_rollout`.
 
         Args:
-            draft: The change.
             base: Newest generation that the author has seen, or `change_table.ANY_BASE`.
             highest_observed: Highest generation that any instance reports.
 
@@ -112,8 +111,6 @@
         """Drain and undrain endpoints on every instance.
 
         Args:
-            drain: Ids of endpoints to drain.
-            undrain: Ids of endpoints to undrain.
             author: Operator who requested the update.
             highest_observed: Highest revision that any instance reports.
         """
--- a/anisespool/agent/fan_out.py
+++ b/anisespool/agent/fan_out.py
@@ -46,10 +46,7 @@
 ) -> pb.Progress:
     """Have every instance validate a document without applying it, and return the counts.
 
-    Args:
-        clients: The instances.
-        document: The document.
-        force: Accept a document that drains the last endpoint.
+    `force` accepts a document that drains the last endpoint.
     """
     body = ValidateBody(operator.to_tables(document), force)
     request_slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
--- a/anisespool/agent/instance_state.py
+++ b/anisespool/agent/instance_state.py
@@ -12,12 +12,10 @@
     """State in the response to `routes.GET_STATE` and to every change.
 
     Attributes:
-        name: Name of the instance.
         boot: Boot id, which is new after every start.
         phase: Phase as reported; a newer build may report one that this agent does not define.
         generation: Generation of the applied change, 0 if there is none.
         digest: Digest of the configuration in force.
-        pid: Process id.
         uptime_s: Seconds since the start.
         build: Version of the instance.
         drained: Ids of the endpoints that the instance drains.
--- a/anisespool/agent/operator_commands.py
+++ b/anisespool/agent/operator_commands.py
@@ -40,7 +40,6 @@
         """Make `draft` the newest change and start its rollout.
 
         Args:
-            draft: The change.
             base: Newest generation that the author has seen, or `change_table.ANY_BASE`.
 
         Raises:
@@ -81,7 +80,6 @@
         """Pause, resume or abort the newest rollout, and return its change in the new state.
 
         Args:
-            action: The action.
             generation: Generation of the newest change, or 0 to accept any.
             author: Operator who requested the action.
 
--- a/anisespool/agent/reconciler.py
+++ b/anisespool/agent/reconciler.py
@@ -34,7 +34,6 @@
     """Brings the instances to the desired state.
 
     Attributes:
-        directory: The instances.
         desired: The desired state, which `OperatorCommands` changes through the repository.
         status: Comparison of the instances with the desired state.
     """
--- a/anisespool/agent/rollout/planner.py
+++ b/anisespool/agent/rollout/planner.py
@@ -48,7 +48,6 @@
 
     Args:
         statuses: Status of each target instance, by name.
-        policy: Limits of the rollout.
         settle_time_over: Whether the pause after the previous wave is over.
     """
     counts = dict.fromkeys(RolloutStatus, 0)
--- a/anisespool/agent/rollout/status_by_report.py
+++ b/anisespool/agent/rollout/status_by_report.py
@@ -11,8 +11,6 @@
     """Return the status of a reachable instance that has no delivery in flight.
 
     Args:
-        newest: The newest change.
-        observed: State that the instance last reported.
         delivery: Recorded delivery of the newest change to this instance; None if there is none.
     """
     if observed.generation > newest.generation:
--- a/anisespool/agent/store/change_table.py
+++ b/anisespool/agent/store/change_table.py
@@ -77,8 +77,6 @@
     """Make `draft` the newest change, and return it. A running or paused rollout is superseded.
 
     Args:
-        db: Connection in a transaction.
-        draft: The change.
         base: Newest generation that the author has seen, or ANY_BASE.
         highest_observed: Highest generation that any instance reports; the new one is higher.
 
--- a/anisespool/agent/store/drain_table.py
+++ b/anisespool/agent/store/drain_table.py
@@ -27,9 +27,6 @@
     """Add endpoints to the set of drained ones, remove others, and return the new set with its revision.
 
     Args:
-        db: Connection in a transaction.
-        drain: Ids of endpoints to add.
-        undrain: Ids of endpoints to remove.
         author: Operator who requested the update.
         highest_observed: Highest revision that any instance reports; the new one is higher.
     """
--- a/anisespool/agent/store/errors.py
+++ b/anisespool/agent/store/errors.py
@@ -18,7 +18,6 @@
     """The database file can't be used. The text names the file, the reason and the remedy.
 
     Attributes:
-        path: Path of the database file.
         reason: What was found, and what to do.
     """
 
--- a/anisespool/config/operator/destination.py
+++ b/anisespool/config/operator/destination.py
@@ -39,11 +39,7 @@
 
 
 class DestinationError(ValueError):
-    """The URL does not have any of the forms of a destination.
-
-    Attributes:
-        url: The URL as it is in the file.
-    """
+    """The URL does not have any of the forms of a destination."""
 
     def __init__(self, url: str) -> None:
         super().__init__(f"{url!r} is not a valid destination of records")
--- a/anisespool/config/operator/errors.py
+++ b/anisespool/config/operator/errors.py
@@ -19,12 +19,7 @@
 
 
 class OperatorSyntaxError(ConfigError):
-    """The file can't be read or is not valid TOML.
-
-    Attributes:
-        source: Path of the file.
-        problem: Description of the error.
-    """
+    """The file can't be read or is not valid TOML."""
 
     def __init__(self, source: str, problem: object) -> None:
         super().__init__(f"{source}: {problem}")
@@ -55,9 +50,6 @@
     """The file names a request class that the platform does not define.
 
     The message lists all classes, so it is cut to MAX_CLASS_ERROR_CHARACTERS.
-
-    Attributes:
-        name: Name of the unknown class.
     """
 
     def __init__(self, source: str, name: str, classes: Collection[str]) -> None:
@@ -70,11 +62,7 @@
 
 
 class UnknownTenantError(OperatorConfigError):
-    """The file names a tenant that the platform does not define; the message lists a few that it does.
-
-    Attributes:
-        name: Name of the unknown tenant.
-    """
+    """The file names a tenant that the platform does not define; the message lists a few that it does."""
 
     MAX_NAMED_TENANTS: ClassVar[int] = 8
 
--- a/anisespool/config/operator/parsing.py
+++ b/anisespool/config/operator/parsing.py
@@ -44,7 +44,6 @@
     """Parse TOML into tables that are not validated yet.
 
     Args:
-        data: Content of the file.
         source: Path or name of the file, for errors.
 
     Raises:
@@ -63,7 +62,6 @@
     """Convert and validate the tables of a file.
 
     Args:
-        tables: The parsed file.
         source: Path or name of the file, for errors.
 
     Raises:
--- a/anisespool/config/platform/names.py
+++ b/anisespool/config/platform/names.py
@@ -13,9 +13,6 @@
     treats as unknown. The clock offset is here because the parser of endpoint lists needs it with the names.
 
     Attributes:
-        classes: Indexes of the request classes.
-        tenants: Indexes of the tenants.
-        zones: Indexes of the zones.
         machine_types: Indexes of the machine types, which the settings call SKUs.
         monotonic_epoch_ns: Unix time minus monotonic time in ns, to convert endpoints' start times. Read only
             once: a new difference for each update would change the start time of an endpoint that did
--- a/anisespool/config/platform/platform_file.py
+++ b/anisespool/config/platform/platform_file.py
@@ -17,9 +17,6 @@
     """The file's top-level JSON object or one of its sections.
 
     Access to a key raises a PlatformConfigError that names the key if its value is invalid.
-
-    Attributes:
-        raw: The parsed JSON object.
     """
 
     def __init__(self, raw: object) -> None:
--- a/anisespool/control/errors.py
+++ b/anisespool/control/errors.py
@@ -29,7 +29,6 @@
 
     Attributes:
         key: The key of the file that sets the directory.
-        problem: What is wrong with it.
     """
 
     key: str
@@ -159,8 +158,6 @@
 
     Attributes:
         decision: STALE, CONFLICT or BASE_MISMATCH.
-        applied: The configuration in force.
-        update: The rejected update.
     """
 
     decision: ApplyDecision
@@ -218,7 +215,6 @@
     """An endpoint that the agent or the configuration drains can't be undrained by hand.
 
     Attributes:
-        endpoint: Id of the endpoint.
         source: What drains the endpoint, as text for the operator.
     """
 
--- a/anisespool/control/generations.py
+++ b/anisespool/control/generations.py
@@ -50,10 +50,7 @@
 def decide_update(applied: AppliedConfig, update: ConfigUpdate, computed_digest: str) -> ApplyDecision:
     """Return whether to apply an update, or why not.
 
-    Args:
-        applied: The configuration in force.
-        update: Header of the update.
-        computed_digest: Digest of the received content.
+    `computed_digest` is the digest of the received content.
     """
     if update.digest != computed_digest:
         return ApplyDecision.DIGEST_MISMATCH
--- a/anisespool/control/socket_directory.py
+++ b/anisespool/control/socket_directory.py
@@ -34,7 +34,6 @@
     """Return the directory `folder`. Create it with mode 0700 if it does not exist.
 
     Args:
-        folder: Path of the directory.
         key: Key of the path in the operator's file, for the error text.
 
     Raises:
@@ -73,11 +72,7 @@
 
 
 class InstanceSocket:
-    """The control socket of one instance name, which is locked from creation until `release` is called.
-
-    Attributes:
-        path: Path of the socket.
-    """
+    """The control socket of one instance name, which is locked from creation until `release` is called."""
 
     def __init__(self, directory: Path, instance: str) -> None:
         """Lock the name `instance` in `directory`.
--- a/anisespool/sidecar/composition.py
+++ b/anisespool/sidecar/composition.py
@@ -43,8 +43,6 @@
     """Run a sidecar until `signals.stop` is set and every accepted request has its response.
 
     Args:
-        config: The platform's configuration.
-        signals: Events that stop the sidecar and reload its configuration.
         on_listening: Called with the listener's address once it accepts connections.
         operator_config: The operator's configuration. Without one, no optional feature is imported.
 
--- a/anisespool/sidecar/reload.py
+++ b/anisespool/sidecar/reload.py
@@ -15,11 +15,6 @@
 
     Only the address of discovery can change while the sidecar runs. If the file has an error, this is logged
     and the previous address is kept.
-
-    Args:
-        path: Path of the platform's file.
-        controls: Applies the new address.
-        reload: Event that the signal sets.
     """
     while True:
         await reload.wait()
--- a/anisespool/sidecar/shutdown.py
+++ b/anisespool/sidecar/shutdown.py
@@ -26,9 +26,5 @@
     """Accept connections until clients have noticed the shutdown, then close the listener.
 
     Returns once all requests have their responses, at the latest EXIT_RESERVE_S before SIGKILL.
-
-    Args:
-        server: The listener.
-        settings: The platform's settings, with the deadlines of the request classes.
     """
     await shut_down(server, ACCEPT_AFTER_SIGTERM_S, sigkill_after_s(settings) - EXIT_RESERVE_S)
