--- a/anisespool/lab/model/arrivals.py
+++ b/anisespool/lab/model/arrivals.py
@@ -46,11 +46,8 @@
     """Calls `on_arrival` for each client request of a run; `start` schedules the first.
 
     Args:
-        scenario: Defines traffic, bursts, classes, clients and tenants.
         random: Stream of all random numbers drawn here.
-        clock: The clock on which requests arrive.
         span: First moment of the run, start of the scenario time and end of the run, ns.
-        on_arrival: Called with each client request.
     """
 
     def __init__(
@@ -206,7 +203,7 @@
 
 
 def _schedule_factor(clock: Clock, arrivals: Arrivals, fault: Fault, when: int, factor: float) -> None:
-    """Schedules a traffic factor if the fault has one: for all clients, a tenant or a zone."""
+    """Schedules the fault's traffic factor, if it has one."""
     if fault.kind == "traffic":
         clock.at(when, arrivals.set_traffic_factor, factor)
     elif fault.kind == "tenant":
--- a/anisespool/lab/model/attempts.py
+++ b/anisespool/lab/model/attempts.py
@@ -55,7 +55,7 @@
         return sidecar.zone in self._isolated_zones or zone in self._isolated_zones
 
     def _draw_hop(self, sidecar: Sidecar, endpoint: Endpoint) -> int:
-        """Draws the one-way delay between the sidecar and the endpoint, ns."""
+        """Draws a one-way delay, ns."""
         width = self._scenario.network.spread
         spread = self._network_random.uniform(1 - width, 1 + width) if width else 1.0
         return hop_ns(
--- a/anisespool/lab/model/backend.py
+++ b/anisespool/lab/model/backend.py
@@ -156,8 +156,6 @@
     """One-way delay between a sidecar and an endpoint, ns.
 
     Args:
-        scenario: Defines the mean delays.
-        same_zone: Whether both are in one zone.
         spread_factor: Factor of random variation, drawn for this message; 1: the mean delay.
         delay_factor: Factor by which a fault of the endpoint multiplies the delay.
     """
--- a/anisespool/lab/model/checker.py
+++ b/anisespool/lab/model/checker.py
@@ -84,7 +84,6 @@
         """Creates a checker without requests and endpoints.
 
         Args:
-            settings: The module's settings.
             drops_finished: Drops the records of finished requests, so that memory is bounded in long runs.
         """
         self.settings = settings
@@ -96,7 +95,7 @@
         self._requests_by_key: dict[int, list[int]] = {}  # requests by key in order of arrival
 
     def observe(self, now: int, event: api.Event) -> None:
-        """Records an event. The caller calls this before the module handles the event."""
+        """Records an event. The caller does this before the module handles it."""
         match event:
             case api.RequestArrived():
                 self._record_arrival(now, event)
--- a/anisespool/lab/model/clients.py
+++ b/anisespool/lab/model/clients.py
@@ -35,7 +35,7 @@
     A client may send its client request several times. To the sidecar, each time is a new request.
 
     Attributes:
-        open: Requests that have no final response yet, by sidecar and number.
+        open: Requests without a final response, by sidecar and number.
     """
 
     def __init__(self, run: SimulatedRun) -> None:
@@ -110,7 +110,7 @@
         self.fail(client_request)
 
     def close(self, key: RequestKey) -> ClientRequest:
-        """Removes a request from the open ones and returns its client request."""
+        """Removes an open request; returns its client request."""
         request = self.open.pop(key)
         self._metrics.request_closed(self._clock.now, request.opened_at)
         return request.client_request
--- a/anisespool/lab/model/clock.py
+++ b/anisespool/lab/model/clock.py
@@ -19,7 +19,6 @@
 
     Attributes:
         now: The current time, ns.
-        events_handled: Number of events handled so far.
     """
 
     __slots__ = ("_heap", "_order", "events_handled", "now")
--- a/anisespool/lab/model/endpoint.py
+++ b/anisespool/lab/model/endpoint.py
@@ -94,10 +94,8 @@
         group: Index of its group in the scenario.
         speed: Work that each core does per second.
         started_at: When the process started, ns; 0: before the run, and it has warmed up.
-        list_state: The endpoint's state in the registry's list.
-        overloaded: The endpoint received too much work while it warmed up. It stays down until a restart.
-        busy_cores: Number of cores in use.
-        faults: The faults in effect.
+        list_state: State in the registry's list.
+        overloaded: It received too much work while it warmed up, and stays down until a restart.
         busy_ns: Core time spent on requests so far.
         incarnation: Number of restarts, which identifies the process.
     """
@@ -140,8 +138,6 @@
         execution, and may exceed the limit on its own.
 
         Args:
-            now: The current time, ns.
-            work_ns: Work of the request that has arrived.
             notified: Whether the sidecar that sent it has been notified of the endpoint's start.
 
         Returns:
--- a/anisespool/lab/model/faults.py
+++ b/anisespool/lab/model/faults.py
@@ -20,8 +20,6 @@
     """A fault of one sidecar's process. Times are in ns since the start of the scenario time.
 
     Attributes:
-        begins_at: Start of the fault.
-        sidecar: Index of the sidecar.
         ends_at: End of the fault; unused for kinds without a duration, such as a restart.
         fault: The scenario's fault, which may affect several sidecars.
     """
@@ -87,7 +85,6 @@
     """Schedules every fault of the scenario.
 
     Args:
-        target: The run.
         random: Stream for the choice of endpoints.
         process_random: Stream for the choice of sidecars (see `process_faults`).
     """
--- a/anisespool/lab/model/link_fault.py
+++ b/anisespool/lab/model/link_fault.py
@@ -11,11 +11,9 @@
 
 @dataclass(slots=True)
 class LinkFault:
-    """A link fault of the scenario, and when it is in effect.
+    """A link fault of the scenario, from `begin` to `end`, ns.
 
     Attributes:
-        begin: Start of the fault, ns.
-        end: End of the fault, ns.
         selectors: Selectors of the sending and the receiving nodes.
     """
 
@@ -51,13 +49,13 @@
 
     Attributes:
         cut: One of CUTS_BY_STRENGTH; empty: no cut.
-        loss: Share of messages that are lost.
+        loss: Share of messages lost.
         burst: Mean number of messages lost in a row.
         delay: Delay of each message, ns.
         spread: Upper bound of a further delay, drawn uniformly from 0, ns.
-        duplicate: Share of datagrams that are duplicated.
-        reorder: Share of datagrams that are reordered.
-        corrupt: Share of datagrams that are corrupted.
+        duplicate: Share of datagrams duplicated.
+        reorder: Share of datagrams reordered.
+        corrupt: Share of datagrams corrupted.
         rate: Bytes per second; 0: unlimited.
         cut_until: When the last cut ends or flaps off, ns.
     """
--- a/anisespool/lab/model/metrics.py
+++ b/anisespool/lab/model/metrics.py
@@ -35,8 +35,8 @@
         patience: Share of the deadline for which the client waits each time.
         honors_retry_after: Whether the client waits for the time in a Retry-After.
         weight: Factor of the class's priority weight; lower if the tenant was over its quota.
-        attempts_made: Number of times that the client has sent the request.
-        executions: Number of executions begun at all endpoints together.
+        attempts_made: How many times the client has sent it.
+        executions: Executions begun at all endpoints together.
         last_rejection: Time of the last rejection and its Retry-After, ns.
         outcome: One of OUTCOMES; empty while the request has none.
     """
--- a/anisespool/lab/model/policies.py
+++ b/anisespool/lab/model/policies.py
@@ -50,7 +50,7 @@
         self.now = 0
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         raise NotImplementedError
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
@@ -110,7 +110,7 @@
     """Chooses a random endpoint."""
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         return self.random.choice(self.ready)
 
 
@@ -120,7 +120,7 @@
     turn = 0
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         self.turn += 1
         return self.ready[self.turn % len(self.ready)]
 
@@ -129,7 +129,7 @@
     """Chooses the endpoint with the fewest open attempts of this sidecar."""
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         return min(
             self.ready,
             key=lambda endpoint: (self.in_flight.get(endpoint, 0), self.random.random()),
@@ -140,7 +140,7 @@
     """Chooses, of two random endpoints, the one with the lower smoothed latency times open attempts."""
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         pair = self.random.choice(self.ready), self.random.choice(self.ready)
         return min(pair, key=self._cost)
 
@@ -155,7 +155,7 @@
     """
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         pair = self.random.choice(self.ready), self.random.choice(self.ready)
         return min(pair, key=self._requests_at)
 
@@ -168,7 +168,7 @@
     """Chooses the endpoint expected to finish the request first, by state that no real sidecar has."""
 
     def choose(self) -> int:
-        """Returns one of the ready endpoints."""
+        """Returns a ready endpoint."""
         return min(self.ready, key=lambda endpoint_id: (self._finish_time(endpoint_id), endpoint_id))
 
     def _finish_time(self, endpoint_id: int) -> float:
--- a/anisespool/lab/model/sidecar.py
+++ b/anisespool/lab/model/sidecar.py
@@ -16,11 +16,9 @@
 
     Attributes:
         number: Index in `World.sidecars`.
-        zone: Zone in which it runs.
         settings: Platform settings that its module starts with.
         slot: Index of the application that it serves. After a rolling restart a new process serves it.
         module: The decision module, or a policy with the same `handle` method.
-        checker: Checks the module's actions.
         idle_connections: Open connections without a request, by endpoint.
         known_starts: Last start time of each endpoint of which the sidecar was notified, ns.
         incarnation: Counts starts and stops of the process. Events for an earlier value are dropped.
--- a/anisespool/lab/model/simulated_run.py
+++ b/anisespool/lab/model/simulated_run.py
@@ -32,7 +32,7 @@
     sidecars: list[Sidecar]
 
     def serving(self, slot: int) -> Sidecar:
-        """Return the sidecar that currently serves a slot's clients."""
+        """The sidecar that currently serves a slot's clients."""
 
     def handle(self, sidecar: Sidecar, event: api.Event) -> None:
         """Pass an event to a sidecar's decision module and perform the actions that it returns."""
--- a/anisespool/lab/model/timeline.py
+++ b/anisespool/lab/model/timeline.py
@@ -20,9 +20,9 @@
 
     Attributes:
         at_s: Scenario time, s.
-        running: Number of requests being executed.
-        waiting: Number of requests in all queues.
-        longest: Number of requests in the longest queue.
+        running: Requests being executed.
+        waiting: Requests in all queues.
+        longest: Requests in the longest queue.
     """
 
     at_s: float
@@ -50,11 +50,7 @@
 
 
 class TimelineSampler:
-    """Samples a run's endpoints at regular intervals.
-
-    Attributes:
-        samples: Samples taken so far.
-    """
+    """Samples a run's endpoints at regular intervals."""
 
     def __init__(self, backend: Backend, start: int, end: int) -> None:
         self.samples: list[TimelineSample] = []
--- a/anisespool/lab/model/watch_delay.py
+++ b/anisespool/lab/model/watch_delay.py
@@ -15,7 +15,6 @@
     """A change of the list on its way to one sidecar.
 
     Attributes:
-        sidecar: Index of the sidecar.
         at: Time of arrival, ns.
         revision: Revision of the list after the change.
     """
--- a/anisespool/lab/model/world.py
+++ b/anisespool/lab/model/world.py
@@ -200,7 +200,7 @@
         self.arrivals.set_tenant_traffic_factor(tenant, factor)
 
     def set_zone_traffic_factor(self, zone: int, factor: float) -> None:
-        """Multiplies the traffic of one zone's clients. Other zones get less: the total stays the same."""
+        """Multiplies one zone's traffic. Other zones get less: the total stays the same."""
         self.arrivals.set_zone_traffic_factor(zone, factor)
 
     def isolate_zone(self, zone: int, begins: bool, until: int) -> None:
--- a/anisespool/lab/scenario/__init__.py
+++ b/anisespool/lab/scenario/__init__.py
@@ -1,6 +1,6 @@
 """Scenario files (TOML): a fleet, its traffic and its faults. The names of keys include their units.
 
-`load` reads a scenario from a file or the library, and `from_raw` checks a scenario that is already parsed.
+`load` reads a scenario from a file or the library, and `from_raw` checks one that is already parsed.
 `settings` returns the settings that the platform would give to a sidecar of the scenario.
 """
 
--- a/anisespool/lab/scenario/faults.py
+++ b/anisespool/lab/scenario/faults.py
@@ -64,9 +64,7 @@
     """A fault that affects some endpoints, some sidecars or the whole run for a while.
 
     Attributes:
-        kind: What goes wrong.
         at_s: Start of the fault, in scenario time.
-        for_s: Duration of the fault.
         endpoints: Indexes of the affected endpoints; if empty, a random share (`part`) is drawn.
         sidecars: Likewise the indexes of the affected sidecars, for faults of processes.
         part: Share of the endpoints or sidecars that is affected if none are listed.
@@ -76,7 +74,6 @@
             tenant). For descriptors and memory: how many descriptors, or MB, the process may use beyond its
             use at that time.
         jump_s: Step of the wall clock for the kind clock; negative: backwards.
-        tenant: Index of the affected tenant.
         spread_s: Time over which the targets are affected one after another; 0: all at once.
     """
 
@@ -101,10 +98,10 @@
         to: Selector of the receiving nodes.
         both: Whether the opposite direction is affected too.
         carries: Affected traffic; talk: datagrams between sidecars.
-        loss: Share of messages that are lost; on TCP they are delayed until their retransmission.
+        loss: Share of messages lost; on TCP they are delayed until their retransmission.
         burst: Mean number of messages lost in a row.
         spread_ms: Upper bound of an additional delay, drawn uniformly from 0.
-        duplicate: Share of datagrams that are duplicated.
+        duplicate: Share of datagrams duplicated.
         reorder: Share of datagrams that are delayed, so that later ones overtake them.
         corrupt: Share of datagrams in which a bit is flipped.
         flap_s: Period of flapping: the fault is in effect for the first half of each period.
--- a/anisespool/lab/scenario/fleet.py
+++ b/anisespool/lab/scenario/fleet.py
@@ -18,9 +18,9 @@
     Attributes:
         cores: Number of requests executed at a time.
         speed: Work that each core does per second.
-        speed_spread: Largest relative deviation of an endpoint's speed, which is drawn for each endpoint.
-        waiting: Capacity of the queue. Requests beyond it are rejected without being executed.
-        connections: Limit of open connections. Connections beyond it are refused.
+        speed_spread: Largest relative deviation of the speed, which is drawn for each endpoint.
+        waiting: Capacity of the queue. Further requests are rejected, not executed.
+        connections: Limit of open connections. Further ones are refused.
         cancel: Which requests the endpoint cancels when the sidecar closes their connection.
     """
 
--- a/anisespool/lab/scenario/loading.py
+++ b/anisespool/lab/scenario/loading.py
@@ -66,7 +66,7 @@
 
 
 def _read(path: Path, depth: int) -> dict[str, Any]:
-    """Parses a file, and merges the files that it includes."""
+    """Parses a file, and merges the files it includes."""
     if depth > MAX_INCLUDES:
         raise ScenarioError(f"{path}: include: found more than {MAX_INCLUDES} deep, wanted less")
     try:
--- a/anisespool/lab/scenario/platform_settings.py
+++ b/anisespool/lab/scenario/platform_settings.py
@@ -13,12 +13,12 @@
 
 
 def settings(scenario: Scenario, index: int = 0, zone: int = 0) -> Settings:
-    """Settings of the sidecar with index `index` in zone `zone`."""
+    """Settings of sidecar `index` in zone `zone`."""
     return Settings.from_dict(raw_settings(scenario, index, zone))
 
 
 def raw_settings(scenario: Scenario, index: int = 0, zone: int = 0) -> dict[str, Any]:
-    """The same settings as `settings` returns, in the platform's own format."""
+    """The settings of a sidecar in the platform's own format."""
     return {
         "zone": zone,
         "fleet-size": scenario.sidecars,
--- a/anisespool/lab/scenario/traffic.py
+++ b/anisespool/lab/scenario/traffic.py
@@ -57,7 +57,7 @@
     """Requests that arrive together, in addition to the traffic.
 
     Attributes:
-        count: Number of requests of each burst, at all sidecars together.
+        count: Requests of each burst, at all sidecars together.
         over_ms: Time over which the requests arrive at random.
         every_s: Interval at which the burst is repeated until the end; None: not repeated.
         cls: Index of the request class.
--- a/anisespool/lab/scenario/validation.py
+++ b/anisespool/lab/scenario/validation.py
@@ -9,7 +9,7 @@
 
 
 def validate(scenario: Scenario, source: str) -> None:
-    """Checks the conditions that involve several tables.
+    """Checks conditions that involve several tables.
 
     Raises:
         ScenarioError: A condition does not hold. The text begins with `source`.
