--- a/anisespool/agent/desired_state_repository.py
+++ b/anisespool/agent/desired_state_repository.py
@@ -57,7 +57,9 @@
         return await self._store.execute(lambda db: change_table.last_settled_before(db, change.generation))
 
     async def insert_change(self, draft: ChangeDraft, base: int, highest_observed: int) -> Change:
-        """Make `draft` the newest change, without deliveries. The caller then calls `load_rollout`.
+        """Make `draft` the newest change, without deliveries.
+
+        `desired.last_settled` may be stale until the caller calls `load_rollout`.
 
         Args:
             base: Newest generation that the author has seen, or `change_table.ANY_BASE`.
@@ -75,7 +77,7 @@
         return change
 
     async def set_state(self, change: Change, state: RolloutState, reason: str) -> None:
-        """Record and publish a state transition, unless the state of the change has changed meanwhile."""
+        """Record and publish a state transition, unless another one was recorded meanwhile."""
         was_recorded = await self._store.execute(
             lambda db: change_table.update_state(db, change.generation, change.state, state, reason)
         )
@@ -95,7 +97,7 @@
             self.desired.deliveries.update({delivery.instance: delivery for delivery in deliveries})
 
     async def clear_rejections(self, newest: Change) -> None:
-        """Delete the rejections of the newest change, so that it is sent to those instances again."""
+        """Delete the rejections of the newest change, so that the rejecting instances receive it again."""
         await self._store.execute(lambda db: delivery_table.clear_rejections(db, newest.generation))
         # The reconcile loop may run before the store is read again. A rejection that is still in memory would
         # then pause the rollout.
--- a/anisespool/balancer/admission/controller.py
+++ b/anisespool/balancer/admission/controller.py
@@ -1,8 +1,9 @@
 """Decides on each request: it is accepted, or shed with a Retry-After.
 
-A request is shed if recent attempts took too much of their latency objectives (latency_limit.py), or if more
-requests are open than can be answered in time. That capacity is what the ordinary load has shown
-(offered_capacity.py), plus a share of what the fleet could serve beyond it (burst_capacity.py).
+A request is shed if recent attempts were too slow for their latency objectives (latency_limit.py), or if the
+open requests exceed the capacity, the number that can be answered in time. The capacity is what the ordinary
+load has shown (offered_capacity.py), plus a share of what the fleet could serve beyond that
+(burst_capacity.py).
 """
 
 from random import Random
@@ -25,9 +26,9 @@
 
     is_shed: bool
     retry_after_ns: int = 0
-    """Time until the excess is worked off; 0: unknown, or not to be sent."""
+    """The delay to send as Retry-After; 0: none."""
     open_in_time: int = 0
-    """Open requests without a missed objective; all open requests if this one was shed by latency."""
+    """Open requests that are not late; if this one was shed by latency, all open requests."""
     capacity: float = 0.0
     """Open requests that can be answered in time; 0: this one was admitted, or shed by latency."""
 
@@ -36,13 +37,13 @@
 
 
 class AdmissionController:
-    """Admission control of one sidecar, with the estimates that it is based on."""
+    """Admission control of one sidecar, with the estimates that it is based on; `now` is monotonic ns."""
 
     def __init__(self, settings: api.Settings, random: Random) -> None:
         classes = settings.classes
         self._random = random
         self._objectives_ns = [c.target_ns for c in classes]
-        self.objective_ns = min(self._objectives_ns)
+        self.objective_ns = min(self._objectives_ns)  # the shortest of all classes
         longest_deadline_ns = max(c.deadline_ns for c in classes)
 
         self.queueing = QueueingRatio(longest_deadline_ns, self.objective_ns)
@@ -59,20 +60,21 @@
     def record_answer(
         self, now: int, class_index: int, latency_ns: int, in_time: bool, open_now: int, open_before: int
     ) -> None:
-        """Update the estimates with an answer, which is `in_time` if it met its latency objective.
+        """Update the answer rates and the latency limit with the answer of an attempt that succeeded.
 
-        `open_before` other requests were open when this one arrived, and `open_now` are open now.
+        The answer is `in_time` if it met its latency objective. `open_before` other requests were open
+        when its request arrived, and `open_now` are open now.
         """
         if in_time:
             self.offered.answer_rate.add(now)
             self.peak.record_answer(now, open_now, self.queueing.ratio.value, self.latency.limit)
         concurrency = self.snapshots.snapshot.fleet.concurrency
-        # Queueing is presumed if more than half of what the fleet serves at a time was open before.
+        # Queueing is presumed if `open_before` exceeds half of what the fleet serves at a time.
         has_queued = bool(concurrency) and open_before > concurrency / 2
         self.latency.record_answer(latency_ns, self._objectives_ns[class_index], has_queued)
 
     def record_latency(self, now: int, sample: QueueingSample) -> None:
-        """Update the estimates with the latency of an attempt that succeeded or timed out."""
+        """Update the queueing ratio and the service rate with an attempt that succeeded or timed out."""
         queueing_ratio = self.queueing.update(now, sample.objective_share, sample.smoothing_factor)
         self.service_rate.record(now, sample, queueing_ratio, self.snapshots.snapshot.fleet.concurrency)
 
@@ -85,7 +87,9 @@
         open_requests: int,
         source: SnapshotSource,
     ) -> AdmissionDecision:
-        """Decide whether a request is shed: beyond the capacity, queues grow until every answer is late.
+        """Decide whether a request is shed.
+
+        If more requests were admitted than the capacity, queues would grow until every answer is late.
 
         Args:
             observed_ns: Time since this sidecar received its first endpoint list.
@@ -104,7 +108,7 @@
         if open_requests <= offered_capacity:
             return ADMITTED
         snapshot = self.snapshots.get(now, source)
-        # Late requests, such as those at a stalled endpoint, use no capacity.
+        # Late requests, such as those at a stalled endpoint, don't count against the capacity.
         open_in_time = open_requests - snapshot.open_requests.late
         if open_in_time <= offered_capacity:
             return ADMITTED
@@ -127,8 +131,8 @@
     def _shed_by_capacity(
         self, now: int, open_in_time: int, capacity: float, rate: float
     ) -> AdmissionDecision:
-        """Return the decision to shed; the excess is worked off at `rate`, or the recent rate if higher."""
-        completion_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)
+        """Return a decision to shed; the excess is worked off at `rate`, or `peak.recent_rate` if higher."""
+        completion_rate = max(rate, self.peak.recent_rate.read(now), MIN_RATE_REQUESTS)  # per ns, above 0
         excess_ns = (open_in_time - capacity) / completion_rate
         retry_after_ns = self.retry_after.next_delay_ns(
             now, excess_ns, completion_rate, open_in_time / completion_rate
--- a/anisespool/balancer/endpoint.py
+++ b/anisespool/balancer/endpoint.py
@@ -39,22 +39,22 @@
 
 
 class Endpoint:
-    """One process of an endpoint; a restart under the same id makes a new Endpoint.
+    """One listed server process; a restart under the same id makes a new Endpoint.
 
     Attributes:
-        rank: Position in this sidecar's own order of the endpoints.
+        rank: Salted hash of the id, by which this sidecar orders the endpoints.
         in_flight: This sidecar's attempts in flight, oldest first.
-        idle_connections: Estimated number; above 0, the next attempt needs no handshake.
-        slowdown: Ratio of response time to the request's expected latency (x_i), over all classes.
+        idle_connections: Estimated number of idle connections; above 0, the next attempt needs no handshake.
+        slowdown: Ratio of response time to the request's expected latency, over all classes.
         slowdown_at: Instant of the last sample; 0: none yet.
         slowdown_by_class: Slowdown by class index.
         reported_queue: Queue length in the last load report.
         sent_since_report: This sidecar's attempts since that report.
-        reported_concurrency: Requests served at a time, by load reports; 0: unknown.
-        observed_concurrency: Requests served at a time, by attempts that did not queue; a lower bound.
-        slow_start_factor: Guaranteed share of full capacity while the endpoint is warming up.
+        reported_concurrency: Requests served at a time, estimated from load reports; 0: unknown.
+        observed_concurrency: Requests served at a time, observed while hardly any queued; a lower bound.
+        slow_start_factor: Share of full capacity that the settings guarantee during the warm-up.
         warm_at: End of the warm-up; 0: the endpoint started long ago.
-        warmup_limiter: None: the endpoint started long ago.
+        warmup_limiter: Limits the work sent during the warm-up; None: the endpoint started long ago.
     """
 
     def __init__(self, listing: api.EndpointListing, rank: int, settings: api.Settings) -> None:
--- a/anisespool/membership/gossip.py
+++ b/anisespool/membership/gossip.py
@@ -15,10 +15,10 @@
 
 
 def gossip(state: ProtocolState, now_ns: int) -> list[Outgoing]:
-    """Return the messages of one round; called by the timer, at the start and after a pause.
+    """Return the messages of one round: when the gossip timer is due, at the start, or after a pause.
 
     Args:
-        state: Updates are taken from its queue; its gossip timer is set earlier if another round is urgent.
+        state: Holds the queue of updates, and the gossip timer, which is set if another round is urgent.
         now_ns: Monotonic time.
     """
     queue = state.broadcasts
--- a/anisespool/membership/state.py
+++ b/anisespool/membership/state.py
@@ -33,7 +33,7 @@
         accusations: Failed probes after which this member suspected the target.
         refutations: Updates about this member that it refuted.
         pauses: Ticks that were late by more than the pause threshold.
-        ignored: Messages and updates dropped because of an earlier or implausible boot or an unknown number.
+        ignored: Messages and updates dropped: earlier or implausible boot, invalid number, or after leaving.
     """
 
     accusations: int = 0
@@ -52,7 +52,7 @@
         local: This member's own state, as it announces it.
         health: The health score, which lengthens this member's timeouts.
         broadcasts: Updates that are being disseminated.
-        members: Current updates about the other members, by number; unknown members have none.
+        members: Current state of each other member, by number; unknown members have no entry.
         events: Events recorded since they were last taken.
         reached_indirectly: Members whose last probe was acknowledged only through helpers, so a path is cut.
         last_sequence: Sequence number of the last ping, for a probe or a relay.
@@ -115,7 +115,7 @@
         Args:
             now_ns: Monotonic time, from which the ages of suspicions are computed.
             sequence: Sequence number, with the meaning that the kind defines.
-            target: A member's number or a bucket's index, depending on the kind.
+            target: A member's number or the index of an anti-entropy bucket, depending on the kind.
         """
         updates: tuple[MemberUpdate, ...] = ()
         if kind in PIGGYBACK_KINDS:
--- a/anisespool/records/outcome.py
+++ b/anisespool/records/outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of recorded requests. Pure."""
+"""Outcomes of recorded requests, and their names in records."""
 
 from __future__ import annotations
 
@@ -21,4 +21,4 @@
 
 
 OUTCOME_NAMES = ("served", "refused", "failed", "gone", "rejected")
-"""Names of the outcomes in records, by value. Searches of the receivers' logs use them."""
+"""Names of the outcomes in records, by value. Keep them: searches of the receivers' logs contain them."""
--- a/anisespool/records/recorded_proxy.py
+++ b/anisespool/records/recorded_proxy.py
@@ -19,7 +19,7 @@
 from anisespool.upstream.cluster import Cluster
 
 OUTCOMES_BY_STATUS = {200: Outcome.SERVED, 503: Outcome.SHED, 0: Outcome.CLIENT_DISCONNECTED}
-# The ids of this many removed endpoints are kept, as attempts there may still be in flight.
+# Number of removed endpoints whose ids are kept, for records of attempts still in flight there.
 MAX_REMOVED_ENDPOINTS = 1024
 
 # Bound once, as it is used for each request and Python 3.11 looks up enum members through a property.
@@ -30,7 +30,7 @@
     """Passes each request to a recorder once its last attempt has ended."""
 
     def __init__(self, config: PlatformConfig, cluster: Cluster, recorder: Recorder) -> None:
-        """Create a proxy that records with `recorder`."""
+        """Create a proxy that passes its records to `recorder`."""
         super().__init__(config, cluster)
         self._recorder = recorder
         self._endpoint_ids: dict[int, str] = {}
@@ -58,7 +58,7 @@
         if exchange and request_id not in self._exchanges:
             try:
                 record = self._request_record(exchange)
-            except Exception as error:  # An error loses this record but no request, as in the recorder.
+            except Exception as error:  # As in `Recorder.record`, an error loses only this record.
                 self._recorder.log_failure(error)
                 return
             self._recorder.record(record)
@@ -87,6 +87,7 @@
             tenant,
             request_fingerprint(call.request, tenant),
             call.is_retry,
+            # arrived_ns; it is too early if a shutdown has shortened the time for attempts.
             exchange.attempts_end_at - max(0, call.timeout_ns - RESPONSE_RESERVE_NS),
             finished_ns,
             retry_after_s,
