--- a/anisespool/cli/change_tables.py
+++ b/anisespool/cli/change_tables.py
@@ -16,7 +16,7 @@
 
 
 def change_status(reply: pb.StatusReply) -> list[RenderableType]:
-    """Return a change with its targets, the change history, the drains, and any error of the store."""
+    """Return the parts to print: a change's progress and targets, the history, drains and any store error."""
     parts: list[RenderableType] = []
     if reply.HasField("progress"):
         parts.append(progress_bar(reply.progress))
--- a/anisespool/cli/demo_fleet.py
+++ b/anisespool/cli/demo_fleet.py
@@ -26,7 +26,7 @@
 CHANGE_TOML = "[connections]\nidle_per_endpoint = 16\n"
 
 ReportStage = Callable[[str], None]
-"""Callback that receives a line of text when a stage of the demo begins."""
+"""Callback that receives a line of text when a stage begins: the start, each `Step`, or the final wait."""
 
 
 class Step(NamedTuple):
@@ -47,7 +47,7 @@
     """The fleet, its traffic, and the steps of the demo.
 
     Attributes:
-        load: Requests by the clients, with their outcomes.
+        load: Log of the clients' requests and their outcomes.
         problems: One line for each command that failed.
     """
 
@@ -58,13 +58,13 @@
         self._endpoints = [
             CountingEndpoint(f"push-{number}", slow_start_s=SLOW_START_S) for number in range(FLEET_ENDPOINTS)
         ]
-        self._discovery: DiscoveryService  # like the fleet, only set within `run`
+        self._discovery: DiscoveryService  # set by `run`, like `_fleet`
         self._fleet: LocalFleet
         self._drains: list[Drain] = []
         self._restarted: list[CountingEndpoint] = []
 
     async def run(self, seconds: float, report_stage: ReportStage) -> list[Verdict]:
-        """Run the fleet under traffic, and return the verdict on each of the four rules.
+        """Run the fleet under traffic, and return the verdicts on the four rules of `fakes/rule_checker.py`.
 
         Args:
             seconds: Duration of the traffic.
@@ -121,7 +121,7 @@
             self.problems.append(f"{' '.join(arguments)}: status {status}: {lines[-1]}")
 
     async def _drain_endpoint(self) -> None:
-        # The drain counts from before the call to the agent: no sidecar can have applied it earlier.
+        # `notified_s` is the time before the call to the agent: no sidecar can have been notified earlier.
         self._drains.append(Drain(self._endpoints[0], time.monotonic()))
         await asyncio.to_thread(self._request_drain, pb.DrainRequest(drain=["push-0"], author="demo"))
 
--- a/anisespool/cli/inspection_commands.py
+++ b/anisespool/cli/inspection_commands.py
@@ -19,7 +19,7 @@
 from anisespool.cli.instance_views import InstanceDescription, MembershipView, parse_view
 
 NO_STATUS = ""  # `Target.standing` of an instance to which the change does not apply
-COMPLETE_STATUSES = frozenset((RolloutStatus.UP_TO_DATE.value, NO_STATUS))
+SETTLED_STATUSES = frozenset((RolloutStatus.UP_TO_DATE.value, NO_STATUS))  # nothing left to apply
 
 
 def list_instances(
@@ -53,20 +53,20 @@
 
 
 def show_peers(pattern: InstancePattern = "*", config: ConfigPath = None, as_json: AsJson = False) -> None:
-    """Show the members that each instance considers alive, as a matrix. It also reveals one-way partitions.
+    """Show the state of each member as each instance sees it: a matrix that reveals one-way partitions too.
     Exit 3 while views differ."""
     with connect_to_agent(config) as stub:
         replies = list(stub.Peers(pb.PeersRequest(pattern=pattern), timeout=CALL_TIMEOUT_S))
     answers = {reply.name: json.loads(reply.peers_json) for reply in replies if reply.peers_json}
     views = {name: parse_view(answer, MembershipView, name) for name, answer in answers.items()}
-    without_view = {reply.name: reply.detail for reply in replies if not reply.peers_json}
+    reasons_without_view = {reply.name: reply.detail for reply in replies if not reply.peers_json}
     if as_json:
         for name, answer in answers.items():
             output.print_json({"name": name} | answer)
-        for name, detail in without_view.items():
+        for name, detail in reasons_without_view.items():
             output.print_json({"name": name, "detail": detail})
     else:
-        output.console.print(*membership_matrix.render(views, without_view))
+        output.console.print(*membership_matrix.render(views, reasons_without_view))
     if len({view.live_members() for view in views.values()}) > 1:
         raise typer.Exit(ExitStatus.PARTIAL)
 
@@ -79,7 +79,7 @@
         output.print_json(output.message_to_dict(reply))
     else:
         output.console.print(*change_tables.change_status(reply))
-    if any(target.standing not in COMPLETE_STATUSES for target in reply.targets):
+    if any(target.standing not in SETTLED_STATUSES for target in reply.targets):
         raise typer.Exit(ExitStatus.PARTIAL)
 
 
--- a/anisespool/cli/membership_matrix.py
+++ b/anisespool/cli/membership_matrix.py
@@ -12,7 +12,7 @@
 from anisespool.cli.output import format_duration
 from anisespool.cli.tables import Column, build_table
 
-MAX_DISPLAYED_MEMBERS = 200  # maximum of marks in a row; counts include all members
+MAX_DISPLAYED_MEMBERS = 200  # marks shown in a row, lowest numbers first; the counts cover all members
 
 
 class Mark(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 class NamedView(NamedTuple):
-    """Name of an instance, and its view."""
+    """Name of an instance, and its view: not the `MembershipView` of `membership/view.py`."""
 
     instance: str
     view: MembershipView
@@ -44,18 +44,18 @@
     return "".join(mark.character for mark in _marks(view))
 
 
-def render(views: dict[str, MembershipView], without_view: dict[str, str]) -> list[RenderableType]:
+def render(views: dict[str, MembershipView], reasons_without_view: dict[str, str]) -> list[RenderableType]:
     """Return the matrix, its legend, whether views agree, and a line for each instance without a view.
 
     Args:
         views: Views by name of the instance.
-        without_view: Reasons why instances have no view, by name of the instance.
+        reasons_without_view: Reasons why instances have no view, by name of the instance.
     """
     table = build_table("Who sees whom", VIEW_COLUMNS, starmap(NamedView, views.items()))
     parts: list[RenderableType] = [table, Text(LEGEND, style="dim")]
     if views:
         parts.append(_agreement(len({view.live_members() for view in views.values()})))
-    parts += [Text(f"{name}: {detail}", style="yellow") for name, detail in without_view.items()]
+    parts += [Text(f"{name}: {detail}", style="yellow") for name, detail in reasons_without_view.items()]
     return parts
 
 
--- a/anisespool/lab/explore/state_space.py
+++ b/anisespool/lab/explore/state_space.py
@@ -1,10 +1,10 @@
 """Breadth-first exploration of all states that a protocol can reach.
 
-A model is pure: it has hashable states and labelled steps. A step is either one of the protocol's own or a
-fault; the state itself bounds the number of faults. Each state is checked for two properties: it violates no
-invariant, and the protocol's own steps alone can lead from it to convergence ("always able to recover"). As
-states are visited breadth first, the trace to a violation is a shortest one. This is explicit-state model
-checking as in SPIN (Holzmann 1997).
+A model's states are hashable, and its labelled steps depend on the state alone. A step is either one of the
+protocol's own or a fault; a state includes the number of faults that can still happen. Each state is checked
+for two properties: it violates no invariant, and the protocol's own steps alone can lead from it to
+convergence ("always able to recover"). As states are visited breadth first, the trace to a violation is a
+shortest one. This is explicit-state model checking as in SPIN (Holzmann 1997).
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         """Return whether the protocol has reached its goal in `state`."""
 
     def canonical(self, state: State) -> State:
-        """Return the representative of all states that equal `state` after renumbering its parts."""
+        """Return the same state for all that differ only in the numbering of interchangeable parts."""
 
 
 class ExplorationResult(NamedTuple):
@@ -96,7 +96,10 @@
 
 
 def explore(model: ProtocolModel[Any], max_states: int = DEFAULT_MAX_STATES) -> ExplorationResult:
-    """Visit every reachable state; stop at a violated invariant, or at more than `max_states` states."""
+    """Visit all reachable states, then check that each can recover.
+
+    Stop early at a violated invariant, or at more than `max_states` states.
+    """
     started = time.perf_counter()
     exploration = _Exploration(model, max_states)
     ending = exploration.run()
--- a/anisespool/lab/live/datagram_network.py
+++ b/anisespool/lab/live/datagram_network.py
@@ -1,10 +1,10 @@
 """The network between sidecars: UDP on loopback, with one address in `peers` for each sidecar.
 
-As the protocol's section "Between sidecars" has it, a sidecar sends datagrams of up to 256 bytes to an
+As the section "Between sidecars" of the protocol says, a sidecar sends datagrams of up to 256 bytes to an
 address in `peers`, or to `peers_all` for every sidecar. A datagram arrives at `peer_listen` from the sender's
-own address in `peers`, late or not at all. This process owns those addresses. It needs one socket for each,
-so 201 sockets for 200 sidecars and not 40,000: the socket that receives a datagram identifies the receiver,
-and the source address identifies the sender.
+own address in `peers`; it may be late or lost. This process owns the addresses in `peers` and `peers_all`. It
+needs one socket for each, so 201 for 200 sidecars and not 40,000 (one for each sender and receiver): the
+socket that receives a datagram identifies the receiver, and the source address identifies the sender.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 READ_BATCH = 16  # datagrams read before the event loop runs other callbacks
 BROADCAST = -1  # receiver number that stands for all sidecars
 SOCKET_BUFFER_BYTES = 2**21  # drops by the kernel would be mistaken for the scenario's loss
-SLOT_NS = 100_000_000  # resolution of the delivery log
+SLOT_NS = 100_000_000  # length of a delivery slot
 MAX_SLOTS = 100_000
 
 
@@ -55,7 +55,7 @@
 class DeliverySlot(NamedTuple):
     """A slot of 100 ms in which a datagram of `sender` was delivered to another sidecar."""
 
-    slot: int
+    slot: int  # monotonic time divided by `SLOT_NS`, rounded down
     sender: int
 
 
@@ -68,7 +68,7 @@
     delivered: int = 0
     oversized: int = 0
     unknown_senders: int = 0  # datagrams from an address that is no sidecar's `peer_listen`
-    unsent: int = 0  # a send buffer or the receiver's buffer was full
+    unsent: int = 0  # `sendto` failed with any OSError, such as a full buffer
 
 
 class DatagramNetwork:
@@ -135,13 +135,13 @@
         self.counts.sent[sender] += 1
         self.counts.bytes[sender] += len(data)
         if receiver != BROADCAST:
-            self._pass_links(sender, receiver, data)
+            self._send_over_link(sender, receiver, data)
             return
         for number in range(len(self.nodes)):
             if number != sender:
-                self._pass_links(sender, number, data)
+                self._send_over_link(sender, number, data)
 
-    def _pass_links(self, sender: int, receiver: int, data: bytes) -> None:
+    def _send_over_link(self, sender: int, receiver: int, data: bytes) -> None:
         now = self._clock.now
         for copy in self._links.send_datagram(now, self.nodes[sender], self.nodes[receiver], data):
             if copy.at <= now:
@@ -165,9 +165,9 @@
 class _PortReservations:
     """Reserves UDP ports for processes that are started later.
 
-    The kernel could assign a free ephemeral port to another process before it is bound. It never assigns
-    ports below the ephemeral range. An abstract Unix socket for each port, which ends with this process,
-    keeps other runs on this machine from using it.
+    The kernel could assign a free ephemeral port to another process before the intended one binds it. It
+    never assigns ports below the ephemeral range. An abstract Unix socket for each port keeps other runs on
+    this machine from using it, at the longest until this process ends.
     """
 
     def __init__(self) -> None:
--- a/anisespool/lab/live/gossip_member_process.py
+++ b/anisespool/lab/live/gossip_member_process.py
@@ -14,7 +14,7 @@
 
 
 class GossipMemberProcess(ProcessHandle):
-    """A gossiping process. It reports events on standard output, and is ready with the first one."""
+    """A gossiping process. It reports events on standard output; it is ready once it has reported one."""
 
     def __init__(
         self,
@@ -22,8 +22,8 @@
         run_folder: Path,
         supervisor: ProcessSupervisor,
         network: PeerNetwork,
-        budget: float,
-        mutation: str = "",
+        budget: float,  # units, for all members together
+        mutation: str = "",  # deliberate defect of this member; empty for none
     ) -> None:
         super().__init__(number, run_folder, supervisor)
         configuration = {
@@ -41,7 +41,7 @@
         self._has_reported = False
 
     def _stdout(self) -> int | None:
-        return asyncio.subprocess.PIPE
+        return asyncio.subprocess.PIPE  # not the standard output of this process
 
     def _on_started(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout
--- a/anisespool/lab/scenario/base.py
+++ b/anisespool/lab/scenario/base.py
@@ -1,4 +1,4 @@
-"""Shared by all tables of a scenario: units, types of bounded numbers, the base class and the error."""
+"""What all tables of a scenario share: units, types of bounded numbers, the base class and the error."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Zone = Annotated[int, Meta(ge=0, le=31)]
 Index = Annotated[int, Meta(ge=0)]
-Range = tuple[float, float]
+Range = tuple[float, float]  # minimum and maximum
 
 
 class ScenarioError(ValueError):
--- a/anisespool/lab/search/search.py
+++ b/anisespool/lab/search/search.py
@@ -1,7 +1,8 @@
 """Searches for scenarios that break a rule or lose much service: a random search guided by observations.
 
-A scenario that led to a new observation (an outcome of an attempt under a kind of fault) is kept and varied,
-as a coverage-guided fuzzer keeps inputs that reach new code.
+Service is the share of the requested weight that was served in time. A scenario that led to a new observation
+(an outcome of an attempt under a kind of fault) is kept and varied, as a coverage-guided fuzzer keeps inputs
+that reach new code.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from anisespool.lab.search.scenario_generator import draw_scenario, vary_scenario
 
 NEW_SCENARIO_SHARE = 0.4  # the other scenarios are variations of kept ones
-MAX_CORPUS_SIZE = 200  # scenarios kept when another one is added
+MAX_OLDER_SCENARIOS = 200  # kept when another one is added, so the corpus holds up to 201
 MAX_RUN_SEED = 1_000_000
 MAX_MEASURED_LOSS = 1.0  # service is a share between 0 and 1, so no loss exceeds this
 REFERENCE_POLICY = "sees-all"
@@ -38,8 +39,8 @@
 class ObservingWorld(World):
     """A simulation that collects observations."""
 
-    def __init__(self, scenario: Scenario, seed: int, module: Callable[..., Any]) -> None:
-        super().__init__(scenario, seed, module)
+    def __init__(self, scenario: Scenario, seed: int, module_factory: Callable[..., Any]) -> None:
+        super().__init__(scenario, seed, module_factory)
         self.observations: set[Observation] = set()
         self._fault_kinds = sorted({fault.kind for fault in scenario.faults})
 
@@ -68,7 +69,7 @@
         if observations <= self._observations:
             return
         self._observations |= observations
-        self._scenarios = [*self._scenarios[-MAX_CORPUS_SIZE:], scenario]
+        self._scenarios = [*self._scenarios[-MAX_OLDER_SCENARIOS:], scenario]
 
 
 def search(
@@ -85,7 +86,7 @@
         seed: Seed of the search.
         seconds: Duration of the search, by `clock`.
         max_loss: A run whose service is lower than the reference policy's by more than this is a finding too.
-            Above 1 service is not compared.
+            Values above 1 disable this comparison.
         clock: Returns the time in seconds.
     """
     random = Random(seed)
@@ -96,7 +97,7 @@
         run_seed = random.randrange(MAX_RUN_SEED)
         world = ObservingWorld(scenario, run_seed, policy_factory(policy))
         metrics = world.run()
-        if not world.broken:
+        if not world.broken:  # the text of the broken rule, empty without one
             corpus.add_if_new(scenario, world.observations)
         description = world.broken or _describe_loss(scenario, run_seed, metrics, max_loss)
         yield Finding(scenario, run_seed, policy, description) if description else None
