--- a/anisespool/fakes/rule_checker.py
+++ b/anisespool/fakes/rule_checker.py
@@ -26,7 +26,7 @@
 
     endpoint: CountingEndpoint
     notified_s: float
-    """Time at which all sidecars had been notified."""
+    """Start of the grace period; no later than the notification of the last sidecar."""
     ended_s: float = float("inf")
 
 
