--- a/benchmarks/records/trace.py
+++ b/benchmarks/records/trace.py
@@ -21,15 +21,15 @@
 RECORDS = 1_000_000
 RECORDS_PER_OTHER_LINE = 10
 OTHER_LINE = b"Jul 28 20:00:00 lima kernel: something else\n"
-MEMBERS = 50  # records call a tenant a member
+TENANTS = 50  # each a `member` in records
 ENDPOINTS = 40
 """Number of endpoints from which `record_soak` draws."""
 FIRST_RECORD_NS = 1_785_286_800_000_000_000
 RECORD_INTERVAL_NS = 1_000_000
 KB_PER_MB = 1024
 
-# Runs the command line, and prints its peak memory in kB at the end.
-COMMAND = """import sys
+# Python source that runs the command line, and prints its peak memory in kB at the end.
+MAIN_SOURCE = """import sys
 from anisespool.__main__ import main
 status = main()
 print(open("/proc/self/status").read().split("VmHWM:")[1].split()[0], file=sys.stderr)
@@ -46,7 +46,7 @@
 
 QUERIES = (
     Query(("--id", "t777777"), 1),
-    Query(("--by", "member"), MEMBERS),
+    Query(("--by", "member"), TENANTS),
     Query(("--by", "endpoint"), ENDPOINTS),
     Query(("--worst", "10"), 10),
     Query(("--dropped",), 0),
@@ -59,7 +59,7 @@
     random = Random(SEED)
     with path.open("wb") as file:
         for number in range(RECORDS):
-            record = record_soak.random_request(random, number, b"member-%d" % (number % MEMBERS))
+            record = record_soak.random_request(random, number, b"member-%d" % (number % TENANTS))
             at_ns = FIRST_RECORD_NS + number * RECORD_INTERVAL_NS
             file.write(encoder.encode_request(number + 1, record, at_ns) + b"\n")
             if number % RECORDS_PER_OTHER_LINE == 0:
@@ -69,7 +69,7 @@
 def _run_query(report: Report, path: Path, query: Query) -> tuple[Cell, ...]:
     """Check the objective for a query, and return its row."""
     query_arguments = " ".join(query.arguments)
-    command = [sys.executable, "-c", COMMAND, "trace", str(path), *query.arguments, "--json"]
+    command = [sys.executable, "-c", MAIN_SOURCE, "trace", str(path), *query.arguments, "--json"]
     start = time.monotonic()
     finished = subprocess.run(command, capture_output=True, text=True, check=True)
     took_s = time.monotonic() - start
--- a/tests/balancer/test_hostile_events.py
+++ b/tests/balancer/test_hostile_events.py
@@ -1,4 +1,4 @@
-"""Extreme but valid values neither raise nor break a rule, also with other deployments' settings."""
+"""Extreme or invalid values, failing fleets and unusual settings neither raise nor break a rule."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_a_sidecar_with_a_low_request_rate_returns_to_a_failed_endpoint() -> None:
-    """One request in two seconds gives few samples, so a bad one has to decay with time."""
+    """One request in two seconds gives few samples, so the effect of a failure has to decay with time."""
     sidecar = Sidecar([listed(1), listed(2), listed(3)])
     for _ in range(6):
         for send in sends(sidecar.request(cls=2)):
@@ -80,23 +80,23 @@
     assert load(busy, later) / load(idle, later) < 1.2
 
 
-def test_an_attempt_of_a_streaming_class_may_take_until_the_deadline() -> None:
+def test_an_attempt_of_a_streaming_class_has_no_timeout_but_the_deadline() -> None:
     raw = raw_settings()
     raw["request-classes"][0]["stream"] = True
     sidecar = Sidecar([listed(1)])
     sidecar.balancer = type(sidecar.balancer)(Settings.from_dict(raw), 1)
     sidecar.update_endpoints([listed(1)], EndpointListKind.CACHED)
-    assert sends(sidecar.request())[0].timeout_ns == 0
+    assert sends(sidecar.request())[0].timeout_ns == 0  # the client's deadline applies
 
 
 def test_requests_at_stalled_endpoints_keep_timers_and_state_bounded() -> None:
     sidecar = Sidecar([listed(1), listed(2)])
     sidecar.serve(20)
-    pending = []
+    timers_set = []
     for _ in range(400):
-        pending += timers(sidecar.request(cls=2))
+        timers_set += timers(sidecar.request(cls=2))
         sidecar.now += MS
-    assert len(pending) < 500
+    assert len(timers_set) < 500
     assert len(sidecar.balancer.pending) < 400
 
 
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, 0.0, 3e38])
 def test_gossip_with_any_values_does_not_raise(value: float) -> None:
-    """Gossip may hold any values, as the operators choose how it is transported."""
+    """Gossip may hold any values: operators choose its transport, which need not bound them."""
     sidecar = Sidecar([listed(1), listed(2)], allowed__peers=True)
     observations = (
         api.EndpointObservation(1, value, value, -(10**18)),
@@ -120,5 +120,6 @@
         for send in sends(sidecar.request()):
             sidecar.now += 10 * MS
             sidecar.outcome(send)
+    # Clamped to a queueing ratio of 1 (all objectives missed), at which requests may be rejected.
     reports_overload = value in (float("inf"), 3e38)
     assert reports_overload or len(sidecar.serve(40)) == 40
--- a/tests/config/test_destination.py
+++ b/tests/config/test_destination.py
@@ -17,16 +17,16 @@
 )
 from anisespool.config.platform import Address
 
-LOCALHOST = Address("127.0.0.1", 514)
-LONGEST_PATH = "/" + 106 * "x"
+SYSLOG_ADDRESS = Address("127.0.0.1", 514)
+LONGEST_PATH = "/" + 106 * "x"  # 107 bytes: `sun_path` without its terminating zero
 
 
 @pytest.mark.parametrize(
     ("url", "destination"),
     [
-        ("udp://127.0.0.1:514", NetworkDestination(Transport.UDP, LOCALHOST)),
-        ("tcp://127.0.0.1:514", NetworkDestination(Transport.TCP, LOCALHOST)),
-        ("tls://127.0.0.1:514", NetworkDestination(Transport.TLS, LOCALHOST)),
+        ("udp://127.0.0.1:514", NetworkDestination(Transport.UDP, SYSLOG_ADDRESS)),
+        ("tcp://127.0.0.1:514", NetworkDestination(Transport.TCP, SYSLOG_ADDRESS)),
+        ("tls://127.0.0.1:514", NetworkDestination(Transport.TLS, SYSLOG_ADDRESS)),
         ("unix:///dev/log", UnixDestination(Path("/dev/log"))),
         (f"unix://{LONGEST_PATH}", UnixDestination(Path(LONGEST_PATH))),
     ],
--- a/tests/golden/support.py
+++ b/tests/golden/support.py
@@ -72,7 +72,7 @@
 
 
 def accepts_connections(path: Path) -> bool:
-    """Return whether a Unix socket accepts connections. Its path exists from bind on, before listen."""
+    """Return whether a Unix socket accepts connections; bind creates its path before that."""
     with socket.socket(socket.AF_UNIX) as client:
         try:
             client.connect(os.path.relpath(path))  # An address has at most 107 characters.
@@ -82,10 +82,10 @@
 
 
 @contextmanager
-def running(arguments: list[str], folder: Path, ready: Path) -> Iterator[subprocess.Popen[bytes]]:
-    """Run `anisespool ARGUMENTS` as a process in a folder, and yield it when the socket `ready` accepts.
+def running(arguments: list[str], folder: Path, path: Path) -> Iterator[subprocess.Popen[bytes]]:
+    """Run `anisespool ARGUMENTS` as a process in a folder, and yield it when the socket at `path` accepts.
 
-    A sidecar has the configuration of data/control, whose endpoints do not exist.
+    Its configuration is that of data/control, whose endpoints do not exist.
     """
     for name in ("config.json", "operator.toml"):
         shutil.copy(DATA / "control" / name, folder)
@@ -99,8 +99,8 @@
     command = [sys.executable, "-m", "anisespool", *arguments, "--config", "operator.toml"]
     process = subprocess.Popen(command, cwd=folder, env=environment, stderr=subprocess.DEVNULL)
     try:
-        wait_until(lambda: accepts_connections(ready) or process.poll() is not None)
-        assert accepts_connections(ready), f"{arguments[0]} is not ready, its exit status is {process.poll()}"
+        wait_until(lambda: accepts_connections(path) or process.poll() is not None)
+        assert accepts_connections(path), f"{arguments[0]} is not ready, its exit status is {process.poll()}"
         yield process
     finally:
         process.kill()
--- a/tests/listener/conftest.py
+++ b/tests/listener/conftest.py
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 def servers(monkeypatch: pytest.MonkeyPatch) -> list[Server]:
-    """The listener of each sidecar that the test starts, to inspect state that peers can't see."""
+    """The listener of each sidecar that the test starts, to inspect state that clients can't see."""
     created: list[Server] = []
 
-    class RecordedServer(Server):
+    class CollectedServer(Server):
         def __init__(self, *args: Any) -> None:
             super().__init__(*args)
             created.append(self)
 
-    monkeypatch.setattr(composition, "Server", RecordedServer)
+    monkeypatch.setattr(composition, "Server", CollectedServer)
     return created
--- a/tests/listener/test_timeouts.py
+++ b/tests/listener/test_timeouts.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(
     ("has_unsent_output", "timeout_s"), [(True, WRITE_TIMEOUT_S), (False, LINGER_TIMEOUT_S)]
 )
-def test_a_client_has_longer_to_read_its_response_than_to_close_its_side(
+def test_a_connection_whose_client_does_not_read_or_close_in_time_is_aborted(
     has_unsent_output: bool, timeout_s: float
 ) -> None:
     assert write_action(timeout_s, has_unsent_output) is None
--- a/tests/records/test_reports.py
+++ b/tests/records/test_reports.py
@@ -1,4 +1,4 @@
-"""Reports about the records themselves: when they are due, and which are repeated after a lost connection."""
+"""Reports of gaps, unconfirmed records and counts: when due, and which to repeat after a lost connection."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     assert reports.take_counts_if_due(START_S + COUNTS_REPORT_INTERVAL_S, closing=False) is None
 
 
-def test_at_shutdown_counts_are_reported_until_they_are_sent(reports: StatusReports) -> None:
+def test_at_shutdown_counts_that_were_not_sent_are_reported_again(reports: StatusReports) -> None:
     counts = reports.take_counts_if_due(START_S, closing=True)
     assert counts
     assert params(counts)["last"] == "1"
@@ -94,23 +94,23 @@
 
 def test_a_report_that_could_not_be_sent_is_pending_again(queue: RecordQueue, reports: StatusReports) -> None:
     drop(queue, 1)
-    report = take_one(reports, START_S)
+    record = take_one(reports, START_S)
     assert not reports.has_pending
-    reports.on_not_sent(report)
+    reports.on_not_sent(record)
     assert reports.has_pending
-    assert take_one(reports, START_S).report is report.report
+    assert take_one(reports, START_S).report is record.report
 
 
 def test_a_report_is_repeated_and_marked_after_a_lost_connection(
     queue: RecordQueue, reports: StatusReports
 ) -> None:
     drop(queue, 1)
-    report = take_one(reports, START_S)
-    assert "again" not in params(report)
-    reports.on_sent(report)
+    record = take_one(reports, START_S)
+    assert "again" not in params(record)
+    reports.on_sent(record)
     reports.on_connection_lost(UnconfirmedRange(5, 10, 14))
     repeated, unconfirmed = reports.take_due(START_S, closing=False)
-    assert params(repeated) == params(report) | {"again": "1"}
+    assert params(repeated) == params(record) | {"again": "1"}
     assert (params(unconfirmed)["unsure"], params(unconfirmed)["first"]) == ("5", "10")
 
 
@@ -132,5 +132,6 @@
     reports.on_connection_lost(UnconfirmedRange(1, 999, 999))
     repeated = [params(record) for record in reports.take_due(START_S, closing=False)]
     assert len(repeated) == MAX_REPEATED_REPORTS
+    # Of gaps 1 to 74, the last 63 are left beside the report of unconfirmed records.
     assert repeated[0]["first"] == "12"
     assert repeated[-1]["unsure"] == "1"
