--- a/anisespool/balancer/admission/fleet_capacity.py
+++ b/anisespool/balancer/admission/fleet_capacity.py
@@ -1,4 +1,4 @@
-"""Concurrency of the ready endpoints, and the requests of other sidecars that queue there."""
+"""Concurrency of the ready endpoints, and other sidecars' requests queued there."""
 
 from math import exp2
 from typing import NamedTuple
@@ -21,7 +21,7 @@
 def fleet_capacity(
     ready: list[Endpoint], slowdowns: SlowdownEstimates, now: int, half_life_ns: int
 ) -> FleetCapacity:
-    """Return the capacity and queues of the ready endpoints.
+    """Return the ready endpoints' capacity and queues.
 
     A burst slows down all endpoints, so only a slowdown above the lower quartile lowers the concurrency.
     Reported queues decay with `half_life_ns`.
--- a/anisespool/balancer/admission/latency_limit.py
+++ b/anisespool/balancer/admission/latency_limit.py
@@ -20,7 +20,7 @@
 
 
 class LatencyLimit:
-    """Sets the limit of the queueing ratio by the latency that answers usually have.
+    """Sets the limit of the queueing ratio by the usual latency of answers.
 
     Attributes:
         limit: Queueing ratio above which requests are shed.
--- a/anisespool/balancer/admission/load_snapshot.py
+++ b/anisespool/balancer/admission/load_snapshot.py
@@ -1,4 +1,4 @@
-"""A cached snapshot of the fleet's capacity and of this sidecar's open requests."""
+"""A cached snapshot of the fleet's capacity and this sidecar's open requests."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
--- a/anisespool/balancer/admission/peak_rate.py
+++ b/anisespool/balancer/admission/peak_rate.py
@@ -6,8 +6,8 @@
 
 from anisespool.balancer.estimates.decaying_value import RATE_NORMALIZATION_FACTOR, DecayingValue
 
-PEAK_HALF_LIFE_DEADLINES = 20  # the peak's half-life, in multiples of the longest deadline
-RECENT_RATE_HALF_LIFE_OBJECTIVES = 0.25  # the half-life of the rate whose peak is kept, in latency objectives
+PEAK_HALF_LIFE_DEADLINES = 20  # the peak's half-life, in longest deadlines
+RECENT_RATE_HALF_LIFE_OBJECTIVES = 0.25  # the recent rate's half-life, in latency objectives
 # Standard deviations subtracted from the recent rate, as a few answers close together are no peak.
 CONFIDENCE_DEVIATIONS = 1.0
 SATURATED_SMOOTHING_FACTOR = 0.02  # applies to the peak while requests queue
--- a/anisespool/balancer/admission/queueing_ratio.py
+++ b/anisespool/balancer/admission/queueing_ratio.py
@@ -8,7 +8,7 @@
 
 QUEUEING_SMOOTHING_FACTOR = 0.3  # high, to react within a few attempts
 GOSSIP_SMOOTHING_FACTOR = 0.5  # weight of another sidecar's queueing ratio
-QUEUEING_HALF_LIFE_DEADLINES = 4  # the ratio's half-life, in multiples of the longest deadline
+QUEUEING_HALF_LIFE_DEADLINES = 4  # the ratio's half-life, in longest deadlines
 RECENT_MAX_HALF_LIFE_OBJECTIVES = 5  # the recent maximum's half-life, in latency objectives
 
 
--- a/anisespool/balancer/admission/service_rate.py
+++ b/anisespool/balancer/admission/service_rate.py
@@ -25,7 +25,7 @@
     smoothing_factor: float
     """Weight of this sample."""
     target_ns: int
-    """The latency objective of the request's class."""
+    """The request's latency objective."""
     open_before: int
     """Other open requests of this sidecar when the request arrived."""
 
--- a/anisespool/balancer/balancer.py
+++ b/anisespool/balancer/balancer.py
@@ -49,7 +49,7 @@
         settings: Only the tenants' shares may be replaced later.
         now: Time of the event being handled, monotonic ns.
         pending: Requests that are open or still have an attempt in flight, by id.
-        open_requests: Number of requests that are neither answered nor given up by their clients.
+        open_requests: Requests that are neither answered nor given up by their clients.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -291,7 +291,7 @@
         self._on_load_report(event)
 
     def _record_outcome(self, request: PendingRequest, attempt: Attempt, event: api.AttemptOutcome) -> None:
-        """Update the estimates with an outcome, log a failure, and send gossip if it is due."""
+        """Update the estimates, log a failure, and send gossip if it is due."""
         now = self.now
         if event.status is AttemptStatus.OK:
             self._outcomes.record_answer(request, attempt, event, self.open_requests, now)
--- a/anisespool/balancer/deadlines.py
+++ b/anisespool/balancer/deadlines.py
@@ -51,7 +51,7 @@
         Args:
             queued_before: Earlier requests with the same ordering key. A stuck one would make all behind it
                 late, so each gives up while it can still be answered elsewhere.
-            expected_latency_ns: Expected latency, assumed for each of the earlier requests.
+            expected_latency_ns: Assumed for each of the earlier requests.
             pause_ns: Remaining pause of the ordering key.
         """
         return self.useful_until - now - int(queued_before * expected_latency_ns) - pause_ns
--- a/anisespool/balancer/endpoint_table.py
+++ b/anisespool/balancer/endpoint_table.py
@@ -12,7 +12,7 @@
     """The endpoints in one sidecar's endpoint list.
 
     Attributes:
-        by_id: All listed endpoints, including draining ones, the most recently updated last.
+        by_id: All listed endpoints, also draining ones, the most recently updated last.
         ready: Endpoints that may be sent to, the sidecar's subset first.
     """
 
@@ -39,7 +39,7 @@
         self.ready = order_by_rank([e for e in self.by_id.values() if e.ready], local_zone)
 
     def mean_weight(self) -> float:
-        """Return the mean configured weight of the ready endpoints."""
+        """Return the ready endpoints' mean configured weight."""
         return sum(e.weight for e in self.ready) / max(1, len(self.ready)) or 1.0
 
     def subset(self, request_rate_per_ns: float) -> list[Endpoint]:
--- a/anisespool/balancer/estimates/class_latency.py
+++ b/anisespool/balancer/estimates/class_latency.py
@@ -35,7 +35,7 @@
         return max(1.0, min(expected_ns, MAX_EXPECTED_LATENCIES * typical_ns))
 
     def record_answer(self, event: api.RequestArrived, latency_ns: int) -> None:
-        """Update the class's averages with an attempt that succeeded."""
+        """Update the class's averages with a successful attempt."""
         class_index = event.class_index
         self._answers[class_index] += 1
         alpha = max(CLASS_SMOOTHING_FACTOR, 1 / self._answers[class_index])
--- a/anisespool/balancer/estimates/estimates.py
+++ b/anisespool/balancer/estimates/estimates.py
@@ -22,13 +22,13 @@
         self.loads = LoadEstimates(settings, longest_deadline_ns, self.concurrency)
 
     def record_answer(self, attempt: Attempt, event: api.RequestArrived, latency_ns: int) -> None:
-        """Update the estimates with the latency of an attempt that succeeded."""
+        """Update the estimates with a successful attempt's latency."""
         class_index = event.class_index
         self.concurrency.record_answer(attempt.endpoint, class_index, latency_ns, attempt.in_flight_when_sent)
         self.class_latencies.record_answer(event, latency_ns)
 
     def record_observation(self, endpoint: Endpoint, observation: api.EndpointObservation, now: int) -> None:
-        """Update the estimates with another sidecar's observation of an endpoint."""
+        """Update the estimates with another sidecar's observation."""
         observed_at = now - max(0, observation.age_ns)
         self.slowdowns.record_observation(endpoint, observation, observed_at)
         self.loads.record_observation(endpoint, observation, observed_at)
--- a/anisespool/balancer/estimates/load.py
+++ b/anisespool/balancer/estimates/load.py
@@ -1,4 +1,4 @@
-"""Effective load of each endpoint: its reported queue, and what this sidecar sent there since."""
+"""Effective load of each endpoint: its reported queue, and attempts sent since."""
 
 from __future__ import annotations
 
--- a/anisespool/balancer/event_log.py
+++ b/anisespool/balancer/event_log.py
@@ -1,4 +1,4 @@
-"""Log lines of the decision module (docs/on-call.md), with one method for each event.
+"""Log lines of the decision module (docs/on-call.md), one method for each event.
 
 Each event is logged at most once per longest class deadline, to bound the load that the log causes.
 """
@@ -13,7 +13,7 @@
 
 
 class EventLog:
-    """Returns the action that logs an event, or none if the event was logged recently."""
+    """Returns the action that logs an event; none if it was logged recently."""
 
     def __init__(self, interval_ns: int) -> None:
         self._interval_ns = interval_ns
@@ -43,7 +43,7 @@
     def endpoint_failing(
         self, now: int, number: int, status: api.AttemptStatus, slowdown: float
     ) -> LogActions:
-        """Log that an attempt at an endpoint failed."""
+        """Log that an attempt failed."""
         if not self._try_start_interval("endpoint_failing", now):
             return ()
         name = status.name.lower()
--- a/anisespool/balancer/hashing.py
+++ b/anisespool/balancer/hashing.py
@@ -1,4 +1,4 @@
-"""A hash of integers that is the same in every process, for endpoint ranks and key affinity."""
+"""A hash of integers, the same in every process, for endpoint ranks and key affinity."""
 
 from __future__ import annotations
 
--- a/anisespool/balancer/health_checks.py
+++ b/anisespool/balancer/health_checks.py
@@ -1,6 +1,6 @@
 """The schedule of health checks.
 
-Health checks are sent only to get load reports, and only if the settings provide no other way to get them.
+Health checks are sent only if the settings provide no other way to get load reports.
 """
 
 from __future__ import annotations
@@ -21,5 +21,5 @@
 
     @staticmethod
     def next_endpoint(ready: list[Endpoint]) -> Endpoint | None:
-        """Return the ready endpoint to check next, or None if there is none."""
+        """Return the ready endpoint to check next, if any."""
         return min(ready, key=lambda e: e.reported_at) if ready else None
--- a/anisespool/balancer/inspection.py
+++ b/anisespool/balancer/inspection.py
@@ -79,7 +79,7 @@
 
 
 def describe_settings(settings: Settings) -> dict[str, Any]:
-    """Return the settings as plain JSON values, under their names in the control socket's JSON."""
+    """Return the settings as JSON values, under their names in the control socket's JSON."""
     described: dict[str, Any] = _to_json(settings)
     return described
 
--- a/anisespool/balancer/interface.py
+++ b/anisespool/balancer/interface.py
@@ -200,7 +200,7 @@
 
 
 class Fault(NamedTuple):
-    """Report that the decision module failed; used with the simulator only."""
+    """Report that the decision module failed; for the simulator only."""
 
     text: str
 
--- a/anisespool/balancer/key_ordering.py
+++ b/anisespool/balancer/key_ordering.py
@@ -34,7 +34,7 @@
         self.queues.setdefault(request.ordering_key, []).append(request)
 
     def position(self, request: PendingRequest) -> int:
-        """Return how many requests are before this one in its key's queue."""
+        """Return how many requests precede this one in its key's queue."""
         return self.queues[request.ordering_key].index(request)
 
     def pause_ns(self, request: PendingRequest, now: int) -> int:
--- a/anisespool/balancer/outcomes.py
+++ b/anisespool/balancer/outcomes.py
@@ -1,4 +1,4 @@
-"""Updates the estimates, admission control and slow start with the outcomes of attempts."""
+"""Updates the estimates, admission control and slow start with attempts' outcomes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         open_requests: int,
         now: int,
     ) -> None:
-        """Record an attempt that succeeded, with `open_requests` of this sidecar open now."""
+        """Record a successful attempt, with `open_requests` of this sidecar open now."""
         latency_ns = event.latency_ns
         in_time = now <= request.deadlines.objective_at and not request.closed
         self._estimates.record_answer(attempt, request.event, latency_ns)
--- a/anisespool/balancer/resubscribe.py
+++ b/anisespool/balancer/resubscribe.py
@@ -9,7 +9,7 @@
 
 
 def resubscribe_delay_ns(allowed_ns: int, random: Random) -> int:
-    """Return the delay before the next subscription; it is random, to spread the subscriptions of sidecars.
+    """Return the delay before the next subscription; it is random, to spread sidecars' subscriptions.
 
     Without a subscription, this sidecar misses changes. It may then send requests to removed endpoints, which
     breaks a rule.
--- a/anisespool/balancer/retry/__init__.py
+++ b/anisespool/balancer/retry/__init__.py
@@ -1,1 +1,1 @@
-"""Retries: whether another attempt is allowed, attempt time-outs, and detection of clients' own retries."""
+"""Retries: whether one is allowed, attempt time-outs, and detection of clients' own retries."""
--- a/anisespool/balancer/retry/budget.py
+++ b/anisespool/balancer/retry/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: a token bucket that limits the load that retries add during an overload."""
+"""The retry budget, which limits the load that retries add during an overload."""
 
 from __future__ import annotations
 
--- a/anisespool/balancer/retry/client_retries.py
+++ b/anisespool/balancer/retry/client_retries.py
@@ -1,4 +1,4 @@
-"""Detects requests that are a client's own retries, and how long the client has waited already.
+"""Detects requests that are a client's own retries, and how long the client has waited.
 
 A request does not show how long its client has waited. But a client gives every first attempt of a class the
 same time, and a retry only what is left of the deadline. Without the detection, most work in an overload
@@ -27,7 +27,7 @@
 
 
 class ClientRetryDetector:
-    """Estimates how long a client has waited for its own earlier attempts of the same request."""
+    """Estimates how long a client has waited for its earlier attempts of the same request."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
--- a/anisespool/balancer/retry/policy.py
+++ b/anisespool/balancer/retry/policy.py
@@ -14,7 +14,7 @@
 
 
 class RetryPolicy:
-    """The retry policy of one sidecar."""
+    """One sidecar's retry policy."""
 
     def __init__(self, settings: Settings) -> None:
         self._max_attempts = settings.max_attempts
--- a/anisespool/balancer/selection/slow_start.py
+++ b/anisespool/balancer/selection/slow_start.py
@@ -23,13 +23,13 @@
         self._completed_work = DecayingValue(half_life_ns)
 
     def record_sent(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
-        """Add the work of an attempt that is sent now."""
+        """Add the work of an attempt sent now."""
         if endpoint.warmup_limiter:
             endpoint.warmup_limiter.sent.add(now, expected_latency_ns)
         self._sent_work.add(now, expected_latency_ns)
 
     def record_completed(self, endpoint: Endpoint, expected_latency_ns: float, now: int) -> None:
-        """Add the work of an attempt that succeeded."""
+        """Add a successful attempt's work."""
         self._completed_work.add(now, expected_latency_ns)
         if endpoint.warmup_limiter:
             endpoint.warmup_limiter.completed.add(now, expected_latency_ns)
--- a/anisespool/balancer/settings.py
+++ b/anisespool/balancer/settings.py
@@ -19,7 +19,7 @@
     """All settings of a decision module; only the tenants' shares may change while it runs.
 
     Attributes:
-        drain_grace_ns: Time for which an endpoint listed as draining or gone may still be sent requests.
+        drain_grace_ns: How long an endpoint listed as draining or gone may still be sent requests.
         warmup_ns: Time from an endpoint's start until it has its full capacity.
         initial_capacity: Share of its full capacity that an endpoint starts with.
         overload_multiple: A warming endpoint that is sent more than this multiple of its capacity fails.
--- a/anisespool/balancer/settings_names.py
+++ b/anisespool/balancer/settings_names.py
@@ -1,4 +1,4 @@
-"""The names of the settings: in the code, in the platform's JSON and in the control socket's JSON.
+"""The settings' names: in the code, in the platform's JSON and in the control socket's JSON.
 
 The platform's protocol fixes its names; the programs that read the control socket's JSON rely on theirs.
 """
--- a/anisespool/balancer/settings_reader.py
+++ b/anisespool/balancer/settings_reader.py
@@ -9,7 +9,7 @@
 
 
 class ObjectReader:
-    """Typed access to a JSON object; each error names the key with its path."""
+    """Reads a JSON object; each error names the key with its path."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
--- a/anisespool/balancer/settings_types.py
+++ b/anisespool/balancer/settings_types.py
@@ -39,7 +39,7 @@
 
 
 class RequestClass(NamedTuple):
-    """The settings of one request class."""
+    """Settings of a request class."""
 
     target_ns: int  # the latency objective
     deadline_ns: int
--- a/anisespool/balancer/simulator/__init__.py
+++ b/anisespool/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' simulator: the codec of its binary protocol, and a process that hosts decision modules."""
+"""The operators' simulator: its protocol's codec, and a process that hosts decision modules."""
--- a/anisespool/balancer/simulator/host.py
+++ b/anisespool/balancer/simulator/host.py
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Serve until the input ends, and return the exit status: 2 after a malformed frame."""
+    """Serve until the input ends; return the exit status, 2 after a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except protocol.ProtocolError as error:
--- a/anisespool/balancer/simulator/protocol.py
+++ b/anisespool/balancer/simulator/protocol.py
@@ -28,7 +28,7 @@
 
 _OBSERVATION = struct.Struct("<IBBB")
 _STEPS_PER_DOUBLING = 16  # gossip has logarithmic values: a value doubles in this many steps
-_AGE_UNIT_NS = 50_000_000  # gossip has ages in this unit
+_AGE_UNIT_NS = 50_000_000  # unit of gossiped ages
 
 _ALL_INSTANCES = 0xFFFFFFFF
 _MAX_TEXT_BYTES = 1000
@@ -109,7 +109,7 @@
 
 
 def decode_batch(count: int, body: bytes) -> list[tuple[int, WireEvent]]:
-    """Return the instance and event of each record in a batch; a numbered list has the instance -1."""
+    """Return each record's instance and event; a numbered list has the instance -1."""
     events: list[tuple[int, WireEvent]] = []
     offset = 0
     try:
@@ -300,7 +300,7 @@
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """Return the reply record of one action."""
+    """Return an action's reply record."""
     match action:
         case api.Send(request, endpoint, timeout):
             return _SEND.pack(ActionCode.SEND, instance, request, endpoint, timeout)
@@ -331,6 +331,6 @@
 
 
 def encode_reply(actions: list[tuple[int, api.Action]]) -> bytes:
-    """Return the reply to one batch: the actions of all instances, in order."""
+    """Return the reply to a batch: all instances' actions, in order."""
     body = b"".join([encode_action(instance, action) for instance, action in actions])
     return REPLY_HEADER.pack(len(actions), len(body)) + body
--- a/anisespool/balancer/timers.py
+++ b/anisespool/balancer/timers.py
@@ -1,4 +1,4 @@
-"""The timers that the decision module has set, by token."""
+"""Timers of the decision module."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -45,5 +45,5 @@
         return api.SetTimer(max(0, min(delay_ns, MAX_TIMER_NS)), self._last_token)
 
     def expire(self, token: int) -> Timer:
-        """Remove and return the timer of a token, UNKNOWN_TIMER for an unknown token."""
+        """Remove and return a token's timer; UNKNOWN_TIMER if there is none."""
         return self._by_token.pop(token, UNKNOWN_TIMER)
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -92,7 +92,7 @@
 
 
 def random_run(seed: int) -> list[api.Action]:
-    """Return the actions of a balancer for 300 requests with random classes, keys and outcomes."""
+    """Return a balancer's actions for 300 requests with random classes, keys and outcomes."""
     rng = random.Random(seed)
     sidecar = Sidecar([listed(n * 101, zone=n % 2) for n in range(1, 8)], seed=seed)
     actions_taken: list[Any] = []
--- a/tests/balancer/test_module_limits.py
+++ b/tests/balancer/test_module_limits.py
@@ -26,7 +26,7 @@
 
 
 def decision_modules() -> list[str]:
-    """Return the paths of the decision modules in the package, such as `admission/controller`."""
+    """Return the decision modules' paths in the package, such as `admission/controller`."""
     package = MODULE.parent
     paths = [path.relative_to(package) for path in package.rglob("*.py")]
     folders = {path.parts[0] for path in paths if len(path.parts) > 1}
--- a/tests/support.py
+++ b/tests/support.py
@@ -105,7 +105,7 @@
         return self.balancer.endpoints.by_id[number]
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
-        """Pass the next request to the balancer, of the class with index `cls`."""
+        """Pass the next request, of the class with index `cls`."""
         self.last_request += 1
         event = api.RequestArrived(self.last_request, cls, left_ns, **fields)
         return without_logs(self.balancer.handle(self.now, event))
@@ -120,13 +120,13 @@
         finished: bool | None = None,
         load: tuple[float, ...] = (0.0,),
     ) -> list[api.Action]:
-        """Pass the outcome of an attempt to the balancer."""
+        """Pass an attempt's outcome to the balancer."""
         done = status is api.AttemptStatus.OK if finished is None else finished
         event = api.AttemptOutcome(send.request, send.endpoint, attempt, latency_ns, status, done, load)
         return without_logs(self.balancer.handle(self.now, event))
 
     def serve(self, count: int, latency_ns: int = 50 * MS, cls: int = 0) -> list[int]:
-        """Send and answer requests one after another, and return the endpoints selected."""
+        """Serve requests one after another; return the endpoints selected."""
         chosen = []
         for _ in range(count):
             for send in sends(self.request(cls)):
